--- a/src/test/kotlin/burlridge/intent/ProductionTest.kt
+++ b/src/test/kotlin/burlridge/intent/ProductionTest.kt
@@ -1,5 +1,7 @@
 package burlridge.intent
 
+import burlridge.balance.Drain
+import burlridge.balance.MoveBatch
 import burlridge.core.Json
 import burlridge.intake.JobSpec
 import burlridge.peer.PeerMessage
@@ -17,10 +19,17 @@
     private fun lines(name: String): List<String> =
         checkNotNull(javaClass.getResource("/production/$name")).readText().lines().filter { it.isNotEmpty() }
 
-    private val rows =
-        lines("rows.jsonl").map { Json.parse(it) }.map { Row(it.path("key").asText(), it.path("value"), it.path("stamp").asLong()) }
+    private fun rowsOf(
+        file: String,
+        prefix: String,
+    ): List<Row> =
+        lines(file)
+            .map { Json.parse(it) }
+            .map { Row(it.path("key").asText(), it.path("value"), it.path("stamp").asLong()) }
+            .filter { it.key.startsWith(prefix) }
+            .also { assertTrue(it.isNotEmpty()) }
 
-    private fun rows(prefix: String): List<Row> = rows.filter { it.key.startsWith(prefix) }.also { assertTrue(it.isNotEmpty()) }
+    private fun rows(prefix: String): List<Row> = rowsOf("rows.jsonl", prefix)
 
     @Test
     fun `a job of production is read, and an array is written byte for byte as it writes it`() {
@@ -99,6 +108,33 @@
         assertEquals(PeerMessage.decode(known), PeerMessage.decodeOrNull(longer))
     }
 
+    @Test
+    fun `rows of drains and moves are read, and written byte for byte alike`() {
+        for (row in laterRows("drain/")) assertEquals(Json.write(row.value), Json.write(checkNotNull(Drain.decode(row)).encode()))
+        for (row in laterRows("move/")) assertEquals(Json.write(row.value), Json.write(checkNotNull(MoveBatch.decode(row)).encode()))
+    }
+
+    @Test
+    fun `a term with a history names those who led before it`() {
+        for (row in laterRows("term")) {
+            assertTrue(row.value.path("led").size() >= 2)
+            assertTrue(row.value.path("by").isTextual)
+            row.value.path("led").forEach { assertTrue(it.isIntegralNumber) }
+        }
+    }
+
+    @Test
+    fun `messages of failover are read, and written byte for byte alike`() {
+        for (line in lines("messages-failover.txt")) {
+            val bytes = HexFormat.of().parseHex(line.substringBefore("  "))
+            val message = PeerMessage.decode(bytes)
+            assertTrue(message is PeerMessage.Handover || (message as? PeerMessage.Status)?.failover != null, line)
+            assertArrayEquals(bytes, PeerMessage.encode(message))
+        }
+    }
+
+    private fun laterRows(prefix: String): List<Row> = rowsOf("rows-failover-balance.jsonl", prefix)
+
     private companion object {
         const val ABSENT_FAILOVER = ", failover=null"
     }
--- a/src/test/kotlin/burlridge/sim/World.kt
+++ b/src/test/kotlin/burlridge/sim/World.kt
@@ -105,6 +105,9 @@
     /** Called for each call before it is carried out; a test returns what is to become of it. */
     var meddle: (from: String, effect: Effect.Call) -> Fate = { _, _ -> Fate.FINE }
 
+    /** Told of everything that a member's step returns, before any of it is carried out. */
+    var onEffect: (member: String, effect: Effect) -> Unit = { _, _ -> }
+
     /** Told the path of each request that one member passes on to another. */
     var onAsk: (path: String) -> Unit = {}
 
@@ -312,7 +315,10 @@
             if (input != Input.Tick || input !in heldInputs.getValue(name)) heldInputs.getValue(name) += input
             return
         }
-        controller.step(input, clock.now, (clock.now * 1000).toLong()).forEach { carryOut(name, it) }
+        controller.step(input, clock.now, (clock.now * 1000).toLong()).forEach {
+            onEffect(name, it)
+            carryOut(name, it)
+        }
     }
 
     /** Members that are to pause as soon as they decide on something with an effect outside, and for how long. */
--- /dev/null
+++ b/src/test/kotlin/burlridge/transcript/Transcript.kt
@@ -0,0 +1,93 @@
+package burlridge.transcript
+
+import burlridge.core.Effect
+import burlridge.failover.HandoverMessage
+import burlridge.peer.PeerMessage
+import burlridge.sim.World
+import java.security.MessageDigest
+import java.util.HexFormat
+import java.util.zip.CRC32
+
+/**
+ * Everything that leaves `Controller.step` of every member of a [World], in order and with its virtual time, and in the end all rows of the
+ * key-value store. Log lines are left out. The words written here are the transcript's own, so that renaming the code changes no line.
+ */
+internal class Transcript(
+    private val world: World,
+) {
+    private val lines = ArrayList<String>()
+
+    init {
+        world.onEffect = { member, effect -> describe(effect)?.let { record(member, it) } }
+    }
+
+    private fun record(
+        member: String,
+        text: String,
+    ) {
+        lines += "%9.3f %s %s".format(world.clock.now, member, text)
+    }
+
+    private fun describe(effect: Effect): String? =
+        when (effect) {
+            is Effect.Call -> {
+                val body = effect.body?.let { " $it" }.orEmpty()
+                "call ${effect.method} ${effect.target}${effect.path}$body timeout=${effect.timeoutS}${deadline(effect)}"
+            }
+
+            is Effect.Answer -> {
+                val retryAfter = effect.retryAfterS?.let { " retry-after=$it" }.orEmpty()
+                "answer #${effect.id} ${effect.status} ${effect.body}$retryAfter${deadline(effect)}"
+            }
+
+            is Effect.Send -> {
+                "send ${effect.member} ${describe(effect.message)} ${encoded(effect.message)}${deadline(effect)}"
+            }
+
+            is Effect.Trace -> {
+                "trace"
+            }
+
+            is Effect.Log -> {
+                null
+            }
+        }
+
+    private fun deadline(effect: Effect): String =
+        if (effect.leaveBy == Effect.NEVER_TOO_LATE) "" else " deadline=%.3f".format(effect.leaveBy)
+
+    private fun describe(message: PeerMessage): String =
+        when (message) {
+            is PeerMessage.Status -> "status term=${message.term} leader=${message.leader} leading=${message.leading}"
+            is PeerMessage.Ask -> "forwarded request #${message.ask} ${message.method} ${message.path} ${message.body}"
+            is PeerMessage.Reply -> "forwarded answer #${message.ask} ${message.status} ${message.body}"
+            is PeerMessage.Accepted -> "job accepted ${message.job}"
+            is PeerMessage.Handover -> "handover ${describe(message.step)}"
+        }
+
+    private fun describe(step: HandoverMessage): String =
+        when (step) {
+            is HandoverMessage.Offer -> "offer of term ${step.term}: ${step.reason}"
+            is HandoverMessage.Accept -> "accept of term ${step.term} with lease ${step.lease}"
+            is HandoverMessage.Decline -> "decline: ${step.reason}"
+            is HandoverMessage.Transferred -> "transferred as term ${step.term}"
+            is HandoverMessage.Withdraw -> "withdraw: ${step.reason}"
+        }
+
+    /** Stands for the message's bytes on the wire. */
+    private fun encoded(message: PeerMessage): String {
+        val bytes = PeerMessage.encode(message)
+        val checksum = CRC32().also { it.update(bytes) }.value
+        return "[${bytes.size} bytes, crc32 %08x]".format(checksum)
+    }
+
+    /** The whole transcript; the rows are those that the store holds now. */
+    fun text(): String {
+        val rows = world.state.keys("").map { "row $it ${world.state.value(it)}" }
+        return (lines + rows).joinToString("\n", postfix = "\n")
+    }
+
+    fun lineCount(): Int = text().count { it == '\n' }
+
+    fun digest(): String = HexFormat.of().formatHex(MessageDigest.getInstance("SHA-256").digest(text().toByteArray()))
+}
--- /dev/null
+++ b/src/test/kotlin/burlridge/transcript/TranscriptSchedules.kt
@@ -0,0 +1,232 @@
+package burlridge.transcript
+
+import burlridge.balance.balanced
+import burlridge.balance.balancedWorld
+import burlridge.balance.drainZone
+import burlridge.balance.savingJob
+import burlridge.balance.submitAll
+import burlridge.balance.undrainZone
+import burlridge.core.OperatorSettings
+import burlridge.failover.FailoverSettings
+import burlridge.intake.JobSpec
+import burlridge.sim.Troubles
+import burlridge.sim.TypeSpec
+import burlridge.sim.World
+import burlridge.sim.World.Fate
+import burlridge.sim.abort
+import burlridge.sim.gang
+import burlridge.sim.job
+import burlridge.sim.sendWrongOnes
+import burlridge.sim.submit
+
+/** A world with a load and failures at set times, played until [endsAt]. */
+internal class TranscriptSchedule(
+    val name: String,
+    private val endsAt: Double,
+    private val world: () -> World,
+    private val prepare: World.() -> Unit,
+) {
+    fun play(): Transcript {
+        val prepared = world()
+        val transcript = Transcript(prepared)
+        prepared.prepare()
+        prepared.run(endsAt)
+        return transcript
+    }
+
+    override fun toString(): String = name
+}
+
+private fun World.at(
+    seconds: Double,
+    action: () -> Unit,
+) = clock.after(seconds, action)
+
+/** Arrays of two teams, one of which has a guarantee and a limit; every seventh is cancelled. */
+private fun World.arrays(
+    count: Int,
+    from: Double = 5.0,
+    every: Double = 2.0,
+) = repeat(count) { i ->
+    val spec =
+        when (i % 5) {
+            0 -> job(i, 4, cpus = 2.0, team = "crew-x")
+            1 -> job(i, 3, oneZone = true, runS = 15.0)
+            2 -> job(i, 5, spread = true, runS = 5.0)
+            3 -> job(i, 2, cpus = 8.0, jobClass = "bulk", runS = 30.0, spot = false)
+            else -> job(i, 6, cpus = 1.0, zone = "b", runS = 8.0, team = "crew-x")
+        }
+    at(from + i * every) { submit(spec, abortAfter = if (i % 7 == 6) 10.0 else null) }
+}
+
+private fun World.atLeader(
+    seconds: Double,
+    action: (leader: String) -> Unit,
+) = at(seconds) { leader()?.let(action) }
+
+/** Jobs that several teams submit above their limit, while some are cancelled. */
+private fun World.teamsAtTheirLimit() {
+    repeat(12) { i ->
+        at(5.0 + i) { submit(job(i, 10, cpus = 2.0, runS = 20.0, team = "crew-x"), abortAfter = if (i % 4 == 3) 12.0 else null) }
+        at(5.5 + i) { submit(job(100 + i, 6, cpus = 2.0, runS = 12.0, jobClass = "bulk")) }
+    }
+}
+
+private fun World.lateWrites(
+    from: Double,
+    until: Double,
+) {
+    meddle = { _, call ->
+        val hit = clock.now in from..until && call.path == "/multi" && random.nextInt(3) == 0
+        if (hit) listOf(Fate.LATE, Fate.ANSWER_LOST).random(random) else Fate.FINE
+    }
+}
+
+private fun failoverWorld(
+    seed: Int,
+    members: Int,
+) = World(
+    seed,
+    members = (0 until members).map { "drover-$it" },
+    operator = OperatorSettings(failover = FailoverSettings(standbys = 1)),
+)
+
+private fun World.savingJobs(count: Int): List<JobSpec> =
+    submitAll((0 until count).map { savingJob(it, 1 + it % 4, runS = 30.0) }, from = 10.0, everyS = 1.5)
+
+internal val TRANSCRIPT_SCHEDULES: List<TranscriptSchedule> =
+    listOf(
+        TranscriptSchedule("array-short", 30.0, { World(401, types = mapOf("small" to TypeSpec(4.0, 16.0, 2))) }) {
+            at(12.0) { submit(job(1, 2, runS = 3.0)) }
+        },
+        TranscriptSchedule("gang-short", 38.0, {
+            World(402, types = mapOf("small" to TypeSpec(4.0, 16.0, 1)), guaranteed = 0.0)
+        }) {
+            at(14.0) { submit(gang(1, 2, runS = 4.0)) }
+        },
+        TranscriptSchedule("arrays", 150.0, { World(403) }) { arrays(24) },
+        TranscriptSchedule("five-members-at-their-limits", 140.0, { World(404, members = (0 until 5).map { "drover-$it" }) }) {
+            teamsAtTheirLimit()
+            sendWrongOnes(60.0)
+            atLeader(30.0) { crash(it, 5.0) }
+        },
+        TranscriptSchedule("gangs-lose-machines", 170.0, { World(405, guaranteed = 0.0) }) {
+            repeat(5) { i -> at(20.0 + 6.0 * i) { submit(gang(i, 4 + 3 * i, cpus = 2.0)) } }
+            at(45.0) { cloud.take(cloud.names().first()) }
+            at(60.0) { cloud.worker(cloud.names().last())?.kill() }
+            at(70.0) { cloud.worker(cloud.names().first())?.recall(12.0) }
+        },
+        TranscriptSchedule("leader-killed", 150.0, { World(406) }) {
+            arrays(20)
+            atLeader(25.0) { crash(it, 2.0) }
+            atLeader(50.0) { crash(it, 0.2) }
+            at(80.0) { members.forEach { crash(it, 3.0) } }
+        },
+        TranscriptSchedule("leader-frozen", 150.0, { World(407) }) {
+            arrays(20)
+            atLeader(25.0) { freeze(it, 3.0) }
+            atLeader(45.0) { freeze(it, 20.0) }
+            atLeader(80.0) { pauseMidStep(it, 15.0) }
+        },
+        TranscriptSchedule("leader-cut", 170.0, { World(408) }) {
+            holds = true
+            arrays(20)
+            atLeader(25.0) { cut(it, "state", 20.0) }
+            atLeader(60.0) {
+                cut(it, "state", 25.0)
+                peersCut(it, 25.0)
+            }
+            atLeader(95.0) { leader -> cloud.names().take(4).forEach { cut(it, leader, 30.0) } }
+        },
+        TranscriptSchedule("leader-refused", 160.0, { World(409) }) {
+            val long = (0 until 4).map { job(200 + it, 3, runS = 60.0) }
+            long.forEach { spec -> at(8.0) { submit(spec) } }
+            arrays(12)
+            atLeader(30.0) { refuse(it, 15.0) }
+            at(30.5) { long.take(2).forEach { abort(it) } }
+            at(33.0) { state.outage(25.0) }
+            at(34.0) { long.drop(2).forEach { abort(it) } }
+        },
+        TranscriptSchedule("store-outage", 160.0, { World(410) }) {
+            arrays(20)
+            at(28.0) { state.outage(20.0) }
+            at(70.0) { state.outage(3.0) }
+            state.limitWrites(10.0)
+        },
+        TranscriptSchedule("late-writes", 170.0, { World(411) }) {
+            arrays(20)
+            lateWrites(15.0, 60.0)
+            atLeader(40.0) { crash(it, 4.0) }
+        },
+        TranscriptSchedule("rentals-and-returns", 230.0, { World(412) }) {
+            arrays(12)
+            at(15.0) { cloud.down = true }
+            at(30.0) { cloud.down = false }
+            at(40.0) {
+                cloud
+                    .names()
+                    .filter { cloud.worker(it)?.spot == true }
+                    .take(3)
+                    .forEach { cloud.worker(it)?.recall(10.0) }
+            }
+            at(130.0) { submit(job(90, 12, cpus = 2.0, runS = 10.0)) }
+            atLeader(45.0) { crash(it, 5.0) }
+        },
+        TranscriptSchedule("rolling-restart", 200.0, {
+            World(413, next = """{"value_kb":2,"txn_ops":4,"write_rps":30}""", old = true)
+        }) {
+            arrays(24)
+            members.forEachIndexed { i, member -> upgradeAt(member, 25.0 + 12.0 * i) }
+            at(75.0) { state.lower(valueKb = 2.0, changesPerTransaction = 4) }
+            at(80.0) { submit(gang(90, 6)) }
+        },
+        TranscriptSchedule("machines-out-of-reach", 180.0, { World(414) }) {
+            arrays(20)
+            at(30.0) { cloud.names().take(2).forEach { deafen(it, 20.0) } }
+            at(40.0) { cloud.names().takeLast(2).forEach { mute(it, 30.0) } }
+            at(50.0) { cloud.names().take(2).forEach { cloud.worker(it)?.hang(15.0) } }
+            at(55.0) { keepReportsForNextLeader(8.0) }
+            atLeader(60.0) { crash(it, 3.0) }
+            copyAfter = { if (clock.now < 80.0 && random.nextInt(5) == 0) 20.0 else null }
+        },
+        TranscriptSchedule("failover-handovers", 150.0, { failoverWorld(415, 3) }) {
+            arrays(20)
+            atLeader(30.0) { leader ->
+                drain(leader)
+                at(6.0) { crash(leader, 2.0) }
+            }
+            atLeader(60.0) { crash(it, 3.0) }
+            atLeader(85.0) { freeze(it, 8.0) }
+        },
+        TranscriptSchedule("failover-five-members", 150.0, { failoverWorld(416, 5) }) {
+            repeat(4) { i -> at(20.0 + 8.0 * i) { submit(gang(50 + i, 5)) } }
+            arrays(14)
+            atLeader(35.0) { drain(it) }
+            atLeader(36.0) { crash(it, 4.0) }
+            at(70.0) { state.outage(10.0) }
+        },
+        TranscriptSchedule("balance-drains-and-moves", 160.0, { balancedWorld(417) }) {
+            savingJobs(14)
+            at(30.0) { drainZone("a") }
+            atLeader(34.0) { crash(it, 4.0) }
+            at(70.0) { undrainZone("a") }
+        },
+        TranscriptSchedule("balance-and-failover", 160.0, {
+            balancedWorld(418, members = 5, failover = true, operatorOf = { balanced(failover = true) })
+        }) {
+            savingJobs(14)
+            repeat(2) { i -> at(22.0 + 9.0 * i) { submit(gang(60 + i, 4, runS = 25.0)) } }
+            at(32.0) { drainZone("b") }
+            atLeader(40.0) { drain(it) }
+            at(50.0) { cloud.names().take(2).forEach { cloud.worker(it)?.slowness = 8.0 } }
+        },
+        TranscriptSchedule("drawn-failures", 260.0, { World(419) }) {
+            arrays(24)
+            Troubles(this, 419).draw(10, 20.0, 120.0)
+        },
+        TranscriptSchedule("drawn-failures-with-gangs", 260.0, { failoverWorld(420, 3) }) {
+            repeat(6) { i -> at(25.0 + 9.0 * i) { submit(gang(70 + i, 3 + i)) } }
+            arrays(16)
+            Troubles(this, 420).draw(10, 20.0, 120.0)
+        },
+    )
