--- a/src/main/kotlin/burlridge/intent/Claims.kt
+++ b/src/main/kotlin/burlridge/allocation/Claims.kt
@@ -1,8 +1,7 @@
-package burlridge.intent
+package burlridge.allocation
 
 import burlridge.core.Context
-import burlridge.intake.Found
-import burlridge.intake.Size
+import burlridge.job.Size
 import burlridge.leadership.Leadership
 import burlridge.store.Change
 import burlridge.store.Condition
--- a/src/main/kotlin/burlridge/intent/Gangs.kt
+++ b/src/main/kotlin/burlridge/allocation/Gangs.kt
@@ -1,4 +1,4 @@
-package burlridge.intent
+package burlridge.allocation
 
 /**
  * The tasks of a gang share their run number, the attempt, and their fate: one `done` is all done, and one that is gone ends the
--- a/src/main/kotlin/burlridge/intent/Job.kt
+++ b/src/main/kotlin/burlridge/allocation/Job.kt
@@ -1,7 +1,7 @@
-package burlridge.intent
+package burlridge.allocation
 
-import burlridge.intake.JobSpec
-import burlridge.intake.Size
+import burlridge.job.JobSpec
+import burlridge.job.Size
 import it.unimi.dsi.fastutil.ints.Int2DoubleOpenHashMap
 import it.unimi.dsi.fastutil.ints.Int2IntOpenHashMap
 import it.unimi.dsi.fastutil.ints.Int2ObjectOpenHashMap
@@ -157,7 +157,7 @@
 /** What a claim takes, and whose limit it counts against; kept with the row since a claim can outlive its job's row. */
 internal data class Charge(
     val team: String,
-    val size: burlridge.intake.Size,
+    val size: Size,
 )
 
 /** One row: the starts claimed in one placement round. [slot] is its key, claimed anew once [number] is settled. */
--- a/src/main/kotlin/burlridge/intent/Ledger.kt
+++ b/src/main/kotlin/burlridge/allocation/Ledger.kt
@@ -1,11 +1,10 @@
-package burlridge.intent
+package burlridge.allocation
 
 import burlridge.core.BoundedMap
 import burlridge.core.Context
-import burlridge.core.Json
-import burlridge.intake.BadJob
-import burlridge.intake.Found
-import burlridge.intake.JobSpec
+import burlridge.job.BadJob
+import burlridge.job.JobSpec
+import burlridge.json.Json
 import burlridge.leadership.Leadership
 import burlridge.store.Change
 import burlridge.store.Condition
@@ -82,7 +81,7 @@
         val spec =
             try {
                 JobSpec.parse(row.path("job"))
-            } catch (e: burlridge.intake.BadJob) {
+            } catch (e: BadJob) {
                 context.error("row live/$job cannot be read: ${e.message}")
                 return null
             }
--- a/src/main/kotlin/burlridge/intent/Progress.kt
+++ b/src/main/kotlin/burlridge/allocation/Progress.kt
@@ -1,6 +1,6 @@
-package burlridge.intent
+package burlridge.allocation
 
-import burlridge.core.Json
+import burlridge.json.Json
 import burlridge.store.Row
 import com.fasterxml.jackson.databind.JsonNode
 import java.util.Base64
--- a/src/main/kotlin/burlridge/intent/RoundRow.kt
+++ b/src/main/kotlin/burlridge/allocation/RoundRow.kt
@@ -1,7 +1,7 @@
-package burlridge.intent
+package burlridge.allocation
 
-import burlridge.core.Json
-import burlridge.intake.Size
+import burlridge.job.Size
+import burlridge.json.Json
 import burlridge.store.Row
 import com.fasterxml.jackson.databind.JsonNode
 import com.google.common.hash.Hashing
--- a/src/main/kotlin/burlridge/intake/Intake.kt
+++ b/src/main/kotlin/burlridge/api/Intake.kt
@@ -1,13 +1,15 @@
-package burlridge.intake
+package burlridge.api
 
+import burlridge.allocation.Job
+import burlridge.allocation.Ledger
+import burlridge.allocation.Standing
 import burlridge.core.Answer
 import burlridge.core.BoundedMap
 import burlridge.core.Context
-import burlridge.core.Json
 import burlridge.fleet.Fleet
-import burlridge.intent.Job
-import burlridge.intent.Ledger
-import burlridge.intent.Standing
+import burlridge.job.BadJob
+import burlridge.job.JobSpec
+import burlridge.json.Json
 import burlridge.leadership.Leadership
 import burlridge.leadership.Versions
 import burlridge.peer.Peers
--- a/src/main/kotlin/burlridge/intake/JobRows.kt
+++ b/src/main/kotlin/burlridge/api/JobRows.kt
@@ -1,7 +1,7 @@
-package burlridge.intake
+package burlridge.api
 
-import burlridge.intent.Ledger
-import burlridge.intent.Standing
+import burlridge.allocation.Ledger
+import burlridge.allocation.Standing
 import burlridge.store.Read
 import burlridge.store.Store
 import burlridge.store.Urgency
--- a/src/main/kotlin/burlridge/intake/JobValidation.kt
+++ b/src/main/kotlin/burlridge/api/JobValidation.kt
@@ -1,9 +1,10 @@
-package burlridge.intake
+package burlridge.api
 
 import burlridge.core.Context
-import burlridge.core.Json
-import burlridge.core.Team
 import burlridge.fleet.Catalog
+import burlridge.job.JobSpec
+import burlridge.json.Json
+import burlridge.settings.Team
 import burlridge.store.Store
 import com.fasterxml.jackson.databind.JsonNode
 
--- a/src/main/kotlin/burlridge/app/AdminCommand.kt
+++ b/src/main/kotlin/burlridge/app/AdminCommand.kt
@@ -1,9 +1,9 @@
 package burlridge.app
 
 import burlridge.balance.MachineRequests
-import burlridge.core.Json
-import burlridge.core.Settings
 import burlridge.failover.MemberRequests
+import burlridge.json.Json
+import burlridge.settings.Settings
 import com.fasterxml.jackson.databind.JsonNode
 import java.io.IOException
 import java.net.URI
--- a/src/main/kotlin/burlridge/app/Controller.kt
+++ b/src/main/kotlin/burlridge/app/Controller.kt
@@ -1,6 +1,9 @@
 package burlridge.app
 
 import burlridge.admin.AdminRequests
+import burlridge.allocation.Ledger
+import burlridge.allocation.Phase
+import burlridge.api.Intake
 import burlridge.balance.Balance
 import burlridge.balance.BalancePorts
 import burlridge.balance.MachineRequests
@@ -8,20 +11,16 @@
 import burlridge.core.Context
 import burlridge.core.Effect
 import burlridge.core.Input
-import burlridge.core.Settings
 import burlridge.failover.Failover
-import burlridge.failover.FailoverStatus
 import burlridge.failover.MemberRequests
 import burlridge.fleet.Fleet
-import burlridge.intake.Found
-import burlridge.intake.Intake
-import burlridge.intent.Ledger
-import burlridge.intent.Phase
 import burlridge.leadership.Leadership
 import burlridge.leadership.Versions
-import burlridge.peer.PeerMessage
+import burlridge.message.FailoverStatus
+import burlridge.message.PeerMessage
 import burlridge.peer.Peers
 import burlridge.placement.Placement
+import burlridge.settings.Settings
 import burlridge.store.Read
 import burlridge.store.Store
 import burlridge.store.Urgency
--- a/src/main/kotlin/burlridge/app/LeaderChangeTracer.kt
+++ b/src/main/kotlin/burlridge/app/LeaderChangeTracer.kt
@@ -1,9 +1,9 @@
 package burlridge.app
 
 import burlridge.core.Effect
-import burlridge.core.Json
 import burlridge.failover.LeaderChangeEvent
 import burlridge.failover.Liveness
+import burlridge.json.Json
 import io.opentelemetry.api.common.AttributeKey
 import io.opentelemetry.api.common.Attributes
 import io.opentelemetry.api.trace.Span
@@ -49,6 +49,7 @@
             is LeaderChangeEvent.FirstStart -> firstStart = firstStart?.end(at)
             is LeaderChangeEvent.AllWorkersAnswered -> allAnswered(event, at)
             is LeaderChangeEvent.Deposed -> deposed(event, at)
+            else -> Unit
         }
     }
 
--- a/src/main/kotlin/burlridge/app/Main.kt
+++ b/src/main/kotlin/burlridge/app/Main.kt
@@ -1,6 +1,6 @@
 package burlridge.app
 
-import burlridge.core.Settings
+import burlridge.settings.Settings
 import java.io.File
 import kotlin.system.exitProcess
 
--- a/src/main/kotlin/burlridge/app/Rehearsal.kt
+++ b/src/main/kotlin/burlridge/app/Rehearsal.kt
@@ -1,8 +1,8 @@
 package burlridge.app
 
 import burlridge.core.Effect
-import burlridge.core.Endpoint
-import burlridge.core.Json
+import burlridge.json.Json
+import burlridge.settings.Endpoint
 import java.net.InetAddress
 import java.net.ServerSocket
 
--- a/src/main/kotlin/burlridge/app/Service.kt
+++ b/src/main/kotlin/burlridge/app/Service.kt
@@ -2,16 +2,16 @@
 
 import burlridge.core.Answer
 import burlridge.core.Effect
-import burlridge.core.GangTimes
 import burlridge.core.Input
 import burlridge.core.Level
-import burlridge.core.Settings
+import burlridge.message.PeerMessage
 import burlridge.net.ConnectionBudget
 import burlridge.net.EventLoop
 import burlridge.net.HttpClient
 import burlridge.net.HttpServer
 import burlridge.peer.PeerLinks
-import burlridge.peer.PeerMessage
+import burlridge.settings.GangTimes
+import burlridge.settings.Settings
 import kotlinx.coroutines.CoroutineExceptionHandler
 import kotlinx.coroutines.CoroutineScope
 import kotlinx.coroutines.SupervisorJob
--- a/src/main/kotlin/burlridge/app/SettingsFiles.kt
+++ b/src/main/kotlin/burlridge/app/SettingsFiles.kt
@@ -1,8 +1,8 @@
 package burlridge.app
 
-import burlridge.core.OperatorSettings
-import burlridge.core.Settings
-import burlridge.core.SettingsError
+import burlridge.settings.OperatorSettings
+import burlridge.settings.Settings
+import burlridge.settings.SettingsError
 import java.io.File
 import java.io.IOException
 
--- a/src/main/kotlin/burlridge/app/TermRows.kt
+++ b/src/main/kotlin/burlridge/app/TermRows.kt
@@ -1,10 +1,10 @@
 package burlridge.app
 
+import burlridge.allocation.Ledger
 import burlridge.balance.Balance
 import burlridge.core.Context
 import burlridge.failover.Failover
 import burlridge.fleet.Fleet
-import burlridge.intent.Ledger
 import burlridge.leadership.Leadership
 import burlridge.store.Listing
 import burlridge.store.Store
--- a/src/main/kotlin/burlridge/app/WarmUp.kt
+++ b/src/main/kotlin/burlridge/app/WarmUp.kt
@@ -2,9 +2,9 @@
 
 import burlridge.core.Effect
 import burlridge.core.Input
-import burlridge.core.Json
 import burlridge.core.Outcome
-import burlridge.core.Settings
+import burlridge.json.Json
+import burlridge.settings.Settings
 import com.fasterxml.jackson.databind.JsonNode
 
 /**
--- a/src/main/kotlin/burlridge/balance/Balance.kt
+++ b/src/main/kotlin/burlridge/balance/Balance.kt
@@ -1,14 +1,15 @@
 package burlridge.balance
 
+import burlridge.allocation.Ledger
 import burlridge.core.Context
 import burlridge.fleet.Fleet
-import burlridge.intake.JobSpec
-import burlridge.intent.Ledger
+import burlridge.job.JobSpec
 import burlridge.leadership.Leadership
 import burlridge.placement.KeptRoom
 import burlridge.placement.Placement
 import burlridge.placement.PlacementAdvice
 import burlridge.placement.PlacementReason
+import burlridge.settings.BalanceSettings
 import burlridge.store.Listing
 import burlridge.store.Store
 import burlridge.worker.DrainReason
--- a/src/main/kotlin/burlridge/balance/BalanceReport.kt
+++ b/src/main/kotlin/burlridge/balance/BalanceReport.kt
@@ -1,6 +1,6 @@
 package burlridge.balance
 
-import burlridge.core.Json
+import burlridge.json.Json
 import com.fasterxml.jackson.databind.JsonNode
 import com.fasterxml.jackson.databind.node.ObjectNode
 
--- a/src/main/kotlin/burlridge/balance/DecisionLog.kt
+++ b/src/main/kotlin/burlridge/balance/DecisionLog.kt
@@ -1,7 +1,7 @@
 package burlridge.balance
 
 import burlridge.core.Context
-import burlridge.core.Json
+import burlridge.json.Json
 import com.fasterxml.jackson.databind.JsonNode
 
 /** The latest decisions of this leader's term, the oldest dropped first; what operators read by `burlridge explain`. */
--- a/src/main/kotlin/burlridge/balance/DrainSafety.kt
+++ b/src/main/kotlin/burlridge/balance/DrainSafety.kt
@@ -1,10 +1,10 @@
 package burlridge.balance
 
-import burlridge.core.Settings
+import burlridge.allocation.Job
+import burlridge.allocation.Ledger
 import burlridge.fleet.Fleet
-import burlridge.intake.JobSpec
-import burlridge.intent.Job
-import burlridge.intent.Ledger
+import burlridge.job.JobSpec
+import burlridge.settings.Settings
 import burlridge.worker.Machine
 import burlridge.worker.Workers
 
--- a/src/main/kotlin/burlridge/balance/LoadPicture.kt
+++ b/src/main/kotlin/burlridge/balance/LoadPicture.kt
@@ -1,6 +1,7 @@
 package burlridge.balance
 
-import burlridge.intent.Job
+import burlridge.allocation.Job
+import burlridge.settings.BalanceSettings
 import burlridge.worker.Machine
 import it.unimi.dsi.fastutil.objects.Object2ObjectOpenHashMap
 
--- a/src/main/kotlin/burlridge/balance/MachineRequests.kt
+++ b/src/main/kotlin/burlridge/balance/MachineRequests.kt
@@ -2,7 +2,7 @@
 
 import burlridge.core.Answer
 import burlridge.core.Context
-import burlridge.core.Json
+import burlridge.json.Json
 import burlridge.leadership.Leadership
 import burlridge.peer.Peers
 import com.fasterxml.jackson.databind.JsonNode
--- a/src/main/kotlin/burlridge/balance/Move.kt
+++ b/src/main/kotlin/burlridge/balance/Move.kt
@@ -1,6 +1,6 @@
 package burlridge.balance
 
-import burlridge.core.Json
+import burlridge.json.Json
 import burlridge.store.Row
 import com.fasterxml.jackson.databind.JsonNode
 
--- a/src/main/kotlin/burlridge/balance/MoveBudget.kt
+++ b/src/main/kotlin/burlridge/balance/MoveBudget.kt
@@ -1,5 +1,7 @@
 package burlridge.balance
 
+import burlridge.settings.BalanceSettings
+
 /** How many tasks have been moved within the last minute or so, by this leader and by those before it. */
 internal class MoveBudget(
     private val settings: BalanceSettings,
--- a/src/main/kotlin/burlridge/balance/Moves.kt
+++ b/src/main/kotlin/burlridge/balance/Moves.kt
@@ -1,13 +1,15 @@
 package burlridge.balance
 
+import burlridge.allocation.Claim
+import burlridge.allocation.Gangs
+import burlridge.allocation.Job
+import burlridge.allocation.Ledger
+import burlridge.allocation.Standing
 import burlridge.core.Context
-import burlridge.intent.Claim
-import burlridge.intent.Gangs
-import burlridge.intent.Job
-import burlridge.intent.Ledger
-import burlridge.intent.Standing
 import burlridge.leadership.Leadership
 import burlridge.placement.KeptRoom
+import burlridge.settings.BalanceSettings
+import burlridge.settings.MovePermission
 import burlridge.store.Change
 import burlridge.store.Condition
 import burlridge.store.Row
--- a/src/main/kotlin/burlridge/balance/Relief.kt
+++ b/src/main/kotlin/burlridge/balance/Relief.kt
@@ -1,11 +1,13 @@
 package burlridge.balance
 
+import burlridge.allocation.Claim
+import burlridge.allocation.Job
+import burlridge.allocation.Ledger
+import burlridge.allocation.Phase
 import burlridge.core.Context
-import burlridge.intent.Claim
-import burlridge.intent.Job
-import burlridge.intent.Ledger
-import burlridge.intent.Phase
 import burlridge.placement.MoveTargets
+import burlridge.settings.BalanceSettings
+import burlridge.settings.MovePermission
 import burlridge.worker.Machine
 import burlridge.worker.Workers
 
--- a/src/main/kotlin/burlridge/balance/SlowStart.kt
+++ b/src/main/kotlin/burlridge/balance/SlowStart.kt
@@ -1,10 +1,11 @@
 package burlridge.balance
 
+import burlridge.allocation.Claim
+import burlridge.allocation.Ledger
+import burlridge.allocation.Phase
 import burlridge.core.Context
-import burlridge.intake.JobSpec
-import burlridge.intent.Claim
-import burlridge.intent.Ledger
-import burlridge.intent.Phase
+import burlridge.job.JobSpec
+import burlridge.settings.BalanceSettings
 import burlridge.worker.Machine
 
 /**
--- a/src/main/kotlin/burlridge/core/Context.kt
+++ b/src/main/kotlin/burlridge/core/Context.kt
@@ -1,6 +1,9 @@
 package burlridge.core
 
-import burlridge.peer.PeerMessage
+import burlridge.json.Json
+import burlridge.message.PeerMessage
+import burlridge.settings.Endpoint
+import burlridge.settings.Settings
 import it.unimi.dsi.fastutil.longs.Long2ObjectOpenHashMap
 import it.unimi.dsi.fastutil.objects.Object2LongOpenHashMap
 import kotlin.random.Random
--- a/src/main/kotlin/burlridge/core/Effects.kt
+++ b/src/main/kotlin/burlridge/core/Effects.kt
@@ -1,7 +1,7 @@
 package burlridge.core
 
-import burlridge.failover.LeaderChangeEvent
-import burlridge.peer.PeerMessage
+import burlridge.message.PeerMessage
+import burlridge.settings.Endpoint
 
 /** What the outside tells the core. */
 internal sealed interface Input {
@@ -44,6 +44,9 @@
 
 internal enum class Level { ERROR, INFO, DEBUG }
 
+/** Something that a trace can record; each package declares its own kinds. */
+internal interface TraceEvent
+
 /** What the core wants done. */
 internal sealed interface Effect {
     /**
@@ -78,7 +81,7 @@
 
     /** For whoever keeps traces; sent only where an operator switched them on. */
     data class Trace(
-        val event: LeaderChangeEvent,
+        val event: TraceEvent,
         val wallMs: Long,
     ) : Effect
 
--- a/src/main/kotlin/burlridge/failover/Failover.kt
+++ b/src/main/kotlin/burlridge/failover/Failover.kt
@@ -3,7 +3,10 @@
 import burlridge.core.Context
 import burlridge.core.Effect
 import burlridge.leadership.Leadership
-import burlridge.peer.PeerMessage
+import burlridge.message.FailoverStatus
+import burlridge.message.HandoverMessage
+import burlridge.message.PeerMessage
+import burlridge.settings.FailoverSettings
 import burlridge.store.Listing
 import burlridge.store.Store
 import burlridge.worker.AnsweredWorkers
--- a/src/main/kotlin/burlridge/failover/IncomingHandover.kt
+++ b/src/main/kotlin/burlridge/failover/IncomingHandover.kt
@@ -2,7 +2,9 @@
 
 import burlridge.core.Context
 import burlridge.leadership.Leadership
+import burlridge.message.HandoverMessage
 import burlridge.store.Read
+import burlridge.store.Row
 import burlridge.store.Store
 import burlridge.store.Urgency
 
@@ -151,7 +153,7 @@
     private fun takeOver(
         ready: Prepared,
         term: Long,
-        row: burlridge.store.Row,
+        row: Row,
     ) {
         prepared = null
         val lease = ready.lease ?: return
--- a/src/main/kotlin/burlridge/failover/LeaderChangeEvent.kt
+++ b/src/main/kotlin/burlridge/failover/LeaderChangeEvent.kt
@@ -1,7 +1,9 @@
 package burlridge.failover
 
+import burlridge.core.TraceEvent
+
 /** What happens around a change of leader, as told to whoever keeps traces. */
-internal sealed interface LeaderChangeEvent {
+internal sealed interface LeaderChangeEvent : TraceEvent {
     data class LivenessChanged(
         val change: LivenessChange,
     ) : LeaderChangeEvent
--- a/src/main/kotlin/burlridge/failover/MemberRequests.kt
+++ b/src/main/kotlin/burlridge/failover/MemberRequests.kt
@@ -2,7 +2,7 @@
 
 import burlridge.core.Answer
 import burlridge.core.Context
-import burlridge.core.Json
+import burlridge.json.Json
 import burlridge.peer.Peers
 
 /** The operators' requests about the members of the service: who leads, and which is to leave. */
--- a/src/main/kotlin/burlridge/failover/OutgoingHandover.kt
+++ b/src/main/kotlin/burlridge/failover/OutgoingHandover.kt
@@ -3,6 +3,7 @@
 import burlridge.core.Context
 import burlridge.leadership.Leadership
 import burlridge.leadership.TransferOutcome
+import burlridge.message.HandoverMessage
 
 /** The leader's side of a planned handover: offer, wait for the successor, come to rest, transfer. */
 internal class OutgoingHandover(
--- a/src/main/kotlin/burlridge/failover/StandbyReplica.kt
+++ b/src/main/kotlin/burlridge/failover/StandbyReplica.kt
@@ -1,6 +1,7 @@
 package burlridge.failover
 
 import burlridge.core.Context
+import burlridge.message.FailoverStatus
 import burlridge.store.Listing
 import burlridge.store.Store
 import burlridge.store.Urgency
--- a/src/main/kotlin/burlridge/fleet/Catalog.kt
+++ b/src/main/kotlin/burlridge/fleet/Catalog.kt
@@ -1,7 +1,7 @@
 package burlridge.fleet
 
-import burlridge.intake.JobSpec
-import burlridge.intake.Size
+import burlridge.job.JobSpec
+import burlridge.job.Size
 import com.fasterxml.jackson.databind.JsonNode
 
 internal data class MachineType(
--- a/src/main/kotlin/burlridge/fleet/Demand.kt
+++ b/src/main/kotlin/burlridge/fleet/Demand.kt
@@ -1,10 +1,10 @@
 package burlridge.fleet
 
+import burlridge.allocation.Job
+import burlridge.allocation.Ledger
 import burlridge.core.Context
-import burlridge.intake.JobSpec
-import burlridge.intake.Priority
-import burlridge.intent.Job
-import burlridge.intent.Ledger
+import burlridge.job.JobSpec
+import burlridge.job.Priority
 
 /** How many tasks want room now, and how many more should find room at once. */
 internal class Demand(
--- a/src/main/kotlin/burlridge/fleet/Fleet.kt
+++ b/src/main/kotlin/burlridge/fleet/Fleet.kt
@@ -1,9 +1,9 @@
 package burlridge.fleet
 
+import burlridge.allocation.Ledger
 import burlridge.core.Context
 import burlridge.core.Outcome
-import burlridge.intake.JobSpec
-import burlridge.intent.Ledger
+import burlridge.job.JobSpec
 import burlridge.leadership.Leadership
 import burlridge.store.Row
 import burlridge.store.Store
--- a/src/main/kotlin/burlridge/fleet/FreeCapacity.kt
+++ b/src/main/kotlin/burlridge/fleet/FreeCapacity.kt
@@ -1,7 +1,7 @@
 package burlridge.fleet
 
-import burlridge.intake.JobSpec
-import burlridge.intake.Size
+import burlridge.job.JobSpec
+import burlridge.job.Size
 
 /** What is free, now or soon, of one machine. */
 internal class FreeCapacity(
--- a/src/main/kotlin/burlridge/fleet/MachineList.kt
+++ b/src/main/kotlin/burlridge/fleet/MachineList.kt
@@ -1,12 +1,12 @@
 package burlridge.fleet
 
-import burlridge.core.Endpoint
-import burlridge.core.JsonStream
-import burlridge.core.eachField
-import burlridge.core.eachObject
-import burlridge.core.flagOrNull
-import burlridge.core.numberOrNull
-import burlridge.core.textOrNull
+import burlridge.json.JsonStream
+import burlridge.json.eachField
+import burlridge.json.eachObject
+import burlridge.json.flagOrNull
+import burlridge.json.numberOrNull
+import burlridge.json.textOrNull
+import burlridge.settings.Endpoint
 import com.fasterxml.jackson.core.JsonParser
 import com.fasterxml.jackson.core.JsonToken
 
--- a/src/main/kotlin/burlridge/fleet/Prices.kt
+++ b/src/main/kotlin/burlridge/fleet/Prices.kt
@@ -1,6 +1,6 @@
 package burlridge.fleet
 
-import burlridge.intake.JobSpec
+import burlridge.job.JobSpec
 
 /** What an offer costs a task. */
 internal object Prices {
--- a/src/main/kotlin/burlridge/fleet/Rentals.kt
+++ b/src/main/kotlin/burlridge/fleet/Rentals.kt
@@ -1,8 +1,8 @@
 package burlridge.fleet
 
 import burlridge.core.Context
-import burlridge.core.Json
 import burlridge.core.Outcome
+import burlridge.json.Json
 import burlridge.leadership.Leadership
 import burlridge.store.Change
 import burlridge.store.Condition
--- a/src/main/kotlin/burlridge/fleet/Returns.kt
+++ b/src/main/kotlin/burlridge/fleet/Returns.kt
@@ -1,9 +1,9 @@
 package burlridge.fleet
 
+import burlridge.allocation.Ledger
 import burlridge.core.Context
-import burlridge.core.Json
 import burlridge.core.Outcome
-import burlridge.intent.Ledger
+import burlridge.json.Json
 import burlridge.leadership.Leadership
 import burlridge.worker.DrainReason
 import burlridge.worker.Machine
--- a/src/main/kotlin/burlridge/intake/JobSpec.kt
+++ b/src/main/kotlin/burlridge/job/JobSpec.kt
@@ -1,6 +1,6 @@
-package burlridge.intake
+package burlridge.job
 
-import burlridge.core.Json
+import burlridge.json.Json
 import com.fasterxml.jackson.databind.JsonNode
 import com.google.common.hash.Hashing
 
--- a/src/main/kotlin/burlridge/core/Json.kt
+++ b/src/main/kotlin/burlridge/json/Json.kt
@@ -1,4 +1,4 @@
-package burlridge.core
+package burlridge.json
 
 import com.fasterxml.jackson.core.JsonFactory
 import com.fasterxml.jackson.core.JsonGenerator
--- a/src/main/kotlin/burlridge/leadership/Leadership.kt
+++ b/src/main/kotlin/burlridge/leadership/Leadership.kt
@@ -2,10 +2,9 @@
 
 import burlridge.core.Context
 import burlridge.core.Effect
-import burlridge.core.Json
-import burlridge.failover.FailoverStatus
-import burlridge.intake.Found
-import burlridge.peer.PeerMessage
+import burlridge.json.Json
+import burlridge.message.FailoverStatus
+import burlridge.message.PeerMessage
 import burlridge.store.Change
 import burlridge.store.Condition
 import burlridge.store.Read
--- a/src/main/kotlin/burlridge/leadership/Versions.kt
+++ b/src/main/kotlin/burlridge/leadership/Versions.kt
@@ -1,7 +1,7 @@
 package burlridge.leadership
 
 import burlridge.core.Context
-import burlridge.core.Json
+import burlridge.json.Json
 import burlridge.store.Change
 import burlridge.store.Condition
 import burlridge.store.Store
--- a/src/main/kotlin/burlridge/failover/FailoverMessage.kt
+++ b/src/main/kotlin/burlridge/message/FailoverMessage.kt
@@ -1,4 +1,4 @@
-package burlridge.failover
+package burlridge.message
 
 import kotlinx.serialization.SerialName
 import kotlinx.serialization.Serializable
--- a/src/main/kotlin/burlridge/peer/PeerMessage.kt
+++ b/src/main/kotlin/burlridge/message/PeerMessage.kt
@@ -1,7 +1,5 @@
-package burlridge.peer
+package burlridge.message
 
-import burlridge.failover.FailoverStatus
-import burlridge.failover.HandoverMessage
 import kotlinx.serialization.ExperimentalSerializationApi
 import kotlinx.serialization.SerialName
 import kotlinx.serialization.Serializable
--- a/src/main/kotlin/burlridge/net/Connection.kt
+++ b/src/main/kotlin/burlridge/net/Connection.kt
@@ -1,6 +1,6 @@
 package burlridge.net
 
-import burlridge.core.Endpoint
+import burlridge.settings.Endpoint
 import io.ktor.utils.io.ByteChannel
 import io.ktor.utils.io.ByteReadChannel
 import io.ktor.utils.io.cancel
--- a/src/main/kotlin/burlridge/net/HttpClient.kt
+++ b/src/main/kotlin/burlridge/net/HttpClient.kt
@@ -1,8 +1,8 @@
 package burlridge.net
 
 import burlridge.core.Effect
-import burlridge.core.Endpoint
 import burlridge.core.Outcome
+import burlridge.settings.Endpoint
 import io.ktor.http.cio.parseResponse
 import kotlinx.coroutines.CancellationException
 import kotlinx.coroutines.CoroutineScope
--- a/src/main/kotlin/burlridge/net/HttpServer.kt
+++ b/src/main/kotlin/burlridge/net/HttpServer.kt
@@ -2,8 +2,8 @@
 
 import burlridge.core.Answer
 import burlridge.core.Effect
-import burlridge.core.Endpoint
 import burlridge.core.Input
+import burlridge.settings.Endpoint
 import io.ktor.http.cio.Request
 import io.ktor.http.cio.parseRequest
 import kotlinx.coroutines.CompletableDeferred
--- a/src/main/kotlin/burlridge/peer/PeerLinks.kt
+++ b/src/main/kotlin/burlridge/peer/PeerLinks.kt
@@ -1,10 +1,11 @@
 package burlridge.peer
 
 import burlridge.core.Effect
-import burlridge.core.Endpoint
-import burlridge.core.Settings
+import burlridge.message.PeerMessage
 import burlridge.net.Connection
 import burlridge.net.EventLoop
+import burlridge.settings.Endpoint
+import burlridge.settings.Settings
 import io.ktor.utils.io.readByteArray
 import io.ktor.utils.io.readInt
 import kotlinx.coroutines.CancellationException
--- a/src/main/kotlin/burlridge/peer/Peers.kt
+++ b/src/main/kotlin/burlridge/peer/Peers.kt
@@ -3,6 +3,7 @@
 import burlridge.core.Answer
 import burlridge.core.Context
 import burlridge.core.Effect
+import burlridge.message.PeerMessage
 import it.unimi.dsi.fastutil.longs.Long2ObjectOpenHashMap
 
 /** Links between the controllers: statuses, requests passed to the leader, and news of accepted jobs. */
--- a/src/main/kotlin/burlridge/placement/Fit.kt
+++ b/src/main/kotlin/burlridge/placement/Fit.kt
@@ -2,8 +2,8 @@
 
 import burlridge.core.Context
 import burlridge.fleet.Fleet
-import burlridge.intake.JobSpec
-import burlridge.intake.Size
+import burlridge.job.JobSpec
+import burlridge.job.Size
 import burlridge.worker.Machine
 
 /** Best fit over a few sampled machines. */
--- a/src/main/kotlin/burlridge/placement/GangPlacement.kt
+++ b/src/main/kotlin/burlridge/placement/GangPlacement.kt
@@ -1,12 +1,12 @@
 package burlridge.placement
 
+import burlridge.allocation.Charge
+import burlridge.allocation.Claim
+import burlridge.allocation.Gangs
+import burlridge.allocation.Job
 import burlridge.core.Context
 import burlridge.fleet.Fleet
-import burlridge.intake.JobSpec
-import burlridge.intent.Charge
-import burlridge.intent.Claim
-import burlridge.intent.Gangs
-import burlridge.intent.Job
+import burlridge.job.JobSpec
 import burlridge.worker.Workers
 
 /**
--- a/src/main/kotlin/burlridge/placement/MoveTargets.kt
+++ b/src/main/kotlin/burlridge/placement/MoveTargets.kt
@@ -1,7 +1,7 @@
 package burlridge.placement
 
-import burlridge.intent.Claim
-import burlridge.intent.Job
+import burlridge.allocation.Claim
+import burlridge.allocation.Job
 import burlridge.worker.Machine
 
 /** Where running tasks could go besides where they are; each one found takes its room from those asked for later. */
--- a/src/main/kotlin/burlridge/placement/Placement.kt
+++ b/src/main/kotlin/burlridge/placement/Placement.kt
@@ -1,14 +1,14 @@
 package burlridge.placement
 
+import burlridge.allocation.Charge
+import burlridge.allocation.Claim
+import burlridge.allocation.Job
+import burlridge.allocation.Ledger
 import burlridge.core.Context
 import burlridge.fleet.Fleet
 import burlridge.fleet.Offer
-import burlridge.intake.JobSpec
-import burlridge.intake.Size
-import burlridge.intent.Charge
-import burlridge.intent.Claim
-import burlridge.intent.Job
-import burlridge.intent.Ledger
+import burlridge.job.JobSpec
+import burlridge.job.Size
 import burlridge.worker.Machine
 import burlridge.worker.Workers
 
--- a/src/main/kotlin/burlridge/placement/PlacementAdvice.kt
+++ b/src/main/kotlin/burlridge/placement/PlacementAdvice.kt
@@ -1,7 +1,7 @@
 package burlridge.placement
 
-import burlridge.intake.JobSpec
-import burlridge.intent.Job
+import burlridge.allocation.Job
+import burlridge.job.JobSpec
 import burlridge.worker.Machine
 
 /** Room that is kept on a machine for a task that is to start there once it is gone from where it was. */
--- a/src/main/kotlin/burlridge/placement/PlacementPlan.kt
+++ b/src/main/kotlin/burlridge/placement/PlacementPlan.kt
@@ -1,9 +1,9 @@
 package burlridge.placement
 
-import burlridge.intake.JobSpec
-import burlridge.intake.Size
-import burlridge.intent.Claim
-import burlridge.intent.Job
+import burlridge.allocation.Claim
+import burlridge.allocation.Job
+import burlridge.job.JobSpec
+import burlridge.job.Size
 import burlridge.worker.Machine
 
 /** A machine with room, and what of it is free. */
--- a/src/main/kotlin/burlridge/balance/BalanceSettings.kt
+++ b/src/main/kotlin/burlridge/settings/BalanceSettings.kt
@@ -1,8 +1,4 @@
-package burlridge.balance
-
-import burlridge.core.IniSection
-import burlridge.core.Settings
-import burlridge.core.SettingsError
+package burlridge.settings
 
 /** What may be done to a running task of a class so that it goes on elsewhere. */
 internal enum class MovePermission(
--- a/src/main/kotlin/burlridge/failover/FailoverSettings.kt
+++ b/src/main/kotlin/burlridge/settings/FailoverSettings.kt
@@ -1,7 +1,4 @@
-package burlridge.failover
-
-import burlridge.core.IniSection
-import burlridge.core.Settings
+package burlridge.settings
 
 /**
  * The operators' settings of `[failover]`; without that section none of this package is loaded. Each figure is a ratio to one of
--- a/src/main/kotlin/burlridge/core/IniSection.kt
+++ b/src/main/kotlin/burlridge/settings/IniSection.kt
@@ -1,4 +1,4 @@
-package burlridge.core
+package burlridge.settings
 
 import org.ini4j.Ini
 import org.ini4j.InvalidFileFormatException
--- a/src/main/kotlin/burlridge/core/OperatorSettings.kt
+++ b/src/main/kotlin/burlridge/settings/OperatorSettings.kt
@@ -1,7 +1,4 @@
-package burlridge.core
-
-import burlridge.balance.BalanceSettings
-import burlridge.failover.FailoverSettings
+package burlridge.settings
 
 /**
  * The operators' own settings, an INI file beside the platform's. Every figure is a ratio to one of the platform's, so that
--- a/src/main/kotlin/burlridge/core/Settings.kt
+++ b/src/main/kotlin/burlridge/settings/Settings.kt
@@ -1,5 +1,6 @@
-package burlridge.core
+package burlridge.settings
 
+import burlridge.json.Json
 import com.fasterxml.jackson.core.JsonProcessingException
 import com.fasterxml.jackson.databind.JsonNode
 import java.io.IOException
--- a/src/main/kotlin/burlridge/store/Store.kt
+++ b/src/main/kotlin/burlridge/store/Store.kt
@@ -1,8 +1,8 @@
 package burlridge.store
 
 import burlridge.core.Context
-import burlridge.core.Json
 import burlridge.core.Outcome
+import burlridge.json.Json
 import com.fasterxml.jackson.databind.JsonNode
 import com.google.common.base.Utf8
 
--- a/src/main/kotlin/burlridge/worker/Commands.kt
+++ b/src/main/kotlin/burlridge/worker/Commands.kt
@@ -1,14 +1,14 @@
 package burlridge.worker
 
+import burlridge.allocation.Claim
+import burlridge.allocation.Ledger
+import burlridge.allocation.Phase
+import burlridge.allocation.Standing
 import burlridge.core.Context
-import burlridge.core.Endpoint
 import burlridge.core.Outcome
-import burlridge.intent.Claim
-import burlridge.intent.Ledger
-import burlridge.intent.Phase
-import burlridge.intent.Standing
 import burlridge.leadership.Leadership
 import burlridge.peer.Peers
+import burlridge.settings.Endpoint
 
 /** Commands straight to the workers, and what becomes of them. */
 internal class Commands(
--- a/src/main/kotlin/burlridge/worker/Machine.kt
+++ b/src/main/kotlin/burlridge/worker/Machine.kt
@@ -1,6 +1,6 @@
 package burlridge.worker
 
-import burlridge.core.Endpoint
+import burlridge.settings.Endpoint
 
 /** Why a machine is being emptied. */
 internal enum class DrainReason {
--- a/src/main/kotlin/burlridge/worker/MachineDrain.kt
+++ b/src/main/kotlin/burlridge/worker/MachineDrain.kt
@@ -1,10 +1,10 @@
 package burlridge.worker
 
+import burlridge.allocation.Gangs
+import burlridge.allocation.Job
+import burlridge.allocation.Ledger
+import burlridge.allocation.Phase
 import burlridge.core.Context
-import burlridge.intent.Gangs
-import burlridge.intent.Job
-import burlridge.intent.Ledger
-import burlridge.intent.Phase
 
 /** Tasks are taken off machines that are slow or that the cloud takes back. */
 internal class MachineDrain(
--- a/src/main/kotlin/burlridge/worker/Relay.kt
+++ b/src/main/kotlin/burlridge/worker/Relay.kt
@@ -2,10 +2,10 @@
 
 import burlridge.core.Answer
 import burlridge.core.Context
-import burlridge.core.Endpoint
-import burlridge.core.Json
 import burlridge.core.Outcome
+import burlridge.json.Json
 import burlridge.peer.Peers
+import burlridge.settings.Endpoint
 
 /**
  * What a member that does not lead does with reports. A worker is sent to the leader; one that comes straight back cannot
--- a/src/main/kotlin/burlridge/worker/ReportReconciler.kt
+++ b/src/main/kotlin/burlridge/worker/ReportReconciler.kt
@@ -1,8 +1,8 @@
 package burlridge.worker
 
-import burlridge.intent.Claim
-import burlridge.intent.Ledger
-import burlridge.intent.Standing
+import burlridge.allocation.Claim
+import burlridge.allocation.Ledger
+import burlridge.allocation.Standing
 
 /** Compares what a machine reports with what is claimed on it, and says what its worker has to be told. */
 internal class ReportReconciler(
--- a/src/main/kotlin/burlridge/worker/Slowness.kt
+++ b/src/main/kotlin/burlridge/worker/Slowness.kt
@@ -1,8 +1,8 @@
 package burlridge.worker
 
-import burlridge.intent.Claim
-import burlridge.intent.Ledger
-import burlridge.intent.Phase
+import burlridge.allocation.Claim
+import burlridge.allocation.Ledger
+import burlridge.allocation.Phase
 
 /** Compares how long tasks run on a machine with others of the same jobs. */
 internal class Slowness(
--- a/src/main/kotlin/burlridge/worker/TaskOutcomes.kt
+++ b/src/main/kotlin/burlridge/worker/TaskOutcomes.kt
@@ -1,11 +1,11 @@
 package burlridge.worker
 
+import burlridge.allocation.Claim
+import burlridge.allocation.Job
+import burlridge.allocation.Ledger
+import burlridge.allocation.Phase
 import burlridge.core.Context
-import burlridge.intake.JobSpec
-import burlridge.intent.Claim
-import burlridge.intent.Job
-import burlridge.intent.Ledger
-import burlridge.intent.Phase
+import burlridge.job.JobSpec
 
 /** What a report says of a claimed task, taken over into its claim and its job. */
 internal class TaskOutcomes(
--- a/src/main/kotlin/burlridge/worker/Workers.kt
+++ b/src/main/kotlin/burlridge/worker/Workers.kt
@@ -1,11 +1,11 @@
 package burlridge.worker
 
+import burlridge.allocation.Claim
+import burlridge.allocation.Job
+import burlridge.allocation.Ledger
+import burlridge.allocation.Phase
 import burlridge.core.Answer
 import burlridge.core.Context
-import burlridge.intent.Claim
-import burlridge.intent.Job
-import burlridge.intent.Ledger
-import burlridge.intent.Phase
 import burlridge.leadership.Leadership
 import burlridge.peer.Peers
 import it.unimi.dsi.fastutil.objects.Object2IntOpenHashMap
--- a/src/test/kotlin/burlridge/intent/LedgerTest.kt
+++ b/src/test/kotlin/burlridge/allocation/LedgerTest.kt
@@ -1,10 +1,10 @@
-package burlridge.intent
+package burlridge.allocation
 
 import burlridge.app.Rehearsal
 import burlridge.core.Context
-import burlridge.core.Json
-import burlridge.core.Settings
+import burlridge.json.Json
 import burlridge.leadership.Leadership
+import burlridge.settings.Settings
 import burlridge.store.Row
 import burlridge.store.Store
 import org.junit.jupiter.api.Assertions.assertEquals
--- a/src/test/kotlin/burlridge/intent/LimitsTest.kt
+++ b/src/test/kotlin/burlridge/allocation/LimitsTest.kt
@@ -1,15 +1,15 @@
-package burlridge.intent
+package burlridge.allocation
 
 import burlridge.app.Rehearsal
 import burlridge.core.Context
 import burlridge.core.Effect
 import burlridge.core.Input
-import burlridge.core.Json
 import burlridge.core.Level
 import burlridge.core.Outcome
-import burlridge.core.Settings
-import burlridge.intake.JobSpec
+import burlridge.job.JobSpec
+import burlridge.json.Json
 import burlridge.leadership.Leadership
+import burlridge.settings.Settings
 import burlridge.sim.Clock
 import burlridge.sim.StateService
 import burlridge.store.Row
@@ -168,6 +168,6 @@
     }
 
     private object JobSpecLimits {
-        const val TASKS = burlridge.intake.JobSpec.MOST_TASKS
+        const val TASKS = JobSpec.MOST_TASKS
     }
 }
--- a/src/test/kotlin/burlridge/intent/ProductionTest.kt
+++ b/src/test/kotlin/burlridge/allocation/ProductionTest.kt
@@ -1,10 +1,10 @@
-package burlridge.intent
+package burlridge.allocation
 
 import burlridge.balance.Drain
 import burlridge.balance.MoveBatch
-import burlridge.core.Json
-import burlridge.intake.JobSpec
-import burlridge.peer.PeerMessage
+import burlridge.job.JobSpec
+import burlridge.json.Json
+import burlridge.message.PeerMessage
 import burlridge.store.Row
 import org.junit.jupiter.api.Assertions.assertArrayEquals
 import org.junit.jupiter.api.Assertions.assertEquals
--- a/src/test/kotlin/burlridge/app/LeaderChangeTracerTest.kt
+++ b/src/test/kotlin/burlridge/app/LeaderChangeTracerTest.kt
@@ -1,10 +1,10 @@
 package burlridge.app
 
 import burlridge.core.Effect
-import burlridge.core.Json
 import burlridge.failover.LeaderChangeEvent
 import burlridge.failover.Liveness
 import burlridge.failover.LivenessChange
+import burlridge.json.Json
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Assertions.assertTrue
 import org.junit.jupiter.api.Test
--- a/src/test/kotlin/burlridge/app/WarmUpTest.kt
+++ b/src/test/kotlin/burlridge/app/WarmUpTest.kt
@@ -1,6 +1,6 @@
 package burlridge.app
 
-import burlridge.core.Settings
+import burlridge.settings.Settings
 import org.junit.jupiter.api.Assertions.assertTrue
 import org.junit.jupiter.api.Test
 
--- a/src/test/kotlin/burlridge/balance/BalanceInputTest.kt
+++ b/src/test/kotlin/burlridge/balance/BalanceInputTest.kt
@@ -4,10 +4,12 @@
 import burlridge.app.CommandLine
 import burlridge.app.MachineTarget
 import burlridge.app.SettingsFiles
-import burlridge.core.Endpoint
-import burlridge.core.Json
-import burlridge.core.OperatorSettings
-import burlridge.core.SettingsError
+import burlridge.json.Json
+import burlridge.settings.BalanceSettings
+import burlridge.settings.Endpoint
+import burlridge.settings.MovePermission
+import burlridge.settings.OperatorSettings
+import burlridge.settings.SettingsError
 import burlridge.sim.World
 import burlridge.store.Row
 import burlridge.worker.Machine
--- a/src/test/kotlin/burlridge/balance/BalanceMeasurement.kt
+++ b/src/test/kotlin/burlridge/balance/BalanceMeasurement.kt
@@ -1,7 +1,9 @@
 package burlridge.balance
 
-import burlridge.core.OperatorSettings
-import burlridge.intake.JobSpec
+import burlridge.job.JobSpec
+import burlridge.settings.BalanceSettings
+import burlridge.settings.MovePermission
+import burlridge.settings.OperatorSettings
 import burlridge.sim.Times
 import burlridge.sim.TypeSpec
 import burlridge.sim.World
--- a/src/test/kotlin/burlridge/balance/BalanceScheduleTest.kt
+++ b/src/test/kotlin/burlridge/balance/BalanceScheduleTest.kt
@@ -1,6 +1,8 @@
 package burlridge.balance
 
-import burlridge.intake.JobSpec
+import burlridge.job.JobSpec
+import burlridge.settings.BalanceSettings
+import burlridge.settings.MovePermission
 import burlridge.sim.World
 import burlridge.sim.gang
 import burlridge.sim.job
--- a/src/test/kotlin/burlridge/balance/DrainTest.kt
+++ b/src/test/kotlin/burlridge/balance/DrainTest.kt
@@ -1,6 +1,8 @@
 package burlridge.balance
 
-import burlridge.core.OperatorSettings
+import burlridge.settings.BalanceSettings
+import burlridge.settings.MovePermission
+import burlridge.settings.OperatorSettings
 import burlridge.sim.World
 import burlridge.sim.job
 import burlridge.sim.submit
--- a/src/test/kotlin/burlridge/balance/MoveTest.kt
+++ b/src/test/kotlin/burlridge/balance/MoveTest.kt
@@ -1,8 +1,9 @@
 package burlridge.balance
 
 import burlridge.core.Effect
-import burlridge.core.Json
-import burlridge.intake.JobSpec
+import burlridge.job.JobSpec
+import burlridge.json.Json
+import burlridge.settings.MovePermission
 import burlridge.sim.World
 import burlridge.sim.abort
 import burlridge.sim.gang
--- a/src/test/kotlin/burlridge/balance/Operators.kt
+++ b/src/test/kotlin/burlridge/balance/Operators.kt
@@ -1,9 +1,10 @@
 package burlridge.balance
 
-import burlridge.core.Json
-import burlridge.core.OperatorSettings
-import burlridge.failover.FailoverSettings
-import burlridge.intake.JobSpec
+import burlridge.job.JobSpec
+import burlridge.json.Json
+import burlridge.settings.BalanceSettings
+import burlridge.settings.FailoverSettings
+import burlridge.settings.OperatorSettings
 import burlridge.sim.History
 import burlridge.sim.TypeSpec
 import burlridge.sim.World
--- a/src/test/kotlin/burlridge/balance/ReliefTest.kt
+++ b/src/test/kotlin/burlridge/balance/ReliefTest.kt
@@ -1,7 +1,8 @@
 package burlridge.balance
 
-import burlridge.intake.JobSpec
-import burlridge.intent.Job
+import burlridge.allocation.Job
+import burlridge.job.JobSpec
+import burlridge.settings.BalanceSettings
 import burlridge.sim.TypeSpec
 import burlridge.sim.World
 import burlridge.sim.job
--- a/src/test/kotlin/burlridge/balance/SlowStartTest.kt
+++ b/src/test/kotlin/burlridge/balance/SlowStartTest.kt
@@ -1,6 +1,7 @@
 package burlridge.balance
 
-import burlridge.core.OperatorSettings
+import burlridge.settings.BalanceSettings
+import burlridge.settings.OperatorSettings
 import burlridge.sim.TypeSpec
 import burlridge.sim.World
 import burlridge.sim.job
--- a/src/test/kotlin/burlridge/failover/FailoverInputTest.kt
+++ b/src/test/kotlin/burlridge/failover/FailoverInputTest.kt
@@ -3,10 +3,13 @@
 import burlridge.app.CommandLine
 import burlridge.app.FailoverText
 import burlridge.app.SettingsFiles
-import burlridge.core.Json
-import burlridge.core.OperatorSettings
-import burlridge.core.SettingsError
-import burlridge.peer.PeerMessage
+import burlridge.json.Json
+import burlridge.message.FailoverStatus
+import burlridge.message.HandoverMessage
+import burlridge.message.PeerMessage
+import burlridge.settings.FailoverSettings
+import burlridge.settings.OperatorSettings
+import burlridge.settings.SettingsError
 import burlridge.sim.World
 import com.fasterxml.jackson.databind.JsonNode
 import org.junit.jupiter.api.Assertions.assertEquals
--- a/src/test/kotlin/burlridge/failover/HandoverScheduleTest.kt
+++ b/src/test/kotlin/burlridge/failover/HandoverScheduleTest.kt
@@ -1,6 +1,7 @@
 package burlridge.failover
 
-import burlridge.core.OperatorSettings
+import burlridge.settings.FailoverSettings
+import burlridge.settings.OperatorSettings
 import burlridge.sim.World
 import burlridge.sim.job
 import burlridge.sim.submit
--- a/src/test/kotlin/burlridge/failover/HandoverTest.kt
+++ b/src/test/kotlin/burlridge/failover/HandoverTest.kt
@@ -1,8 +1,9 @@
 package burlridge.failover
 
-import burlridge.core.Json
-import burlridge.core.OperatorSettings
-import burlridge.intake.JobSpec
+import burlridge.job.JobSpec
+import burlridge.json.Json
+import burlridge.settings.FailoverSettings
+import burlridge.settings.OperatorSettings
 import burlridge.sim.World
 import burlridge.sim.abort
 import burlridge.sim.job
--- a/src/test/kotlin/burlridge/failover/StandbyReplicaTest.kt
+++ b/src/test/kotlin/burlridge/failover/StandbyReplicaTest.kt
@@ -1,6 +1,6 @@
 package burlridge.failover
 
-import burlridge.core.Json
+import burlridge.json.Json
 import burlridge.store.Listing
 import burlridge.store.Row
 import org.junit.jupiter.api.Assertions.assertEquals
--- a/src/test/kotlin/burlridge/intake/JobSpecTest.kt
+++ b/src/test/kotlin/burlridge/job/JobSpecTest.kt
@@ -1,6 +1,6 @@
-package burlridge.intake
+package burlridge.job
 
-import burlridge.core.Json
+import burlridge.json.Json
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Assertions.assertNotEquals
 import org.junit.jupiter.api.Assertions.assertThrows
--- a/src/test/kotlin/burlridge/loopback/ControllerProcess.kt
+++ b/src/test/kotlin/burlridge/loopback/ControllerProcess.kt
@@ -1,6 +1,6 @@
 package burlridge.loopback
 
-import burlridge.core.Endpoint
+import burlridge.settings.Endpoint
 import java.io.File
 import java.io.IOException
 import java.util.concurrent.ConcurrentLinkedQueue
--- a/src/test/kotlin/burlridge/loopback/FailoverMeasurement.kt
+++ b/src/test/kotlin/burlridge/loopback/FailoverMeasurement.kt
@@ -1,6 +1,6 @@
 package burlridge.loopback
 
-import burlridge.core.Json
+import burlridge.json.Json
 import burlridge.sim.Times
 import java.io.File
 import java.nio.file.Files
--- a/src/test/kotlin/burlridge/loopback/LoopbackWorld.kt
+++ b/src/test/kotlin/burlridge/loopback/LoopbackWorld.kt
@@ -1,16 +1,17 @@
 package burlridge.loopback
 
 import burlridge.core.Effect
-import burlridge.core.Endpoint
-import burlridge.core.Json
+import burlridge.core.Input
 import burlridge.core.Outcome
-import burlridge.intake.JobSpec
-import burlridge.intake.Priority
-import burlridge.intake.Size
+import burlridge.job.JobSpec
+import burlridge.job.Priority
+import burlridge.job.Size
+import burlridge.json.Json
 import burlridge.net.ConnectionBudget
 import burlridge.net.EventLoop
 import burlridge.net.HttpClient
 import burlridge.net.HttpServer
+import burlridge.settings.Endpoint
 import burlridge.sim.Clock
 import burlridge.sim.CloudService
 import burlridge.sim.Environment
@@ -150,7 +151,7 @@
 
     private fun serve(
         at: Endpoint,
-        handle: (burlridge.core.Input.Request, (Int, String) -> Unit) -> Unit,
+        handle: (Input.Request, (Int, String) -> Unit) -> Unit,
     ) {
         lateinit var server: HttpServer
         server =
--- a/src/test/kotlin/burlridge/net/ClientConnectionsTest.kt
+++ b/src/test/kotlin/burlridge/net/ClientConnectionsTest.kt
@@ -2,8 +2,8 @@
 
 import burlridge.core.Answer
 import burlridge.core.Effect
-import burlridge.core.Endpoint
 import burlridge.core.Outcome
+import burlridge.settings.Endpoint
 import kotlinx.coroutines.CoroutineScope
 import kotlinx.coroutines.SupervisorJob
 import kotlinx.coroutines.async
--- a/src/test/kotlin/burlridge/net/ConnectionTest.kt
+++ b/src/test/kotlin/burlridge/net/ConnectionTest.kt
@@ -2,8 +2,8 @@
 
 import burlridge.core.Answer
 import burlridge.core.Effect
-import burlridge.core.Endpoint
 import burlridge.core.Input
+import burlridge.settings.Endpoint
 import kotlinx.coroutines.CoroutineScope
 import kotlinx.coroutines.SupervisorJob
 import org.junit.jupiter.api.AfterEach
--- a/src/test/kotlin/burlridge/net/EventLoopTest.kt
+++ b/src/test/kotlin/burlridge/net/EventLoopTest.kt
@@ -1,8 +1,8 @@
 package burlridge.net
 
 import burlridge.core.Effect
-import burlridge.core.Endpoint
 import burlridge.core.Outcome
+import burlridge.settings.Endpoint
 import kotlinx.coroutines.CoroutineScope
 import kotlinx.coroutines.delay
 import kotlinx.coroutines.launch
--- a/src/test/kotlin/burlridge/core/SettingsTest.kt
+++ b/src/test/kotlin/burlridge/settings/SettingsTest.kt
@@ -1,4 +1,4 @@
-package burlridge.core
+package burlridge.settings
 
 import burlridge.app.Rehearsal
 import org.junit.jupiter.api.Assertions.assertEquals
--- a/src/test/kotlin/burlridge/sim/CloudService.kt
+++ b/src/test/kotlin/burlridge/sim/CloudService.kt
@@ -1,6 +1,6 @@
 package burlridge.sim
 
-import burlridge.core.Json
+import burlridge.json.Json
 import com.fasterxml.jackson.databind.JsonNode
 
 /** A stand-in for the cloud: lists lag and may go backwards, rentals are remembered by name. */
--- a/src/test/kotlin/burlridge/sim/Environment.kt
+++ b/src/test/kotlin/burlridge/sim/Environment.kt
@@ -1,6 +1,6 @@
 package burlridge.sim
 
-import burlridge.intake.JobSpec
+import burlridge.job.JobSpec
 import kotlin.random.Random
 
 /** What the stand-ins for workers, gangs and the cloud need of the world they live in: a simulated one, or real processes on loopback. */
--- a/src/test/kotlin/burlridge/sim/Rules.kt
+++ b/src/test/kotlin/burlridge/sim/Rules.kt
@@ -1,7 +1,7 @@
 package burlridge.sim
 
-import burlridge.intake.JobSpec
-import burlridge.intake.Size
+import burlridge.job.JobSpec
+import burlridge.job.Size
 
 /** Every rule of the protocol, checked against what really happened on the stand-ins. */
 internal class Rules(
--- a/src/test/kotlin/burlridge/sim/StateService.kt
+++ b/src/test/kotlin/burlridge/sim/StateService.kt
@@ -1,6 +1,6 @@
 package burlridge.sim
 
-import burlridge.core.Json
+import burlridge.json.Json
 import com.fasterxml.jackson.databind.JsonNode
 import java.util.TreeMap
 
--- a/src/test/kotlin/burlridge/sim/SubmissionTest.kt
+++ b/src/test/kotlin/burlridge/sim/SubmissionTest.kt
@@ -1,6 +1,6 @@
 package burlridge.sim
 
-import burlridge.intake.JobSpec
+import burlridge.job.JobSpec
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Test
 
--- a/src/test/kotlin/burlridge/sim/Users.kt
+++ b/src/test/kotlin/burlridge/sim/Users.kt
@@ -1,9 +1,9 @@
 package burlridge.sim
 
-import burlridge.core.Json
-import burlridge.intake.JobSpec
-import burlridge.intake.Priority
-import burlridge.intake.Size
+import burlridge.job.JobSpec
+import burlridge.job.Priority
+import burlridge.job.Size
+import burlridge.json.Json
 
 // The users of a simulated world: what they submit, ask and cancel. Every answer goes to the checker of rules.
 
--- a/src/test/kotlin/burlridge/sim/Worker.kt
+++ b/src/test/kotlin/burlridge/sim/Worker.kt
@@ -1,7 +1,7 @@
 package burlridge.sim
 
-import burlridge.core.Json
-import burlridge.intake.JobSpec
+import burlridge.job.JobSpec
+import burlridge.json.Json
 import com.fasterxml.jackson.databind.JsonNode
 
 /** A stand-in for a worker: reports, executes commands, keeps its lease. */
@@ -86,7 +86,7 @@
     fun has(taskName: String): Boolean = tasks.values.any { it.taskName == taskName && it.standing != "exited" }
 
     /** Whether [spec] might start here now. */
-    fun hasRoomFor(spec: burlridge.intake.JobSpec): Boolean {
+    fun hasRoomFor(spec: JobSpec): Boolean {
         val active = tasks.values.filter { it.standing != "exited" }
         val used =
             active.sumOf { t ->
--- a/src/test/kotlin/burlridge/sim/World.kt
+++ b/src/test/kotlin/burlridge/sim/World.kt
@@ -3,14 +3,14 @@
 import burlridge.app.Controller
 import burlridge.core.Answer
 import burlridge.core.Effect
-import burlridge.core.Endpoint
 import burlridge.core.Input
-import burlridge.core.Json
-import burlridge.core.OperatorSettings
 import burlridge.core.Outcome
-import burlridge.core.Settings
-import burlridge.intake.JobSpec
-import burlridge.peer.PeerMessage
+import burlridge.job.JobSpec
+import burlridge.json.Json
+import burlridge.message.PeerMessage
+import burlridge.settings.Endpoint
+import burlridge.settings.OperatorSettings
+import burlridge.settings.Settings
 import kotlin.random.Random
 
 /** The workers' times of a deployment. */
--- a/src/test/kotlin/burlridge/transcript/Transcript.kt
+++ b/src/test/kotlin/burlridge/transcript/Transcript.kt
@@ -1,8 +1,8 @@
 package burlridge.transcript
 
 import burlridge.core.Effect
-import burlridge.failover.HandoverMessage
-import burlridge.peer.PeerMessage
+import burlridge.message.HandoverMessage
+import burlridge.message.PeerMessage
 import burlridge.sim.World
 import java.security.MessageDigest
 import java.util.HexFormat
--- a/src/test/kotlin/burlridge/transcript/TranscriptSchedules.kt
+++ b/src/test/kotlin/burlridge/transcript/TranscriptSchedules.kt
@@ -6,9 +6,9 @@
 import burlridge.balance.savingJob
 import burlridge.balance.submitAll
 import burlridge.balance.undrainZone
-import burlridge.core.OperatorSettings
-import burlridge.failover.FailoverSettings
-import burlridge.intake.JobSpec
+import burlridge.job.JobSpec
+import burlridge.settings.FailoverSettings
+import burlridge.settings.OperatorSettings
 import burlridge.sim.Troubles
 import burlridge.sim.TypeSpec
 import burlridge.sim.World
--- a/src/test/kotlin/burlridge/worker/WorkerReportTest.kt
+++ b/src/test/kotlin/burlridge/worker/WorkerReportTest.kt
@@ -1,6 +1,6 @@
 package burlridge.worker
 
-import burlridge.core.Endpoint
+import burlridge.settings.Endpoint
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Assertions.assertNull
 import org.junit.jupiter.api.Test
