--- a/src/main/kotlin/burlridge/admin/AdminRequests.kt
+++ b/src/main/kotlin/burlridge/admin/AdminRequests.kt
@@ -1,7 +1,7 @@
 package burlridge.admin
 
 import burlridge.balance.MachineRequests
-import burlridge.core.Answer
+import burlridge.core.HttpResponse
 import burlridge.failover.MemberRequests
 
 /** The operators' requests, on each member's own address; a part that is switched off knows no path. */
@@ -15,12 +15,12 @@
         body: String,
         /** Whether another member took the request and passed it on. */
         passedOn: Boolean,
-        then: (Answer) -> Unit,
+        onResult: (HttpResponse) -> Unit,
     ) {
         when {
-            members != null && MemberRequests.serves(path) -> members.handle(method, path, then)
-            machines != null && MachineRequests.serves(path) -> machines.handle(method, path, body, passedOn, then)
-            else -> then(Answer.error(NOT_FOUND, "no such path"))
+            members != null && MemberRequests.serves(path) -> members.handle(method, path, onResult)
+            machines != null && MachineRequests.serves(path) -> machines.handle(method, path, body, passedOn, onResult)
+            else -> onResult(HttpResponse.error(NOT_FOUND, "no such path"))
         }
     }
 
--- a/src/main/kotlin/burlridge/allocation/Claims.kt
+++ b/src/main/kotlin/burlridge/allocation/Claims.kt
@@ -1,21 +1,21 @@
 package burlridge.allocation
 
-import burlridge.core.Context
+import burlridge.core.StepContext
 import burlridge.job.Size
 import burlridge.leadership.Leadership
 import burlridge.store.Change
 import burlridge.store.Condition
-import burlridge.store.Read
+import burlridge.store.ReadResult
+import burlridge.store.RequestPriority
 import burlridge.store.Row
-import burlridge.store.Store
+import burlridge.store.StoreClient
 import burlridge.store.Transaction
 import burlridge.store.TransactionResult
-import burlridge.store.Urgency
 
 /** The claims of a leader, what they take of machines and limits, and the rows that they stand in. */
 internal class Claims(
-    private val context: Context,
-    private val store: Store,
+    private val context: StepContext,
+    private val store: StoreClient,
     private val leadership: Leadership,
     private val jobs: Map<String, Job>,
 ) {
@@ -57,16 +57,16 @@
         claiming = 0
         val limits = context.settings.store
         mostStarts = (limits.valueBytes / BYTES_A_START).coerceAtLeast(1)
-        mostJobs = minOf(limits.changesPerTransaction * Store.CONDITIONS_AN_OP - 2, limits.valueBytes / BYTES_A_JOB).coerceAtLeast(1)
+        mostJobs = minOf(limits.changesPerTransaction * StoreClient.CONDITIONS_AN_OP - 2, limits.valueBytes / BYTES_A_JOB).coerceAtLeast(1)
     }
 
     /**
-     * Reserves [claims] and writes their row; [then] is told which may now be sent. Those of a gang may once all of its attempt are
+     * Reserves [claims] and writes their row; [onResult] is told which may now be sent. Those of a gang may once all of its attempt are
      * durable, in however many rows.
      */
     fun claim(
         claims: List<Claim>,
-        then: (List<Claim>) -> Unit,
+        onResult: (List<Claim>) -> Unit,
     ) {
         val number = "${leadership.term}-${nextRound++}"
         val before = spare.removeLastOrNull()
@@ -77,32 +77,36 @@
             it.claimedAt = context.now
             hold(it)
         }
-        val conditions = claims.map { it.job }.distinct().mapNotNull { id -> jobs[id]?.let { Condition("live/$id", it.stamp) } }
+        val conditions = claims.map { it.job }.distinct().mapNotNull { id -> jobs[id]?.let { Condition("live/$id", it.modRevision) } }
         val key = "round/${round.slot}"
-        val txn =
+        val transaction =
             Transaction(
-                listOf(leadership.condition(), Condition(key, before?.stamp ?: 0)) + conditions,
+                listOf(leadership.condition(), Condition(key, before?.modRevision ?: 0)) + conditions,
                 listOf(Change.Put(key, encode(round, leadership.term, claimedUntilMs()))),
             )
         round.writing = true
         claiming++
         context.count("intent.rows")
         context.count("intent.starts", claims.size)
-        store.ensure(txn, Urgency.CLAIM, leadership.stillMine(leadership.term)) { result -> claimed(round, before, result, then) }
+        store.commitUntilKnown(
+            transaction,
+            RequestPriority.CLAIM,
+            leadership.stillMine(leadership.term),
+        ) { result -> claimed(round, before, result, onResult) }
     }
 
     private fun claimed(
         round: Round,
         before: Round?,
         result: TransactionResult,
-        then: (List<Claim>) -> Unit,
+        onResult: (List<Claim>) -> Unit,
     ) {
         when (result) {
-            is TransactionResult.Done -> {
-                round.stamp = result.revision
+            is TransactionResult.Committed -> {
+                round.modRevision = result.revision
                 round.writing = false
                 claiming--
-                then(granted(round))
+                onResult(granted(round))
             }
 
             is TransactionResult.Conflict -> {
@@ -113,7 +117,7 @@
 
                     // An earlier copy of this very transaction was applied: only we write this key.
                     "round/${round.slot}" in result.failed -> {
-                        readRound(round, before, then)
+                        readRound(round, before, onResult)
                     }
 
                     // A job in it is over, so nothing was claimed.
@@ -166,19 +170,19 @@
     private fun readRound(
         round: Round,
         before: Round?,
-        then: (List<Claim>) -> Unit,
+        onResult: (List<Claim>) -> Unit,
     ) {
         val term = leadership.term
-        store.get("round/${round.slot}", Urgency.CLAIM) { read ->
+        store.get("round/${round.slot}", RequestPriority.CLAIM) { read ->
             if (!leadership.stillMine(term)()) return@get
-            val row = (read as? Read.Found)?.value
+            val row = (read as? ReadResult.Found)?.value
             when {
                 row != null && row.value.path("n").asText() == round.number -> {
-                    claimed(round, before, TransactionResult.Done(row.stamp), then)
+                    claimed(round, before, TransactionResult.Committed(row.modRevision), onResult)
                 }
 
-                read is Read.Failed -> {
-                    context.later(1.0) { if (leadership.stillMine(term)()) readRound(round, before, then) }
+                read is ReadResult.Failed -> {
+                    context.schedule(1.0) { if (leadership.stillMine(term)()) readRound(round, before, onResult) }
                 }
 
                 else -> {
@@ -240,7 +244,7 @@
     fun loadRound(row: Row) {
         val round = decode(row)
         round.claims.forEach { it.claimedAt = context.now }
-        round.stamp = row.stamp
+        round.modRevision = row.modRevision
         rounds[round.slot] = round
         round.claims.forEach { claim ->
             claim.round = round
@@ -309,7 +313,7 @@
     /** Rows that are settled are kept for the next rounds for a while, and then removed; lost starts are marked. */
     fun clean() {
         for (round in rounds.values) {
-            if (round.stamp > 0 && !round.writing && round.settledAt == null && round.claims.all(::settled)) {
+            if (round.modRevision > 0 && !round.writing && round.settledAt == null && round.claims.all(::settled)) {
                 round.settledAt = context.now
                 spare.addLast(round)
             }
@@ -321,7 +325,7 @@
                 }.take(context.settings.store.changesPerTransaction)
         if (unused.isNotEmpty()) remove(unused)
         rounds.values
-            .filter { it.stale && it.stamp > 0 && !it.writing && it.settledAt == null }
+            .filter { it.stale && it.modRevision > 0 && !it.writing && it.settledAt == null }
             .take(2)
             .forEach { rewrite(it) }
     }
@@ -340,9 +344,9 @@
             it.writing = true
             spare.remove(it)
         }
-        val txn = Transaction(listOf(leadership.condition()), list.map { Change.Delete("round/${it.slot}") })
-        store.ensure(txn, Urgency.CLEANUP, leadership.stillMine(leadership.term)) { result ->
-            if (result is TransactionResult.Done) {
+        val transaction = Transaction(listOf(leadership.condition()), list.map { Change.Delete("round/${it.slot}") })
+        store.commitUntilKnown(transaction, RequestPriority.CLEANUP, leadership.stillMine(leadership.term)) { result ->
+            if (result is TransactionResult.Committed) {
                 list.forEach {
                     rounds.remove(
                         it.slot,
@@ -361,29 +365,29 @@
     private fun rewrite(round: Round) {
         round.stale = false
         val row = encode(round, leadership.term, claimedUntilMs(), round.claims.filter { jobs[it.job]?.spec?.gang == true || !settled(it) })
-        if (!store.holds(row)) {
+        if (!store.fitsValueLimit(row)) {
             context.debug("row round/${round.slot} is left as it is: it was written under larger limits")
             return
         }
         round.writing = true
-        val txn =
+        val transaction =
             Transaction(
-                listOf(leadership.condition(), Condition("round/${round.slot}", round.stamp)),
+                listOf(leadership.condition(), Condition("round/${round.slot}", round.modRevision)),
                 listOf(Change.Put("round/${round.slot}", row)),
             )
-        store.ensure(txn, Urgency.CLEANUP, leadership.stillMine(leadership.term)) { result ->
+        store.commitUntilKnown(transaction, RequestPriority.CLEANUP, leadership.stillMine(leadership.term)) { result ->
             round.writing = false
             when (result) {
-                is TransactionResult.Done -> {
-                    round.stamp = result.revision
+                is TransactionResult.Committed -> {
+                    round.modRevision = result.revision
                 }
 
                 is TransactionResult.Conflict -> {
                     if (Leadership.TERM in result.failed) {
                         leadership.stepDown("its term has been passed")
                     } else {
-                        store.get("round/${round.slot}", Urgency.CLEANUP) { read ->
-                            (read as? Read.Found)?.let { round.stamp = it.value.stamp }
+                        store.get("round/${round.slot}", RequestPriority.CLEANUP) { read ->
+                            (read as? ReadResult.Found)?.let { round.modRevision = it.value.modRevision }
                             round.stale = true
                         }
                     }
--- a/src/main/kotlin/burlridge/allocation/Job.kt
+++ b/src/main/kotlin/burlridge/allocation/Job.kt
@@ -19,7 +19,7 @@
 /** An accepted job that is not over, as its leader knows it. */
 internal class Job(
     val spec: JobSpec,
-    val stamp: Long,
+    val modRevision: Long,
     val submittedMs: Long,
 ) {
     val done: BitSet = BitSet()
@@ -166,7 +166,7 @@
     val number: String,
     val claims: List<Claim>,
 ) {
-    var stamp: Long = 0
+    var modRevision: Long = 0
 
     /** Since when nothing in it needs remembering any more. */
     var settledAt: Double? = null
--- a/src/main/kotlin/burlridge/allocation/Ledger.kt
+++ b/src/main/kotlin/burlridge/allocation/Ledger.kt
@@ -1,26 +1,26 @@
 package burlridge.allocation
 
 import burlridge.core.BoundedMap
-import burlridge.core.Context
+import burlridge.core.StepContext
 import burlridge.job.BadJob
 import burlridge.job.JobSpec
 import burlridge.json.Json
 import burlridge.leadership.Leadership
 import burlridge.store.Change
 import burlridge.store.Condition
-import burlridge.store.Read
+import burlridge.store.ReadResult
+import burlridge.store.RequestPriority
 import burlridge.store.Row
-import burlridge.store.Store
+import burlridge.store.StoreClient
 import burlridge.store.Transaction
 import burlridge.store.TransactionResult
-import burlridge.store.Urgency
 import com.fasterxml.jackson.databind.JsonNode
 import java.util.BitSet
 
 /** The leader's picture of jobs and claims, each of its changes written under the fence of its term. */
 internal class Ledger(
-    private val context: Context,
-    private val store: Store,
+    private val context: StepContext,
+    private val store: StoreClient,
     private val leadership: Leadership,
 ) {
     val jobs: LinkedHashMap<String, Job> = LinkedHashMap()
@@ -74,7 +74,7 @@
     fun admit(
         job: String,
         row: JsonNode,
-        stamp: Long,
+        modRevision: Long,
     ): Job? {
         jobs[job]?.let { return it }
         if (end(job) != null) return null
@@ -88,7 +88,7 @@
         context.debug(
             "job $job: ${spec.tasks} of ${spec.jobClass}, ${spec.size.cpus} CPUs, ${spec.estimateS} s, due in ${spec.deadlineS} s",
         )
-        return Job(spec, stamp, row.path("at").asLong()).also { jobs[job] = it }
+        return Job(spec, modRevision, row.path("at").asLong()).also { jobs[job] = it }
     }
 
     fun loadProgress(row: Row) {
@@ -101,7 +101,7 @@
         job.done.or(done)
         job.taken.or(done)
         job.durable.or(done)
-        job.progress[row.key] = row.stamp
+        job.progress[row.key] = row.modRevision
     }
 
     fun markDone(
@@ -134,15 +134,15 @@
             }
         // Progress rows that this transaction has no room for are removed afterwards, or by a later leader that finds them.
         val removed = job.progress.keys.take((context.settings.store.changesPerTransaction - 2).coerceAtLeast(0))
-        val txn =
+        val transaction =
             Transaction(
-                listOf(fence(), Condition("live/$id", job.stamp), Condition("over/$id", 0)),
+                listOf(fence(), Condition("live/$id", job.modRevision), Condition("over/$id", 0)),
                 listOf(Change.Delete("live/$id"), Change.Put("over/$id", row)) + removed.map { Change.Delete(it) },
             )
-        val urgency = if (standing == Standing.DONE) Urgency.FINISH else Urgency.USER
-        store.ensure(txn, urgency, stillMine(leadership.term), { job.inDoubt = it }) { result ->
+        val priority = if (standing == Standing.DONE) RequestPriority.FINISH else RequestPriority.USER
+        store.commitUntilKnown(transaction, priority, stillMine(leadership.term), { job.inDoubt = it }) { result ->
             when (result) {
-                is TransactionResult.Done -> {
+                is TransactionResult.Committed -> {
                     job.progress -= removed
                     ended(job, standing)
                 }
@@ -166,10 +166,10 @@
     /** An earlier copy of our own transaction may have been the one that was applied. */
     private fun readEnd(job: Job) {
         val term = leadership.term
-        store.get("over/${job.spec.id}", Urgency.FINISH) { read ->
+        store.get("over/${job.spec.id}", RequestPriority.FINISH) { read ->
             if (!stillMine(term)()) return@get
-            val end = (read as? Read.Found)?.value?.value?.let { learnEnd(job.spec.id, it) }
-            if (end != null) ended(job, end.standing) else context.later(1.0) { if (stillMine(term)()) readEnd(job) }
+            val end = (read as? ReadResult.Found)?.value?.value?.let { learnEnd(job.spec.id, it) }
+            if (end != null) ended(job, end.standing) else context.schedule(1.0) { if (stillMine(term)()) readEnd(job) }
         }
     }
 
@@ -203,8 +203,17 @@
     private fun removeLeftovers() {
         val some = leftovers.take(context.settings.store.changesPerTransaction)
         leftovers -= some.toSet()
-        store.ensure(Transaction(listOf(fence()), some.map { Change.Delete(it) }), Urgency.CLEANUP, stillMine(leadership.term)) { result ->
-            if (result !is TransactionResult.Done) leadership.stepDown("its term has been passed")
+        store.commitUntilKnown(
+            Transaction(
+                listOf(fence()),
+                some.map {
+                    Change.Delete(it)
+                },
+            ),
+            RequestPriority.CLEANUP,
+            stillMine(leadership.term),
+        ) { result ->
+            if (result !is TransactionResult.Committed) leadership.stepDown("its term has been passed")
         }
     }
 
@@ -229,13 +238,13 @@
         job.unwrittenSince = context.now
         // Under the row's own stamp: an earlier copy carried out late would else undo what a later one wrote.
         val before = job.progress.getOrPut(part.key) { 0L }
-        val conditions = listOf(fence(), Condition("live/${job.spec.id}", job.stamp), Condition(part.key, before))
-        val txn = Transaction(conditions, listOf(Change.Put(part.key, progress.encode(job.done, part))))
-        store.ensure(txn, Urgency.FINISH, stillMine(leadership.term)) { result ->
+        val conditions = listOf(fence(), Condition("live/${job.spec.id}", job.modRevision), Condition(part.key, before))
+        val transaction = Transaction(conditions, listOf(Change.Put(part.key, progress.encode(job.done, part))))
+        store.commitUntilKnown(transaction, RequestPriority.FINISH, stillMine(leadership.term)) { result ->
             job.flushing = false
             flushing--
             when {
-                result is TransactionResult.Done -> {
+                result is TransactionResult.Committed -> {
                     job.progress[part.key] = result.revision
                     written.stream().forEach { job.durable.set(part.first + it) }
                 }
@@ -258,12 +267,12 @@
     ) {
         val mine = stillMine(leadership.term)
         job.flushing = true
-        store.get(key, Urgency.FINISH) { read ->
+        store.get(key, RequestPriority.FINISH) { read ->
             job.flushing = false
             if (!mine()) return@get
-            if (read is Read.Absent) job.progress[key] = 0L
-            if (read !is Read.Found) return@get
-            job.progress[key] = read.value.stamp
+            if (read is ReadResult.Absent) job.progress[key] = 0L
+            if (read !is ReadResult.Found) return@get
+            job.progress[key] = read.value.modRevision
             progress.decode(read.value)?.let(job.durable::or)
         }
     }
--- a/src/main/kotlin/burlridge/api/Intake.kt
+++ b/src/main/kotlin/burlridge/api/Intake.kt
@@ -3,9 +3,9 @@
 import burlridge.allocation.Job
 import burlridge.allocation.Ledger
 import burlridge.allocation.Standing
-import burlridge.core.Answer
 import burlridge.core.BoundedMap
-import burlridge.core.Context
+import burlridge.core.HttpResponse
+import burlridge.core.StepContext
 import burlridge.fleet.Fleet
 import burlridge.job.BadJob
 import burlridge.job.JobSpec
@@ -15,17 +15,17 @@
 import burlridge.peer.Peers
 import burlridge.store.Change
 import burlridge.store.Condition
-import burlridge.store.Read
-import burlridge.store.Store
+import burlridge.store.ReadResult
+import burlridge.store.RequestPriority
+import burlridge.store.StoreClient
 import burlridge.store.Transaction
 import burlridge.store.TransactionResult
-import burlridge.store.Urgency
 import com.fasterxml.jackson.databind.JsonNode
 
 /** What users ask: submit, query, abort. Nothing is held back; what cannot be done now is refused at once. */
 internal class Intake(
-    private val context: Context,
-    private val store: Store,
+    private val context: StepContext,
+    private val store: StoreClient,
     private val leadership: Leadership,
     private val ledger: Ledger,
     private val fleet: Fleet,
@@ -49,13 +49,13 @@
     fun submit(
         body: String,
         passedOn: Boolean,
-        then: (Answer) -> Unit,
+        onResult: (HttpResponse) -> Unit,
     ) {
         val node = Json.parseOrNull(body)
         if (node?.path("shape")?.asText() == JobSpec.GANG) {
-            gate(node, then) { route(body, passedOn, then) }
+            gate(node, onResult) { route(body, passedOn, onResult) }
         } else {
-            route(body, passedOn, then)
+            route(body, passedOn, onResult)
         }
     }
 
@@ -65,13 +65,17 @@
      */
     private fun gate(
         node: JsonNode,
-        then: (Answer) -> Unit,
+        onResult: (HttpResponse) -> Unit,
         go: () -> Unit,
     ) {
         val id = node.path("id").asText("")
         when {
             context.settings.workers.gang == null -> {
-                refuseUnlessKnown(node, Answer.error(400, "this deployment serves no gangs: params.workers sets no gang times"), then)
+                refuseUnlessKnown(
+                    node,
+                    HttpResponse.error(400, "this deployment serves no gangs: params.workers sets no gang times"),
+                    onResult,
+                )
             }
 
             versions.allKnowGangs || ledger.end(id) != null || ledger.jobs.containsKey(id) -> {
@@ -82,8 +86,8 @@
                 versions.ask { all ->
                     when (all) {
                         true -> go()
-                        false -> refuseUnlessKnown(node, Answer.unavailable("not every member knows gangs yet", waitS), then)
-                        null -> then(Answer.unavailable("the state service does not answer"))
+                        false -> refuseUnlessKnown(node, HttpResponse.unavailable("not every member knows gangs yet", waitS), onResult)
+                        null -> onResult(HttpResponse.unavailable("the state service does not answer"))
                     }
                 }
             }
@@ -95,26 +99,26 @@
     private fun route(
         body: String,
         passedOn: Boolean,
-        then: (Answer) -> Unit,
+        onResult: (HttpResponse) -> Unit,
     ) {
         val helper = if (passedOn) null else peers.served()
         when {
             helper == null -> {
-                submitHere(body, passedOn, then)
+                submitHere(body, passedOn, onResult)
             }
 
-            !store.served -> {
+            !store.isServing -> {
                 peers.ask(helper, "POST", "/api/jobs", body, PASS_S) {
-                    then(it ?: Answer.unavailable("no member can reach the state service"))
+                    onResult(it ?: HttpResponse.unavailable("no member can reach the state service"))
                 }
             }
 
             else -> {
                 submitHere(body, passedOn) { first ->
                     if (first.status != 503) {
-                        then(first)
+                        onResult(first)
                     } else {
-                        peers.ask(helper, "POST", "/api/jobs", body, PASS_S) { then(it ?: first) }
+                        peers.ask(helper, "POST", "/api/jobs", body, PASS_S) { onResult(it ?: first) }
                     }
                 }
             }
@@ -124,23 +128,24 @@
     private fun submitHere(
         body: String,
         passedOn: Boolean,
-        then: (Answer) -> Unit,
+        onResult: (HttpResponse) -> Unit,
     ) {
         val node = Json.parseOrNull(body)
         val spec =
             try {
                 JobSpec.parse(node)
             } catch (e: BadJob) {
-                refuseUnlessKnown(node, Answer.error(400, e.message.orEmpty()), then)
+                refuseUnlessKnown(node, HttpResponse.error(400, e.message.orEmpty()), onResult)
                 return
             }
-        known(spec)?.let { return then(it) }
-        if (undecided(spec.id)) return lookUpOr(spec.id, spec.fingerprint, Answer.unavailable("its end is being written"), then)
+        known(spec)?.let { return onResult(it) }
+        if (undecided(spec.id)) return lookUpOr(spec.id, spec.fingerprint, HttpResponse.unavailable("its end is being written"), onResult)
         val types =
-            fleet.catalog ?: return lookUpOr(spec.id, spec.fingerprint, Answer.unavailable("the machine types are not known yet"), then)
+            fleet.catalog
+                ?: return lookUpOr(spec.id, spec.fingerprint, HttpResponse.unavailable("the machine types are not known yet"), onResult)
         val never = verdict.neverRuns(spec, types)
-        if (never != null) return lookUpOr(spec.id, spec.fingerprint, Answer.error(422, never), then)
-        if (recent[spec.id] == null) create(spec, then) else repeated(spec, body.takeUnless { passedOn }, then)
+        if (never != null) return lookUpOr(spec.id, spec.fingerprint, HttpResponse.error(422, never), onResult)
+        if (recent[spec.id] == null) create(spec, onResult) else repeated(spec, body.takeUnless { passedOn }, onResult)
     }
 
     /** Jobs accepted lately by whichever member: a repeat of one costs no write, and writes are what all members share least of. */
@@ -154,26 +159,34 @@
     private fun repeated(
         spec: JobSpec,
         body: String?,
-        then: (Answer) -> Unit,
+        onResult: (HttpResponse) -> Unit,
     ) {
         val leader = leadership.knownLeader?.takeIf { it != context.settings.member }
-        if (leader == null || body == null) return lookUpOrCreate(spec, then)
-        peers.ask(leader, "POST", "/api/jobs", body, ASK_S) { if (it == null || it.status == 503) lookUpOrCreate(spec, then) else then(it) }
+        if (leader == null || body == null) return lookUpOrCreate(spec, onResult)
+        peers.ask(leader, "POST", "/api/jobs", body, ASK_S) {
+            if (it == null ||
+                it.status == 503
+            ) {
+                lookUpOrCreate(spec, onResult)
+            } else {
+                onResult(it)
+            }
+        }
     }
 
     private fun lookUpOrCreate(
         spec: JobSpec,
-        then: (Answer) -> Unit,
+        onResult: (HttpResponse) -> Unit,
     ) = rows.read(spec.id) { found ->
         when {
-            found == null -> then(Answer.unavailable("the state service does not answer"))
-            found is Found.Nothing -> create(spec, then)
-            found.fingerprint == spec.fingerprint -> then(told(spec.id, found.standing))
-            else -> then(changed(spec.id))
+            found == null -> onResult(HttpResponse.unavailable("the state service does not answer"))
+            found is Found.Nothing -> create(spec, onResult)
+            found.fingerprint == spec.fingerprint -> onResult(told(spec.id, found.standing))
+            else -> onResult(changed(spec.id))
         }
     }
 
-    private fun known(spec: JobSpec): Answer? {
+    private fun known(spec: JobSpec): HttpResponse? {
         ledger.end(spec.id)?.let { return if (it.fingerprint == spec.fingerprint) told(spec.id, it.standing) else changed(spec.id) }
         if (!decides || undecided(spec.id)) return null
         val job = ledger.jobs[spec.id] ?: return null
@@ -186,61 +199,61 @@
      */
     private fun undecided(id: String): Boolean = ledger.jobs[id]?.inDoubt == true
 
-    private fun changed(id: String) = Answer.error(409, "$id has been submitted with another description")
+    private fun changed(id: String) = HttpResponse.error(409, "$id has been submitted with another description")
 
     private fun refuseUnlessKnown(
         node: JsonNode?,
-        refusal: Answer,
-        then: (Answer) -> Unit,
+        refusal: HttpResponse,
+        onResult: (HttpResponse) -> Unit,
     ) {
         val id = node?.path("id")?.takeIf { it.isTextual }?.asText()
-        if (id == null || !JobSpec.isId(id)) then(refusal) else lookUpOr(id, null, refusal, then)
+        if (id == null || !JobSpec.isId(id)) onResult(refusal) else lookUpOr(id, null, refusal, onResult)
     }
 
     /** A repeat of an accepted job is never called invalid, so the rows are asked before a refusal. */
     private fun lookUpOr(
         id: String,
         fingerprint: String?,
-        refusal: Answer,
-        then: (Answer) -> Unit,
+        refusal: HttpResponse,
+        onResult: (HttpResponse) -> Unit,
     ) {
         rows.read(id) { found ->
             when {
-                found == null -> then(Answer.unavailable("the state service does not answer"))
-                found is Found.Nothing -> then(refusal)
-                fingerprint == null || found.fingerprint == fingerprint -> then(told(id, found.standing))
-                else -> then(changed(id))
+                found == null -> onResult(HttpResponse.unavailable("the state service does not answer"))
+                found is Found.Nothing -> onResult(refusal)
+                fingerprint == null || found.fingerprint == fingerprint -> onResult(told(id, found.standing))
+                else -> onResult(changed(id))
             }
         }
     }
 
     private fun create(
         spec: JobSpec,
-        then: (Answer) -> Unit,
+        onResult: (HttpResponse) -> Unit,
     ) {
         val row = verdict.liveRow(spec)
-        val txn =
+        val transaction =
             Transaction(
                 listOf(Condition("live/${spec.id}", 0), Condition("over/${spec.id}", 0)),
                 listOf(Change.Put("live/${spec.id}", row)),
             )
-        store.txn(txn, Urgency.USER, PATIENCE_S) { result ->
+        store.commit(transaction, RequestPriority.USER, PATIENCE_S) { result ->
             when (result) {
-                is TransactionResult.Done -> {
+                is TransactionResult.Committed -> {
                     accepted(spec, row, result.revision)
-                    then(Answer(201, standing(spec.id, Standing.QUEUED)))
+                    onResult(HttpResponse(201, standing(spec.id, Standing.QUEUED)))
                 }
 
                 is TransactionResult.Conflict -> {
-                    lookUpOr(spec.id, spec.fingerprint, Answer.unavailable("try again"), then)
+                    lookUpOr(spec.id, spec.fingerprint, HttpResponse.unavailable("try again"), onResult)
                 }
 
                 TransactionResult.Unknown -> {
-                    then(Answer.unavailable("the state service has not answered"))
+                    onResult(HttpResponse.unavailable("the state service has not answered"))
                 }
 
-                TransactionResult.Refused, TransactionResult.NoLease, TransactionResult.TooLarge -> {
-                    then(Answer.unavailable("the state service takes no more at the moment"))
+                TransactionResult.Rejected, TransactionResult.LeaseNotFound, TransactionResult.TooLarge -> {
+                    onResult(HttpResponse.unavailable("the state service takes no more at the moment"))
                 }
             }
         }
@@ -249,12 +262,12 @@
     private fun accepted(
         spec: JobSpec,
         row: JsonNode,
-        stamp: Long,
+        modRevision: Long,
     ) {
         heardAccepted(spec.id)
         peers.tellAccepted(spec.id)
         if (leadership.leading && loaded) {
-            ledger.admit(spec.id, row, stamp)
+            ledger.admit(spec.id, row, modRevision)
             onAccepted()
         }
     }
@@ -264,25 +277,25 @@
     fun query(
         id: String,
         passedOn: Boolean,
-        then: (Answer) -> Unit,
+        onResult: (HttpResponse) -> Unit,
     ) {
-        if (!JobSpec.isId(id)) return then(Answer.error(404, "no such job"))
-        local(id)?.let { return then(it) }
+        if (!JobSpec.isId(id)) return onResult(HttpResponse.error(404, "no such job"))
+        local(id)?.let { return onResult(it) }
         val leader = if (leadership.leading) peers.served() else leadership.knownLeader ?: peers.served()
-        if (passedOn || leader == null || leader == context.settings.member || (decides && undecided(id))) return queryRows(id, then)
+        if (passedOn || leader == null || leader == context.settings.member || (decides && undecided(id))) return queryRows(id, onResult)
         peers.ask(leader, "GET", "/api/jobs/$id", "", ASK_S) { answer ->
             if (answer != null && answer.status != 503) {
                 noteEnd(id, answer)
-                then(answer)
+                onResult(answer)
             } else {
-                queryRows(id, then)
+                queryRows(id, onResult)
             }
         }
     }
 
     private fun noteEnd(
         id: String,
-        answer: Answer,
+        answer: HttpResponse,
     ) {
         val body = Json.parseOrNull(answer.body) ?: return
         val standing = body.path("standing").asText()
@@ -298,22 +311,22 @@
         }
     }
 
-    private fun local(id: String): Answer? {
-        ledger.end(id)?.let { return Answer(200, ended(id, it)) }
+    private fun local(id: String): HttpResponse? {
+        ledger.end(id)?.let { return HttpResponse(200, ended(id, it)) }
         val job = ledger.jobs[id] ?: return null
-        return if (decides && !job.inDoubt) Answer(200, progress(job)) else null
+        return if (decides && !job.inDoubt) HttpResponse(200, progress(job)) else null
     }
 
     private fun queryRows(
         id: String,
-        then: (Answer) -> Unit,
+        onResult: (HttpResponse) -> Unit,
     ) {
         rows.read(id) { found ->
             when (found) {
-                null -> then(Answer.unavailable("the state service does not answer"))
-                is Found.Nothing -> then(Answer.error(404, "no such job"))
-                is Found.Live -> then(local(id) ?: Answer(200, ledger.jobs[id]?.let(::progress) ?: standing(id, Standing.QUEUED)))
-                is Found.Over -> then(Answer(200, ended(id, found.end)))
+                null -> onResult(HttpResponse.unavailable("the state service does not answer"))
+                is Found.Nothing -> onResult(HttpResponse.error(404, "no such job"))
+                is Found.Live -> onResult(local(id) ?: HttpResponse(200, ledger.jobs[id]?.let(::progress) ?: standing(id, Standing.QUEUED)))
+                is Found.Over -> onResult(HttpResponse(200, ended(id, found.end)))
             }
         }
     }
@@ -323,24 +336,24 @@
     fun abort(
         id: String,
         passedOn: Boolean,
-        then: (Answer) -> Unit,
+        onResult: (HttpResponse) -> Unit,
     ) {
-        if (!JobSpec.isId(id)) return then(Answer.error(404, "no such job"))
-        ledger.end(id)?.let { return then(told(id, it.standing)) }
+        if (!JobSpec.isId(id)) return onResult(HttpResponse.error(404, "no such job"))
+        ledger.end(id)?.let { return onResult(told(id, it.standing)) }
         val leader = leadership.knownLeader
         when {
             decides -> {
-                abortHere(id, then)
+                abortHere(id, onResult)
             }
 
             passedOn || leadership.leading || leader == null || leader == context.settings.member -> {
-                then(Answer.unavailable("no leader at the moment"))
+                onResult(HttpResponse.unavailable("no leader at the moment"))
             }
 
             else -> {
                 peers.ask(leader, "POST", "/api/jobs/$id/abort", "", ABORT_S) { answer ->
                     answer?.let { noteEnd(id, it) }
-                    then(answer ?: Answer.unavailable("the leader does not answer"))
+                    onResult(answer ?: HttpResponse.unavailable("the leader does not answer"))
                 }
             }
         }
@@ -348,30 +361,30 @@
 
     private fun abortHere(
         id: String,
-        then: (Answer) -> Unit,
+        onResult: (HttpResponse) -> Unit,
     ) {
         val job = ledger.jobs[id]
-        if (job != null) return withdraw(job, then)
+        if (job != null) return withdraw(job, onResult)
         val term = leadership.term
-        store.get("live/$id", Urgency.USER) { live ->
+        store.get("live/$id", RequestPriority.USER) { live ->
             when (live) {
-                is Read.Found -> {
-                    val found = if (leadership.term == term && decides) ledger.admit(id, live.value.value, live.value.stamp) else null
+                is ReadResult.Found -> {
+                    val found = if (leadership.term == term && decides) ledger.admit(id, live.value.value, live.value.modRevision) else null
                     if (found !=
                         null
                     ) {
-                        withdraw(found, then)
+                        withdraw(found, onResult)
                     } else {
-                        then(ledger.end(id)?.let { told(id, it.standing) } ?: Answer.unavailable("try again"))
+                        onResult(ledger.end(id)?.let { told(id, it.standing) } ?: HttpResponse.unavailable("try again"))
                     }
                 }
 
-                Read.Failed -> {
-                    then(Answer.unavailable("the state service does not answer"))
+                ReadResult.Failed -> {
+                    onResult(HttpResponse.unavailable("the state service does not answer"))
                 }
 
-                Read.Absent -> {
-                    lookUpOr(id, null, Answer.error(404, "no such job"), then)
+                ReadResult.Absent -> {
+                    lookUpOr(id, null, HttpResponse.error(404, "no such job"), onResult)
                 }
             }
         }
@@ -379,19 +392,19 @@
 
     private fun withdraw(
         job: Job,
-        then: (Answer) -> Unit,
+        onResult: (HttpResponse) -> Unit,
     ) {
         var told = false
         job.whenOver += { standing ->
             if (!told) {
                 told = true
-                then(told(job.spec.id, standing))
+                onResult(told(job.spec.id, standing))
             }
         }
-        context.later(ABORT_S * 0.8) {
+        context.schedule(ABORT_S * 0.8) {
             if (!told) {
                 told = true
-                then(Answer.unavailable("the state service has not answered"))
+                onResult(HttpResponse.unavailable("the state service has not answered"))
             }
         }
         ledger.finish(job, Standing.WITHDRAWN)
@@ -403,7 +416,7 @@
     private fun told(
         id: String,
         standing: Standing,
-    ) = Answer(200, standing(id, standing))
+    ) = HttpResponse(200, standing(id, standing))
 
     private fun standing(
         id: String,
--- a/src/main/kotlin/burlridge/api/JobRows.kt
+++ b/src/main/kotlin/burlridge/api/JobRows.kt
@@ -2,9 +2,9 @@
 
 import burlridge.allocation.Ledger
 import burlridge.allocation.Standing
-import burlridge.store.Read
-import burlridge.store.Store
-import burlridge.store.Urgency
+import burlridge.store.ReadResult
+import burlridge.store.RequestPriority
+import burlridge.store.StoreClient
 
 /** What the rows of a job say. */
 internal sealed interface Found {
@@ -31,18 +31,18 @@
 }
 
 internal class JobRows(
-    private val store: Store,
+    private val store: StoreClient,
     private val ledger: Ledger,
 ) {
     /** The live row first: a job moves from there to its end, so one that is missed there is found here. Null when a read failed. */
     fun read(
         id: String,
-        then: (Found?) -> Unit,
+        onResult: (Found?) -> Unit,
     ) {
-        store.get("live/$id", Urgency.USER) { live ->
+        store.get("live/$id", RequestPriority.USER) { live ->
             when (live) {
-                is Read.Found -> {
-                    then(
+                is ReadResult.Found -> {
+                    onResult(
                         Found.Live(
                             live.value.value
                                 .path("fp")
@@ -51,16 +51,16 @@
                     )
                 }
 
-                Read.Failed -> {
-                    then(null)
+                ReadResult.Failed -> {
+                    onResult(null)
                 }
 
-                Read.Absent -> {
-                    store.get("over/$id", Urgency.USER) { over ->
+                ReadResult.Absent -> {
+                    store.get("over/$id", RequestPriority.USER) { over ->
                         when (over) {
-                            is Read.Found -> then(ledger.learnEnd(id, over.value.value)?.let { Found.Over(it) })
-                            Read.Absent -> then(Found.Nothing)
-                            Read.Failed -> then(null)
+                            is ReadResult.Found -> onResult(ledger.learnEnd(id, over.value.value)?.let { Found.Over(it) })
+                            ReadResult.Absent -> onResult(Found.Nothing)
+                            ReadResult.Failed -> onResult(null)
                         }
                     }
                 }
--- a/src/main/kotlin/burlridge/api/JobValidation.kt
+++ b/src/main/kotlin/burlridge/api/JobValidation.kt
@@ -1,17 +1,17 @@
 package burlridge.api
 
-import burlridge.core.Context
+import burlridge.core.StepContext
 import burlridge.fleet.Catalog
 import burlridge.job.JobSpec
 import burlridge.json.Json
 import burlridge.settings.Team
-import burlridge.store.Store
+import burlridge.store.StoreClient
 import com.fasterxml.jackson.databind.JsonNode
 
 /** Whether a job could ever run; the same for every repeat of its submission. */
 internal class JobValidation(
-    private val context: Context,
-    private val store: Store,
+    private val context: StepContext,
+    private val store: StoreClient,
 ) {
     /** The reason why [spec] can never run, or null. */
     fun neverRuns(
@@ -22,7 +22,7 @@
         if (team.cpusMax > 0 && spec.size.cpus > team.cpusMax) return "a task needs more CPUs than the limit of ${team.name}"
         if (team.gpusMax > 0 && spec.size.gpus > team.gpusMax) return "a task needs more GPUs than the limit of ${team.name}"
         if (types.allowed(spec).isEmpty()) return "a task fits no allowed machine type"
-        if (!store.holds(liveRow(spec))) return "the description is longer than the state service takes"
+        if (!store.fitsValueLimit(liveRow(spec))) return "the description is longer than the state service takes"
         return if (spec.gang) neverGathers(spec, team, types) else null
     }
 
--- a/src/main/kotlin/burlridge/app/Controller.kt
+++ b/src/main/kotlin/burlridge/app/Controller.kt
@@ -7,10 +7,10 @@
 import burlridge.balance.Balance
 import burlridge.balance.BalancePorts
 import burlridge.balance.MachineRequests
-import burlridge.core.Answer
-import burlridge.core.Context
 import burlridge.core.Effect
+import burlridge.core.HttpResponse
 import burlridge.core.Input
+import burlridge.core.StepContext
 import burlridge.failover.Failover
 import burlridge.failover.MemberRequests
 import burlridge.fleet.Fleet
@@ -21,9 +21,9 @@
 import burlridge.peer.Peers
 import burlridge.placement.Placement
 import burlridge.settings.Settings
-import burlridge.store.Read
-import burlridge.store.Store
-import burlridge.store.Urgency
+import burlridge.store.ReadResult
+import burlridge.store.RequestPriority
+import burlridge.store.StoreClient
 import burlridge.worker.AnsweredWorkers
 import burlridge.worker.Commands
 import burlridge.worker.Relay
@@ -35,8 +35,8 @@
     seed: Long,
 ) : Leadership.Events,
     Failover.ControllerState {
-    private val context = Context(settings, seed)
-    private val store = Store(context)
+    private val context = StepContext(settings, seed)
+    private val store = StoreClient(context)
     private val leadership = Leadership(context, store, this)
     private val ledger = Ledger(context, store, leadership)
     private val peers = Peers(context)
@@ -45,7 +45,7 @@
     private val placement = Placement(context, ledger, workers, fleet)
     private val versions = Versions(context, store)
     private val intake = Intake(context, store, leadership, ledger, fleet, peers, versions, { placeSoon() }, workers::stop)
-    val work: Map<String, Long> get() = context.work
+    val work: Map<String, Long> get() = context.counters
     val leads: Boolean get() = leadership.holdsLease && intake.loaded
     private val relay = Relay(context, peers)
     private val failover =
@@ -80,18 +80,18 @@
         now: Double,
         wallMs: Long,
     ): List<Effect> {
-        context.begin(now, wallMs)
+        context.beginStep(now, wallMs)
         when (input) {
             Input.Tick -> tick()
-            Input.Drain -> failover?.drain()?.let { context.info("not drained: $it") }
-            is Input.Request -> request(input.method, input.path, input.body) { context.answer(input.id, it) }
-            is Input.CallDone -> context.called(input)
-            is Input.FromPeer -> fromPeer(input.message)
+            Input.DrainRequested -> failover?.drain()?.let { context.info("not drained: $it") }
+            is Input.Request -> request(input.method, input.path, input.body) { context.respond(input.id, it) }
+            is Input.CallCompleted -> context.complete(input)
+            is Input.MessageReceived -> fromPeer(input.message)
         }
         context.runDue()
         if (placing && context.now >= placedAt + roundS) place()
         store.pump()
-        return context.finish()
+        return context.finishStep()
     }
 
     private fun tick() {
@@ -136,37 +136,55 @@
         path: String,
         body: String,
         from: String? = null,
-        then: (Answer) -> Unit,
+        onResult: (HttpResponse) -> Unit,
     ) {
         val passedOn = from != null
         val parts = path.trim('/').split('/')
         when {
-            path == "/ready" -> only(method, "GET", then) { then(if (ready) Answer(200, "{}") else Answer.unavailable("starting")) }
+            path == "/ready" -> {
+                only(
+                    method,
+                    "GET",
+                    onResult,
+                ) { onResult(if (ready) HttpResponse(200, "{}") else HttpResponse.unavailable("starting")) }
+            }
 
-            path.startsWith(AdminRequests.PREFIX) -> admin.handle(method, path, body, passedOn, then)
+            path.startsWith(AdminRequests.PREFIX) -> {
+                admin.handle(method, path, body, passedOn, onResult)
+            }
 
-            path == "/agent/beat" -> only(method, "POST", then) { heartbeat(body, from, then) }
+            path == "/agent/beat" -> {
+                only(method, "POST", onResult) { heartbeat(body, from, onResult) }
+            }
 
-            path == "/api/jobs" -> only(method, "POST", then) { intake.submit(body, passedOn, then) }
+            path == "/api/jobs" -> {
+                only(method, "POST", onResult) { intake.submit(body, passedOn, onResult) }
+            }
 
-            parts.size == 3 && path.startsWith("/api/jobs/") -> only(method, "GET", then) { intake.query(parts[2], passedOn, then) }
+            parts.size == 3 && path.startsWith("/api/jobs/") -> {
+                only(method, "GET", onResult) { intake.query(parts[2], passedOn, onResult) }
+            }
 
             parts.size == 4 &&
                 path.startsWith(
                     "/api/jobs/",
-                ) && parts[3] == "abort" -> only(method, "POST", then) { intake.abort(parts[2], passedOn, then) }
+                ) && parts[3] == "abort" -> {
+                only(method, "POST", onResult) { intake.abort(parts[2], passedOn, onResult) }
+            }
 
-            else -> then(Answer.error(404, "no such path"))
+            else -> {
+                onResult(HttpResponse.error(404, "no such path"))
+            }
         }
     }
 
     private fun only(
         method: String,
         allowed: String,
-        then: (Answer) -> Unit,
+        onResult: (HttpResponse) -> Unit,
         work: () -> Unit,
     ) {
-        if (method == allowed) work() else then(Answer.error(405, "use $allowed"))
+        if (method == allowed) work() else onResult(HttpResponse.error(405, "use $allowed"))
     }
 
     private val ready: Boolean get() = fleet.catalog != null && failover?.draining != true
@@ -174,15 +192,15 @@
     private fun heartbeat(
         body: String,
         from: String?,
-        then: (Answer) -> Unit,
+        onResult: (HttpResponse) -> Unit,
     ) {
         when {
             // Before it has read the rows a leader does not know what was cancelled: an answer without a halt would keep it alive.
-            leadership.answering && workers.loaded -> then(workers.heartbeat(body, from))
+            leadership.answering && workers.loaded -> onResult(workers.heartbeat(body, from))
 
-            leadership.leading || from != null -> then(Answer.unavailable("leadership in doubt"))
+            leadership.leading || from != null -> onResult(HttpResponse.unavailable("leadership in doubt"))
 
-            else -> relay.heartbeat(body, leadership.knownLeader?.takeIf { it != settings.member }, then)
+            else -> relay.heartbeat(body, leadership.knownLeader?.takeIf { it != settings.member }, onResult)
         }
     }
 
@@ -222,9 +240,9 @@
     /** The news may be old and the job long over, so its row is read before it counts. */
     private fun admit(job: String) {
         val term = leadership.term
-        store.get("live/$job", Urgency.USER) { live ->
-            if (leadership.leading && leadership.term == term && intake.loaded && live is Read.Found) {
-                ledger.admit(job, live.value.value, live.value.stamp)
+        store.get("live/$job", RequestPriority.USER) { live ->
+            if (leadership.leading && leadership.term == term && intake.loaded && live is ReadResult.Found) {
+                ledger.admit(job, live.value.value, live.value.modRevision)
                 placeSoon()
             }
         }
@@ -232,7 +250,7 @@
 
     private fun reply(
         to: PeerMessage.Ask,
-        answer: Answer,
+        answer: HttpResponse,
     ) {
         context.send(to.from, PeerMessage.Reply(settings.member, to.ask, answer.status, answer.body, answer.retryAfterS ?: 0))
     }
@@ -295,7 +313,7 @@
         return ledger.claims.claiming == 0 && !unsent
     }
 
-    override val startsSent: Long get() = context.work.getLong(Commands.STARTS)
+    override val startsSent: Long get() = context.counters.getLong(Commands.STARTS)
 
     override fun workersAnswered(): AnsweredWorkers = if (workers.loaded) workers.answered() else AnsweredWorkers(0, 0)
 
--- a/src/main/kotlin/burlridge/app/Metrics.kt
+++ b/src/main/kotlin/burlridge/app/Metrics.kt
@@ -1,9 +1,9 @@
 package burlridge.app
 
-import burlridge.core.Answer
+import burlridge.core.CallOutcome
 import burlridge.core.Effect
+import burlridge.core.HttpResponse
 import burlridge.core.Input
-import burlridge.core.Outcome
 import io.micrometer.core.instrument.simple.SimpleMeterRegistry
 import it.unimi.dsi.fastutil.objects.Object2LongOpenHashMap
 
@@ -26,7 +26,7 @@
                     "in.tick"
                 }
 
-                Input.Drain -> {
+                Input.DrainRequested -> {
                     "in.drain"
                 }
 
@@ -34,15 +34,15 @@
                     "in.request"
                 }
 
-                is Input.CallDone -> {
+                is Input.CallCompleted -> {
                     when (input.outcome) {
-                        is Outcome.Answered -> "in.call.answered"
-                        Outcome.NotSent -> "in.call.not_sent"
-                        Outcome.Unknown -> "in.call.unknown"
+                        is CallOutcome.Responded -> "in.call.answered"
+                        CallOutcome.NotSent -> "in.call.not_sent"
+                        CallOutcome.Unknown -> "in.call.unknown"
                     }
                 }
 
-                is Input.FromPeer -> {
+                is Input.MessageReceived -> {
                     "in.peer"
                 }
             },
@@ -50,9 +50,9 @@
 
     fun carriedOut(effect: Effect) {
         when (effect) {
-            is Effect.Answer -> count(answers.getOrPut(effect.status) { "out.answer.${effect.status}" })
-            is Effect.Call -> count("out.call")
-            is Effect.Send -> count("out.peer")
+            is Effect.Respond -> count(answers.getOrPut(effect.status) { "out.answer.${effect.status}" })
+            is Effect.HttpCall -> count("out.call")
+            is Effect.SendToPeer -> count("out.peer")
             is Effect.Log, is Effect.Trace -> Unit
         }
     }
--- a/src/main/kotlin/burlridge/app/Rehearsal.kt
+++ b/src/main/kotlin/burlridge/app/Rehearsal.kt
@@ -49,7 +49,7 @@
         )
     }
 
-    fun calls(at: Endpoint): List<Effect.Call> =
+    fun calls(at: Endpoint): List<Effect.HttpCall> =
         listOf(
             "GET /ready ",
             "GET /api/jobs/j-000001 ",
@@ -58,13 +58,13 @@
             "POST /agent/beat {}",
         ).map {
             val (method, path, body) = it.split(' ', limit = 3)
-            Effect.Call(0, at, method, path, body.ifEmpty { null }, 1.0)
+            Effect.HttpCall(0, at, method, path, body.ifEmpty { null }, 1.0)
         }
 
     /** A call to a port that was free a moment ago, so that nobody is there. */
-    fun refusedCall(): Effect.Call {
+    fun refusedCall(): Effect.HttpCall {
         val port = ServerSocket(0, 1, InetAddress.getLoopbackAddress()).use { it.localPort }
-        return Effect.Call(0, Endpoint("127.0.0.1", port), "GET", "/", null, 1.0)
+        return Effect.HttpCall(0, Endpoint("127.0.0.1", port), "GET", "/", null, 1.0)
     }
 
     private const val JOB =
--- a/src/main/kotlin/burlridge/app/Service.kt
+++ b/src/main/kotlin/burlridge/app/Service.kt
@@ -1,9 +1,9 @@
 package burlridge.app
 
-import burlridge.core.Answer
 import burlridge.core.Effect
+import burlridge.core.HttpResponse
 import burlridge.core.Input
-import burlridge.core.Level
+import burlridge.core.LogLevel
 import burlridge.message.PeerMessage
 import burlridge.net.ConnectionBudget
 import burlridge.net.EventLoop
@@ -35,7 +35,7 @@
     private val client = HttpClient(loop, scope, budget.commands, budget.kept, setOf(settings.state, settings.cloud), settings.state)
     private val server = HttpServer(loop, budget, settings.workers.reportS * QUIET_REPORTS) { step(it) }
     private val metrics = Metrics()
-    private val peers = PeerLinks(settings, loop, metrics::unknownPeerMessage) { step(Input.FromPeer(it)) }
+    private val peers = PeerLinks(settings, loop, metrics::unknownPeerMessage) { step(Input.MessageReceived(it)) }
     private val serveOn = settings.serveOn
     private var metricsAt = 0L
     private val failover = settings.operator.failover
@@ -54,7 +54,7 @@
 
     private fun drainIfAsked(shutdown: OrderlyShutdown) {
         if (!shutdown.requested) return
-        step(Input.Drain)
+        step(Input.DrainRequested)
         if (controller.drained || !controller.canDrain) shutdown.complete()
     }
 
@@ -113,17 +113,17 @@
     private fun carryOut(effect: Effect) {
         metrics.carriedOut(effect)
         when (effect) {
-            is Effect.Answer -> {
+            is Effect.Respond -> {
                 server.answer(effect)
             }
 
-            is Effect.Call -> {
+            is Effect.HttpCall -> {
                 val context = if (effect.target == settings.state) loop.urgent else EmptyCoroutineContext
-                scope.launch(context) { step(Input.CallDone(effect.call, client.call(effect))) }
+                scope.launch(context) { step(Input.CallCompleted(effect.callId, client.call(effect))) }
             }
 
-            is Effect.Send -> {
-                peers.send(effect.member, effect.message, effect.leaveBy)
+            is Effect.SendToPeer -> {
+                peers.send(effect.member, effect.message, effect.sendDeadline)
             }
 
             is Effect.Trace -> {
@@ -132,9 +132,9 @@
 
             is Effect.Log -> {
                 when (effect.level) {
-                    Level.ERROR -> log.error(effect.text)
-                    Level.INFO -> log.info(effect.text)
-                    Level.DEBUG -> log.debug(effect.text)
+                    LogLevel.ERROR -> log.error(effect.text)
+                    LogLevel.INFO -> log.info(effect.text)
+                    LogLevel.DEBUG -> log.debug(effect.text)
                 }
             }
         }
--- a/src/main/kotlin/burlridge/app/TermRows.kt
+++ b/src/main/kotlin/burlridge/app/TermRows.kt
@@ -2,21 +2,21 @@
 
 import burlridge.allocation.Ledger
 import burlridge.balance.Balance
-import burlridge.core.Context
+import burlridge.core.StepContext
 import burlridge.failover.Failover
 import burlridge.fleet.Fleet
 import burlridge.leadership.Leadership
 import burlridge.store.Listing
-import burlridge.store.Store
-import burlridge.store.Urgency
+import burlridge.store.RequestPriority
+import burlridge.store.StoreClient
 
 /**
  * What a new leader reads before it acts, and the other members' submissions that it watches from then on. Where a standby replica
  * is shown to be complete, nothing but the changes since its last refresh is read.
  */
 internal class TermRows(
-    private val context: Context,
-    private val store: Store,
+    private val context: StepContext,
+    private val store: StoreClient,
     private val leadership: Leadership,
     private val ledger: Ledger,
     private val fleet: Fleet,
@@ -28,46 +28,46 @@
 
     private fun mine(term: Long): Boolean = leadership.leading && leadership.term == term
 
-    /** Reads every row for [term]; [then] comes once all are in, and never where the term ends before. */
+    /** Reads every row for [term]; [onResult] comes once all are in, and never where the term ends before. */
     fun load(
         term: Long,
-        then: () -> Unit,
+        onResult: () -> Unit,
     ) {
-        if (failover == null) return readAll(term, then)
+        if (failover == null) return readAll(term, onResult)
         failover.takeOverRows { listings ->
             when {
                 !mine(term) -> Unit
-                listings != null -> loaded(listings, term, fromReplica = true, then)
-                else -> readAll(term, then)
+                listings != null -> loaded(listings, term, fromReplica = true, onResult)
+                else -> readAll(term, onResult)
             }
         }
     }
 
     private fun readAll(
         term: Long,
-        then: () -> Unit,
-    ) = read(prefixes(balance != null), HashMap(), term, then)
+        onResult: () -> Unit,
+    ) = read(prefixes(balance != null), HashMap(), term, onResult)
 
     private fun read(
         prefixes: List<String>,
         listings: HashMap<String, Listing>,
         term: Long,
-        then: () -> Unit,
+        onResult: () -> Unit,
     ) {
-        val prefix = prefixes.firstOrNull() ?: return loaded(listings, term, fromReplica = false, then)
-        store.list(prefix, Urgency.LEADERSHIP) { listing ->
+        val prefix = prefixes.firstOrNull() ?: return loaded(listings, term, fromReplica = false, onResult)
+        store.list(prefix, RequestPriority.LEADERSHIP) { listing ->
             when {
                 !mine(term) -> {
                     Unit
                 }
 
                 listing == null -> {
-                    context.later(RELOAD_S) { if (mine(term)) readAll(term, then) }
+                    context.schedule(RELOAD_S) { if (mine(term)) readAll(term, onResult) }
                 }
 
                 else -> {
                     listings[prefix] = listing
-                    read(prefixes.drop(1), listings, term, then)
+                    read(prefixes.drop(1), listings, term, onResult)
                 }
             }
         }
@@ -77,10 +77,10 @@
         listings: Map<String, Listing>,
         term: Long,
         fromReplica: Boolean,
-        then: () -> Unit,
+        onResult: () -> Unit,
     ) {
         val live = listings.getValue("live/")
-        live.rows.forEach { ledger.admit(it.key.substringAfter('/'), it.value, it.stamp) }
+        live.rows.forEach { ledger.admit(it.key.substringAfter('/'), it.value, it.modRevision) }
         listings.getValue("prog/").rows.forEach { ledger.loadProgress(it) }
         listings.getValue("round/").rows.forEach { ledger.claims.loadRound(it) }
         listings.getValue("rental/").rows.forEach { fleet.load(it) }
@@ -88,14 +88,14 @@
         ledger.settleLoaded()
         followAt = live.revision
         failover?.rowsRead(listings.values.sumOf { it.rows.size }, fromReplica)
-        then()
+        onResult()
         follow(term)
     }
 
     /** Other members' submissions, should their message be lost. */
     private fun follow(term: Long) {
         if (!mine(term)) return
-        store.follow("live/", followAt, FOLLOW_S) { status, body ->
+        store.watch("live/", followAt, FOLLOW_S) { status, body ->
             if (mine(term)) {
                 when {
                     status == OK && body != null -> {
@@ -111,15 +111,15 @@
                         relist(term)
                     }
                 }
-                context.later(FOLLOW_PAUSE_S) { follow(term) }
+                context.schedule(FOLLOW_PAUSE_S) { follow(term) }
             }
         }
     }
 
     private fun relist(term: Long) {
-        store.list("live/", Urgency.CLAIM) { live ->
+        store.list("live/", RequestPriority.CLAIM) { live ->
             if (live != null && mine(term)) {
-                live.rows.forEach { ledger.admit(it.key.substringAfter('/'), it.value, it.stamp) }
+                live.rows.forEach { ledger.admit(it.key.substringAfter('/'), it.value, it.modRevision) }
                 followAt = maxOf(followAt, live.revision)
             }
         }
--- a/src/main/kotlin/burlridge/app/WarmUp.kt
+++ b/src/main/kotlin/burlridge/app/WarmUp.kt
@@ -1,8 +1,8 @@
 package burlridge.app
 
+import burlridge.core.CallOutcome
 import burlridge.core.Effect
 import burlridge.core.Input
-import burlridge.core.Outcome
 import burlridge.json.Json
 import burlridge.settings.Settings
 import com.fasterxml.jackson.databind.JsonNode
@@ -36,12 +36,12 @@
                 inputs += Input.Request(nextId++, "POST", "/agent/beat", "", Json.write(report()))
             }
             while (inputs.isNotEmpty()) {
-                core.step(inputs.removeFirst(), now, (now * MS_A_S).toLong()).forEach { if (it is Effect.Call) reply(it) }
+                core.step(inputs.removeFirst(), now, (now * MS_A_S).toLong()).forEach { if (it is Effect.HttpCall) reply(it) }
             }
         }
     }
 
-    private fun reply(call: Effect.Call) {
+    private fun reply(call: Effect.HttpCall) {
         val path = call.path.substringBefore('?')
         val status = if (call.method == "GET" && path.startsWith("/store/")) NOT_FOUND else OK
         val body =
@@ -67,7 +67,7 @@
                 // A watch that stays open.
                 else -> return
             }
-        inputs += Input.CallDone(call.call, Outcome.Answered(status, body))
+        inputs += Input.CallCompleted(call.callId, CallOutcome.Responded(status, body))
     }
 
     private fun execute(command: JsonNode): JsonNode {
--- a/src/main/kotlin/burlridge/balance/Balance.kt
+++ b/src/main/kotlin/burlridge/balance/Balance.kt
@@ -1,7 +1,7 @@
 package burlridge.balance
 
 import burlridge.allocation.Ledger
-import burlridge.core.Context
+import burlridge.core.StepContext
 import burlridge.fleet.Fleet
 import burlridge.job.JobSpec
 import burlridge.leadership.Leadership
@@ -11,7 +11,7 @@
 import burlridge.placement.PlacementReason
 import burlridge.settings.BalanceSettings
 import burlridge.store.Listing
-import burlridge.store.Store
+import burlridge.store.StoreClient
 import burlridge.worker.DrainReason
 import burlridge.worker.Machine
 import burlridge.worker.Workers
@@ -19,7 +19,7 @@
 
 /** What the rest of a controller lends to this package. */
 internal class BalancePorts(
-    val store: Store,
+    val store: StoreClient,
     val leadership: Leadership,
     val ledger: Ledger,
     val workers: Workers,
@@ -29,7 +29,7 @@
 
 /** Drains that last and moves of running tasks, for the one member that leads; the others only pass requests on. */
 internal class Balance(
-    private val context: Context,
+    private val context: StepContext,
     private val settings: BalanceSettings,
     private val ports: BalancePorts,
     private val placeSoon: () -> Unit,
@@ -182,19 +182,19 @@
     fun drain(
         target: DrainTarget,
         forced: Boolean,
-        then: (DrainChange) -> Unit,
+        onResult: (DrainChange) -> Unit,
     ) {
         val problem = safety.unknown(target) ?: if (forced) null else safety.lastOf(target, index)
-        if (problem != null) then(DrainChange.Refused(problem)) else drains.request(target, DrainCause.OPERATOR, then)
+        if (problem != null) onResult(DrainChange.Refused(problem)) else drains.request(target, DrainCause.OPERATOR, onResult)
     }
 
     fun undrain(
         target: DrainTarget,
-        then: (DrainChange) -> Unit,
+        onResult: (DrainChange) -> Unit,
     ) = drains.cancel(target) { change ->
         if (change is DrainChange.Written && target is DrainTarget.Named) putBack(target.machine)
         placeSoon()
-        then(change)
+        onResult(change)
     }
 
     /** A machine that was found slow serves again, until it is found slow once more. */
--- a/src/main/kotlin/burlridge/balance/DecisionLog.kt
+++ b/src/main/kotlin/burlridge/balance/DecisionLog.kt
@@ -1,12 +1,12 @@
 package burlridge.balance
 
-import burlridge.core.Context
+import burlridge.core.StepContext
 import burlridge.json.Json
 import com.fasterxml.jackson.databind.JsonNode
 
 /** The latest decisions of this leader's term, the oldest dropped first; what operators read by `burlridge explain`. */
 internal class DecisionLog(
-    private val context: Context,
+    private val context: StepContext,
     private val most: Int,
 ) {
     private class Entry(
--- a/src/main/kotlin/burlridge/balance/Drain.kt
+++ b/src/main/kotlin/burlridge/balance/Drain.kt
@@ -49,7 +49,7 @@
     val requestedMs: Long,
     val changedMs: Long,
     /** Revision of the row; 0 where there is none yet. */
-    val stamp: Long = 0,
+    val modRevision: Long = 0,
 ) {
     val rowKey: String get() = PREFIX + target.key
     val active: Boolean get() = state != DrainState.CANCELLED
@@ -64,7 +64,7 @@
         }
 
     /** Whether [row] holds this very change: no other has its state and time. */
-    fun isWrittenIn(row: Row): Boolean = decode(row)?.copy(stamp = stamp) == this
+    fun isWrittenIn(row: Row): Boolean = decode(row)?.copy(modRevision = modRevision) == this
 
     internal companion object {
         const val PREFIX: String = "drain/"
@@ -81,7 +81,7 @@
             val state = DrainState.of(value.path("st").asText()) ?: return null
             val cause = DrainCause.of(value.path("cause").asText()) ?: return null
             if (!value.path("at").isIntegralNumber || !value.path("changed").isIntegralNumber) return null
-            return Drain(target, cause, state, value.path("at").asLong(), value.path("changed").asLong(), row.stamp)
+            return Drain(target, cause, state, value.path("at").asLong(), value.path("changed").asLong(), row.modRevision)
                 .takeIf { it.rowKey == row.key }
         }
     }
--- a/src/main/kotlin/burlridge/balance/Drains.kt
+++ b/src/main/kotlin/burlridge/balance/Drains.kt
@@ -1,15 +1,15 @@
 package burlridge.balance
 
-import burlridge.core.Context
+import burlridge.core.StepContext
 import burlridge.leadership.Leadership
 import burlridge.store.Change
 import burlridge.store.Condition
-import burlridge.store.Read
+import burlridge.store.ReadResult
+import burlridge.store.RequestPriority
 import burlridge.store.Row
-import burlridge.store.Store
+import burlridge.store.StoreClient
 import burlridge.store.Transaction
 import burlridge.store.TransactionResult
-import burlridge.store.Urgency
 
 /** What became of a request for a change of a drain. */
 internal sealed interface DrainChange {
@@ -31,8 +31,8 @@
  * stamp. A new leader reads them all before it places anything.
  */
 internal class Drains(
-    private val context: Context,
-    private val store: Store,
+    private val context: StepContext,
+    private val store: StoreClient,
     private val leadership: Leadership,
     private val onChange: () -> Unit,
 ) {
@@ -71,30 +71,30 @@
     fun request(
         target: DrainTarget,
         cause: DrainCause,
-        then: (DrainChange) -> Unit,
+        onResult: (DrainChange) -> Unit,
     ) {
         val key = Drain.PREFIX + target.key
-        if (key in damaged) return then(DrainChange.Refused("its row $key is damaged; remove it first"))
+        if (key in damaged) return onResult(DrainChange.Refused("its row $key is damaged; remove it first"))
         val entry = entries.getOrPut(key) { Entry(null) }
         val now = entry.drain
-        if (entry.writing == null && now?.active == true) return then(DrainChange.Written(now))
-        val next = Drain(target, cause, DrainState.REQUESTED, context.wallMs, context.wallMs, now?.stamp ?: 0)
-        change(entry, next, then)
+        if (entry.writing == null && now?.active == true) return onResult(DrainChange.Written(now))
+        val next = Drain(target, cause, DrainState.REQUESTED, context.wallMs, context.wallMs, now?.modRevision ?: 0)
+        change(entry, next, onResult)
     }
 
     /** Calls the drain of [target] off. */
     fun cancel(
         target: DrainTarget,
-        then: (DrainChange) -> Unit,
+        onResult: (DrainChange) -> Unit,
     ) {
         val entry = entries[Drain.PREFIX + target.key]
         val now = entry?.drain
         if (entry == null || (now == null && entry.writing == null)) {
-            return then(DrainChange.Refused("there is no drain of ${target.kind} ${target.value}"))
+            return onResult(DrainChange.Refused("there is no drain of ${target.kind} ${target.value}"))
         }
-        if (now == null) return then(DrainChange.Busy)
-        if (entry.writing == null && !now.active) return then(DrainChange.Written(now))
-        change(entry, now.copy(state = DrainState.CANCELLED, changedMs = context.wallMs), then)
+        if (now == null) return onResult(DrainChange.Busy)
+        if (entry.writing == null && !now.active) return onResult(DrainChange.Written(now))
+        change(entry, now.copy(state = DrainState.CANCELLED, changedMs = context.wallMs), onResult)
     }
 
     /** Moves [drain] on; nothing happens while another change of it is being written, since the next sweep asks again. */
@@ -109,21 +109,21 @@
     private fun change(
         entry: Entry,
         next: Drain,
-        then: (DrainChange) -> Unit,
+        onResult: (DrainChange) -> Unit,
     ) {
         val writing = entry.writing
         when {
             writing == null -> {
-                entry.waiting += then
+                entry.waiting += onResult
                 write(entry, next)
             }
 
             writing.active == next.active -> {
-                entry.waiting += then
+                entry.waiting += onResult
             }
 
             else -> {
-                then(DrainChange.Busy)
+                onResult(DrainChange.Busy)
             }
         }
     }
@@ -133,14 +133,14 @@
         next: Drain,
     ) {
         entry.writing = next
-        val txn =
+        val transaction =
             Transaction(
-                listOf(leadership.condition(), Condition(next.rowKey, next.stamp)),
+                listOf(leadership.condition(), Condition(next.rowKey, next.modRevision)),
                 listOf(Change.Put(next.rowKey, next.encode())),
             )
-        store.ensure(txn, Urgency.CLAIM, leadership.stillMine(leadership.term)) { result ->
+        store.commitUntilKnown(transaction, RequestPriority.CLAIM, leadership.stillMine(leadership.term)) { result ->
             when {
-                result is TransactionResult.Done -> written(entry, next.copy(stamp = result.revision))
+                result is TransactionResult.Committed -> written(entry, next.copy(modRevision = result.revision))
                 result is TransactionResult.Conflict && Leadership.TERM in result.failed -> leadership.stepDown(TERM_PASSED)
                 result is TransactionResult.Conflict -> readBack(entry, next)
                 else -> given(entry, entry.drain, DrainChange.Refused("its row is not taken by the state service"))
@@ -154,12 +154,12 @@
         next: Drain,
     ) {
         val mine = leadership.stillMine(leadership.term)
-        store.get(next.rowKey, Urgency.CLAIM) { read ->
-            val row = (read as? Read.Found)?.value
+        store.get(next.rowKey, RequestPriority.CLAIM) { read ->
+            val row = (read as? ReadResult.Found)?.value
             when {
                 !mine() -> Unit
-                read is Read.Failed -> context.later(RETRY_S) { if (mine()) readBack(entry, next) }
-                row != null && next.isWrittenIn(row) -> written(entry, next.copy(stamp = row.stamp))
+                read is ReadResult.Failed -> context.schedule(RETRY_S) { if (mine()) readBack(entry, next) }
+                row != null && next.isWrittenIn(row) -> written(entry, next.copy(modRevision = row.modRevision))
                 else -> given(entry, row?.let(Drain::decode), DrainChange.Refused("its row was changed by someone else"))
             }
         }
@@ -192,8 +192,9 @@
     fun forget(drain: Drain) {
         val entry = entries[drain.rowKey]?.takeIf { it.writing == null && it.drain == drain } ?: return
         entry.writing = drain
-        val txn = Transaction(listOf(leadership.condition(), Condition(drain.rowKey, drain.stamp)), listOf(Change.Delete(drain.rowKey)))
-        store.ensure(txn, Urgency.CLEANUP, leadership.stillMine(leadership.term)) { result ->
+        val transaction =
+            Transaction(listOf(leadership.condition(), Condition(drain.rowKey, drain.modRevision)), listOf(Change.Delete(drain.rowKey)))
+        store.commitUntilKnown(transaction, RequestPriority.CLEANUP, leadership.stillMine(leadership.term)) { result ->
             when {
                 result is TransactionResult.Conflict && Leadership.TERM in result.failed -> leadership.stepDown(TERM_PASSED)
 
--- a/src/main/kotlin/burlridge/balance/Evacuation.kt
+++ b/src/main/kotlin/burlridge/balance/Evacuation.kt
@@ -5,7 +5,7 @@
 import burlridge.allocation.Ledger
 import burlridge.allocation.Phase
 import burlridge.allocation.Standing
-import burlridge.core.Context
+import burlridge.core.StepContext
 import burlridge.placement.MoveTargets
 import burlridge.settings.BalanceSettings
 import burlridge.settings.MovePermission
@@ -43,7 +43,7 @@
 
 /** Empties the machines that operators drain: what surely ends soon finishes, and the rest is moved as far as its class permits. */
 internal class Evacuation(
-    private val context: Context,
+    private val context: StepContext,
     private val settings: BalanceSettings,
     private val ledger: Ledger,
     private val workers: Workers,
--- a/src/main/kotlin/burlridge/balance/MachineRequests.kt
+++ b/src/main/kotlin/burlridge/balance/MachineRequests.kt
@@ -1,7 +1,7 @@
 package burlridge.balance
 
-import burlridge.core.Answer
-import burlridge.core.Context
+import burlridge.core.HttpResponse
+import burlridge.core.StepContext
 import burlridge.json.Json
 import burlridge.leadership.Leadership
 import burlridge.peer.Peers
@@ -12,7 +12,7 @@
  * a request whose outcome is not known can be repeated, since it names its target and nothing else.
  */
 internal class MachineRequests(
-    private val context: Context,
+    private val context: StepContext,
     private val leadership: Leadership,
     private val balance: Balance,
     private val peers: Peers,
@@ -24,14 +24,14 @@
         path: String,
         body: String,
         passedOn: Boolean,
-        then: (Answer) -> Unit,
+        onResult: (HttpResponse) -> Unit,
     ) {
         val allowed = if (path == STATUS || path.startsWith(EXPLAIN)) "GET" else "POST"
         when {
-            method != allowed -> then(Answer.error(NOT_ALLOWED, "use $allowed"))
-            leadership.holdsLease && isLoaded() -> lead(path, body, onceInTime(then))
-            passedOn || leadership.leading -> then(Answer.unavailable("${context.settings.member} does not lead now; ask again"))
-            else -> passOn(method, path, body, then)
+            method != allowed -> onResult(HttpResponse.error(NOT_ALLOWED, "use $allowed"))
+            leadership.holdsLease && isLoaded() -> lead(path, body, onceInTime(onResult))
+            passedOn || leadership.leading -> onResult(HttpResponse.unavailable("${context.settings.member} does not lead now; ask again"))
+            else -> passOn(method, path, body, onResult)
         }
     }
 
@@ -39,15 +39,15 @@
         method: String,
         path: String,
         body: String,
-        then: (Answer) -> Unit,
+        onResult: (HttpResponse) -> Unit,
     ) {
         val leader = leadership.knownLeader?.takeIf { it != context.settings.member }
-        if (leader == null) return then(Answer.unavailable("no leader is known; ask again"))
+        if (leader == null) return onResult(HttpResponse.unavailable("no leader is known; ask again"))
         peers.ask(leader, method, path, body, ANSWER_S) { answer ->
-            then(
+            onResult(
                 when {
-                    answer == null -> Answer.unavailable("the leader $leader does not answer; ask again: asked twice it is one drain")
-                    answer.status == NOT_FOUND -> Answer.error(CONFLICT, "the leader $leader has [balance] switched off")
+                    answer == null -> HttpResponse.unavailable("the leader $leader does not answer; ask again: asked twice it is one drain")
+                    answer.status == NOT_FOUND -> HttpResponse.error(CONFLICT, "the leader $leader has [balance] switched off")
                     else -> answer
                 },
             )
@@ -57,22 +57,22 @@
     private fun lead(
         path: String,
         body: String,
-        then: (Answer) -> Unit,
+        onResult: (HttpResponse) -> Unit,
     ) {
-        if (path == STATUS) return then(Answer(OK, Json.write(balance.report().encode())))
-        if (path.startsWith(EXPLAIN)) return then(Answer(OK, Json.write(balance.explain(path.removePrefix(EXPLAIN)))))
+        if (path == STATUS) return onResult(HttpResponse(OK, Json.write(balance.report().encode())))
+        if (path.startsWith(EXPLAIN)) return onResult(HttpResponse(OK, Json.write(balance.explain(path.removePrefix(EXPLAIN)))))
         val request = Json.parseOrNull(body)
-        if (isStale(request)) return then(Answer.error(CONFLICT, "this was asked too long ago and is not carried out; ask again"))
+        if (isStale(request)) return onResult(HttpResponse.error(CONFLICT, "this was asked too long ago and is not carried out; ask again"))
         val target =
             try {
                 DrainTarget.parse(request)
             } catch (e: DrainRefused) {
-                return then(Answer.error(MALFORMED, e.message.orEmpty()))
+                return onResult(HttpResponse.error(MALFORMED, e.message.orEmpty()))
             }
         if (path == UNDRAIN) {
-            balance.undrain(target) { then(answer(it)) }
+            balance.undrain(target) { onResult(answer(it)) }
         } else {
-            balance.drain(target, isForced(request)) { then(answer(it)) }
+            balance.drain(target, isForced(request)) { onResult(answer(it)) }
         }
     }
 
@@ -84,23 +84,25 @@
 
     private fun isForced(request: JsonNode?): Boolean = request?.path("force")?.asBoolean(false) ?: false
 
-    private fun answer(change: DrainChange): Answer =
+    private fun answer(change: DrainChange): HttpResponse =
         when (change) {
-            is DrainChange.Refused -> Answer.error(CONFLICT, change.reason)
-            is DrainChange.Busy -> Answer.unavailable("another change of this drain is being written; ask again")
-            is DrainChange.Written -> Answer(OK, Json.write(Json.obj { DrainReport(change.drain, progress = null).encode(this) }))
+            is DrainChange.Refused -> HttpResponse.error(CONFLICT, change.reason)
+            is DrainChange.Busy -> HttpResponse.unavailable("another change of this drain is being written; ask again")
+            is DrainChange.Written -> HttpResponse(OK, Json.write(Json.obj { DrainReport(change.drain, progress = null).encode(this) }))
         }
 
     /** A write may stay open for as long as the state service is away, or end with the term: whoever asked is told to ask again. */
-    private fun onceInTime(then: (Answer) -> Unit): (Answer) -> Unit {
+    private fun onceInTime(onResult: (HttpResponse) -> Unit): (HttpResponse) -> Unit {
         var answered = false
 
-        fun answer(answer: Answer) {
+        fun answer(answer: HttpResponse) {
             if (answered) return
             answered = true
-            then(answer)
+            onResult(answer)
         }
-        context.later(WRITE_S) { answer(Answer.unavailable("not known to be durable yet; ask again: asked twice it is one drain")) }
+        context.schedule(
+            WRITE_S,
+        ) { answer(HttpResponse.unavailable("not known to be durable yet; ask again: asked twice it is one drain")) }
         return ::answer
     }
 
--- a/src/main/kotlin/burlridge/balance/Moves.kt
+++ b/src/main/kotlin/burlridge/balance/Moves.kt
@@ -5,18 +5,18 @@
 import burlridge.allocation.Job
 import burlridge.allocation.Ledger
 import burlridge.allocation.Standing
-import burlridge.core.Context
+import burlridge.core.StepContext
 import burlridge.leadership.Leadership
 import burlridge.placement.KeptRoom
 import burlridge.settings.BalanceSettings
 import burlridge.settings.MovePermission
 import burlridge.store.Change
 import burlridge.store.Condition
+import burlridge.store.RequestPriority
 import burlridge.store.Row
-import burlridge.store.Store
+import burlridge.store.StoreClient
 import burlridge.store.Transaction
 import burlridge.store.TransactionResult
-import burlridge.store.Urgency
 import burlridge.worker.Workers
 
 /**
@@ -24,9 +24,9 @@
  * the next run number, where room was kept for it if there still is. Whatever fails, it runs on or waits like any other task.
  */
 internal class Moves(
-    private val context: Context,
+    private val context: StepContext,
     private val settings: BalanceSettings,
-    private val store: Store,
+    private val store: StoreClient,
     private val leadership: Leadership,
     private val ledger: Ledger,
     private val workers: Workers,
@@ -111,12 +111,16 @@
         context.info(
             "move ${batch.key.substringAfter('/')}: ${moves.sumOf { it.tasks }} tasks of ${moves.map { it.job }.distinct().size} jobs",
         )
-        val txn =
+        val transaction =
             Transaction(
                 listOf(leadership.condition(), Condition(batch.key, 0)),
                 listOf(Change.Put(batch.key, batch.encode())),
             )
-        store.ensure(txn, Urgency.CLAIM, leadership.stillMine(leadership.term)) { result -> planned(batch, result) }
+        store.commitUntilKnown(
+            transaction,
+            RequestPriority.CLAIM,
+            leadership.stillMine(leadership.term),
+        ) { result -> planned(batch, result) }
     }
 
     private fun planned(
@@ -130,7 +134,7 @@
             }
 
             // No other leader writes this key: on a conflict an earlier copy of this very row was carried out.
-            result is TransactionResult.Done || result is TransactionResult.Conflict -> {
+            result is TransactionResult.Committed || result is TransactionResult.Conflict -> {
                 batch.durable = true
                 batch.moves.forEach { move -> open[move.taskName]?.takeIf { it.batch === batch }?.let(::advance) }
             }
@@ -239,9 +243,9 @@
 
     private fun remove(unused: List<MoveBatch>) {
         unused.forEach { it.removing = true }
-        val txn = Transaction(listOf(leadership.condition()), unused.map { Change.Delete(it.key) })
-        store.ensure(txn, Urgency.CLEANUP, leadership.stillMine(leadership.term)) { result ->
-            if (result is TransactionResult.Done) {
+        val transaction = Transaction(listOf(leadership.condition()), unused.map { Change.Delete(it.key) })
+        store.commitUntilKnown(transaction, RequestPriority.CLEANUP, leadership.stillMine(leadership.term)) { result ->
+            if (result is TransactionResult.Committed) {
                 unused.forEach(::forget)
             } else {
                 leadership.stepDown("its term has been passed")
--- a/src/main/kotlin/burlridge/balance/Relief.kt
+++ b/src/main/kotlin/burlridge/balance/Relief.kt
@@ -4,7 +4,7 @@
 import burlridge.allocation.Job
 import burlridge.allocation.Ledger
 import burlridge.allocation.Phase
-import burlridge.core.Context
+import burlridge.core.StepContext
 import burlridge.placement.MoveTargets
 import burlridge.settings.BalanceSettings
 import burlridge.settings.MovePermission
@@ -38,7 +38,7 @@
  * gains most, onto a machine that is not hot. Where much of the fleet looks hot, or is not heard, the picture is wrong and nothing is done.
  */
 internal class Relief(
-    private val context: Context,
+    private val context: StepContext,
     private val settings: BalanceSettings,
     private val ledger: Ledger,
     private val workers: Workers,
--- a/src/main/kotlin/burlridge/balance/SlowStart.kt
+++ b/src/main/kotlin/burlridge/balance/SlowStart.kt
@@ -3,7 +3,7 @@
 import burlridge.allocation.Claim
 import burlridge.allocation.Ledger
 import burlridge.allocation.Phase
-import burlridge.core.Context
+import burlridge.core.StepContext
 import burlridge.job.JobSpec
 import burlridge.settings.BalanceSettings
 import burlridge.worker.Machine
@@ -13,7 +13,7 @@
  * are seen to run there. What it goes by is the cloud's list and the worker's last report, so that the next leader judges alike.
  */
 internal class SlowStart(
-    private val context: Context,
+    private val context: StepContext,
     private val settings: BalanceSettings,
     private val ledger: Ledger,
     /** Seconds that machines of a type usually take to come up. */
--- a/src/main/kotlin/burlridge/core/Effects.kt
+++ b/src/main/kotlin/burlridge/core/Effects.kt
@@ -8,7 +8,7 @@
     data object Tick : Input
 
     /** The process is asked to stop; it may hand over first. */
-    data object Drain : Input
+    data object DrainRequested : Input
 
     data class Request(
         val id: Long,
@@ -18,31 +18,31 @@
         val body: String,
     ) : Input
 
-    data class CallDone(
-        val call: Long,
-        val outcome: Outcome,
+    data class CallCompleted(
+        val callId: Long,
+        val outcome: CallOutcome,
     ) : Input
 
-    data class FromPeer(
+    data class MessageReceived(
         val message: PeerMessage,
     ) : Input
 }
 
 /** How a call to the outside ended. */
-internal sealed interface Outcome {
-    data class Answered(
+internal sealed interface CallOutcome {
+    data class Responded(
         val status: Int,
         val body: String,
-    ) : Outcome
+    ) : CallOutcome
 
     /** No connection was made, so nothing was executed and nothing will be. */
-    data object NotSent : Outcome
+    data object NotSent : CallOutcome
 
     /** Possibly executed, possibly still to be executed. */
-    data object Unknown : Outcome
+    data object Unknown : CallOutcome
 }
 
-internal enum class Level { ERROR, INFO, DEBUG }
+internal enum class LogLevel { ERROR, INFO, DEBUG }
 
 /** Something that a trace can record; each package declares its own kinds. */
 internal interface TraceEvent
@@ -51,32 +51,32 @@
 internal sealed interface Effect {
     /**
      * The time of the steady clock after which this must not leave any more: whoever carries it out may have stood still since it was
-     * decided. [NEVER_TOO_LATE] for what a fence makes safe at any time.
+     * decided. [NO_DEADLINE] for what a fence makes safe at any time.
      */
-    val leaveBy: Double get() = NEVER_TOO_LATE
+    val sendDeadline: Double get() = NO_DEADLINE
 
-    data class Answer(
+    data class Respond(
         val id: Long,
         val status: Int,
         val body: String,
         val retryAfterS: Int?,
-        override val leaveBy: Double = NEVER_TOO_LATE,
+        override val sendDeadline: Double = NO_DEADLINE,
     ) : Effect
 
-    data class Call(
-        val call: Long,
+    data class HttpCall(
+        val callId: Long,
         val target: Endpoint,
         val method: String,
         val path: String,
         val body: String?,
         val timeoutS: Double,
-        override val leaveBy: Double = NEVER_TOO_LATE,
+        override val sendDeadline: Double = NO_DEADLINE,
     ) : Effect
 
-    data class Send(
+    data class SendToPeer(
         val member: String,
         val message: PeerMessage,
-        override val leaveBy: Double = NEVER_TOO_LATE,
+        override val sendDeadline: Double = NO_DEADLINE,
     ) : Effect
 
     /** For whoever keeps traces; sent only where an operator switched them on. */
@@ -86,11 +86,11 @@
     ) : Effect
 
     data class Log(
-        val level: Level,
+        val level: LogLevel,
         val text: String,
     ) : Effect
 
     companion object {
-        const val NEVER_TOO_LATE: Double = Double.MAX_VALUE
+        const val NO_DEADLINE: Double = Double.MAX_VALUE
     }
 }
--- a/src/main/kotlin/burlridge/core/LogRateLimiter.kt
+++ b/src/main/kotlin/burlridge/core/LogRateLimiter.kt
@@ -17,7 +17,7 @@
     }
 
     /** Once the second is over, how many lines of each kind were left out. */
-    fun sumUp(now: Double): List<String> {
+    fun summarize(now: Double): List<String> {
         if (seen.isEmpty() || now < endsAt) return emptyList()
         val sums =
             seen
--- a/src/main/kotlin/burlridge/core/Context.kt
+++ b/src/main/kotlin/burlridge/core/StepContext.kt
@@ -9,7 +9,7 @@
 import kotlin.random.Random
 
 /** What every slice shares inside one step: the time given, the effects so far and the calls that wait for an outcome. */
-internal class Context(
+internal class StepContext(
     val settings: Settings,
     seed: Long,
 ) {
@@ -21,8 +21,8 @@
         private set
     val random: Random = Random(seed)
     private var effects = ArrayList<Effect>()
-    private val waiting = Long2ObjectOpenHashMap<(Outcome) -> Unit>()
-    private var nextCall = 1L
+    private val pendingCalls = Long2ObjectOpenHashMap<(CallOutcome) -> Unit>()
+    private var nextCallId = 1L
     private var scheduled = java.util.PriorityQueue<ScheduledWork>()
     private var nextOrder = 0L
     private val logRateLimiter = LogRateLimiter()
@@ -36,25 +36,25 @@
     }
 
     /** How much of what has been done; the figures that grow with a deployment. */
-    val work: Object2LongOpenHashMap<String> = Object2LongOpenHashMap()
+    val counters: Object2LongOpenHashMap<String> = Object2LongOpenHashMap()
 
     fun count(
         what: String,
         amount: Int = 1,
     ) {
-        work.addTo(what, amount.toLong())
+        counters.addTo(what, amount.toLong())
     }
 
-    fun begin(
+    fun beginStep(
         now: Double,
         wallMs: Long,
     ) {
         this.wallMs = wallMs
         this.now = maxOf(now, this.now)
-        logRateLimiter.sumUp(this.now).forEach(::info)
+        logRateLimiter.summarize(this.now).forEach(::info)
     }
 
-    fun finish(): List<Effect> = effects.also { effects = ArrayList() }
+    fun finishStep(): List<Effect> = effects.also { effects = ArrayList() }
 
     fun call(
         target: Endpoint,
@@ -62,31 +62,31 @@
         path: String,
         body: String?,
         timeoutS: Double,
-        leaveBy: Double = Effect.NEVER_TOO_LATE,
-        then: (Outcome) -> Unit,
+        sendDeadline: Double = Effect.NO_DEADLINE,
+        onResult: (CallOutcome) -> Unit,
     ) {
-        val id = nextCall++
-        waiting.put(id, then)
-        effects += Effect.Call(id, target, method, path, body, timeoutS, leaveBy)
+        val id = nextCallId++
+        pendingCalls.put(id, onResult)
+        effects += Effect.HttpCall(id, target, method, path, body, timeoutS, sendDeadline)
     }
 
-    fun called(done: Input.CallDone) {
-        waiting.remove(done.call)?.invoke(done.outcome)
+    fun complete(done: Input.CallCompleted) {
+        pendingCalls.remove(done.callId)?.invoke(done.outcome)
     }
 
-    fun answer(
+    fun respond(
         id: Long,
-        answer: Answer,
+        answer: HttpResponse,
     ) {
-        effects += Effect.Answer(id, answer.status, answer.body, answer.retryAfterS, answer.leaveBy)
+        effects += Effect.Respond(id, answer.status, answer.body, answer.retryAfterS, answer.sendDeadline)
     }
 
     fun send(
         member: String,
         message: PeerMessage,
-        leaveBy: Double = Effect.NEVER_TOO_LATE,
+        sendDeadline: Double = Effect.NO_DEADLINE,
     ) {
-        effects += Effect.Send(member, message, leaveBy)
+        effects += Effect.SendToPeer(member, message, sendDeadline)
     }
 
     fun emit(effect: Effect) {
@@ -94,7 +94,7 @@
     }
 
     /** Runs [work] at the first step that comes [delayS] from now or later. */
-    fun later(
+    fun schedule(
         delayS: Double,
         work: () -> Unit,
     ) {
@@ -110,11 +110,11 @@
     }
 
     fun error(text: String) {
-        effects += Effect.Log(Level.ERROR, text)
+        effects += Effect.Log(LogLevel.ERROR, text)
     }
 
     fun info(text: String) {
-        effects += Effect.Log(Level.INFO, text)
+        effects += Effect.Log(LogLevel.INFO, text)
     }
 
     /** A line of which hundreds may come at once: of each [kind] the first of a second are logged, and the others summed up. */
@@ -126,27 +126,27 @@
     }
 
     fun debug(text: String) {
-        effects += Effect.Log(Level.DEBUG, text)
+        effects += Effect.Log(LogLevel.DEBUG, text)
     }
 }
 
 /** An answer to a request, from a user, a worker or a peer that passes one on. */
-internal data class Answer(
+internal data class HttpResponse(
     val status: Int,
     val body: String,
     val retryAfterS: Int? = null,
     /** After this time of the steady clock it must not be given any more. */
-    val leaveBy: Double = Effect.NEVER_TOO_LATE,
+    val sendDeadline: Double = Effect.NO_DEADLINE,
 ) {
     internal companion object {
         fun error(
             status: Int,
             reason: String,
-        ): Answer = Answer(status, Json.write(Json.obj { put("error", reason) }))
+        ): HttpResponse = HttpResponse(status, Json.write(Json.obj { put("error", reason) }))
 
         fun unavailable(
             reason: String,
             retryAfterS: Int = 1,
-        ): Answer = Answer(503, Json.write(Json.obj { put("error", reason) }), retryAfterS)
+        ): HttpResponse = HttpResponse(503, Json.write(Json.obj { put("error", reason) }), retryAfterS)
     }
 }
--- a/src/main/kotlin/burlridge/failover/Failover.kt
+++ b/src/main/kotlin/burlridge/failover/Failover.kt
@@ -1,14 +1,14 @@
 package burlridge.failover
 
-import burlridge.core.Context
 import burlridge.core.Effect
+import burlridge.core.StepContext
 import burlridge.leadership.Leadership
 import burlridge.message.FailoverStatus
 import burlridge.message.HandoverMessage
 import burlridge.message.PeerMessage
 import burlridge.settings.FailoverSettings
 import burlridge.store.Listing
-import burlridge.store.Store
+import burlridge.store.StoreClient
 import burlridge.worker.AnsweredWorkers
 
 /**
@@ -16,9 +16,9 @@
  * prepares: whatever has an effect still waits for the fence in the state service.
  */
 internal class Failover(
-    private val context: Context,
+    private val context: StepContext,
     private val settings: FailoverSettings,
-    private val store: Store,
+    private val store: StoreClient,
     private val leadership: Leadership,
     /** The prefixes whose rows a new leader reads. */
     prefixes: List<String>,
@@ -112,7 +112,7 @@
         context.count("failover.${kind}_refused")
         if (context.now < refusalsLoggedAt + leadership.leaseS * LOG_LEASES) return
         refusalsLoggedAt = context.now
-        val soFar = context.work.getLong("failover.${kind}_refused")
+        val soFar = context.counters.getLong("failover.${kind}_refused")
         context.info("failover $kind refused: $soFar so far, the last in the name of \"${from.take(MOST_NAME)}\"")
     }
 
@@ -238,7 +238,7 @@
     // --- leadership
 
     /** The rows for a new leader from the standby replica; null where they must be read from the state service. */
-    fun takeOverRows(then: (Map<String, Listing>?) -> Unit) = replica.takeOver(leadership.fence, then)
+    fun takeOverRows(onResult: (Map<String, Listing>?) -> Unit) = replica.takeOver(leadership.fence, onResult)
 
     fun rowsRead(
         rows: Int,
--- a/src/main/kotlin/burlridge/failover/IncomingHandover.kt
+++ b/src/main/kotlin/burlridge/failover/IncomingHandover.kt
@@ -1,20 +1,20 @@
 package burlridge.failover
 
-import burlridge.core.Context
+import burlridge.core.StepContext
 import burlridge.leadership.Leadership
 import burlridge.message.HandoverMessage
-import burlridge.store.Read
+import burlridge.store.ReadResult
+import burlridge.store.RequestPriority
 import burlridge.store.Row
-import burlridge.store.Store
-import burlridge.store.Urgency
+import burlridge.store.StoreClient
 
 /**
  * The successor's side of a planned handover. It holds a lease ready, to which the leader attaches its row, and takes the term over
  * only once it has read that the rows name it.
  */
 internal class IncomingHandover(
-    private val context: Context,
-    private val store: Store,
+    private val context: StepContext,
+    private val store: StoreClient,
     private val leadership: Leadership,
     private val port: Port,
 ) {
@@ -57,7 +57,7 @@
             when {
                 leadership.leading -> "it leads itself"
                 leadership.knownLeader != from -> "it follows ${leadership.knownLeader ?: "nobody"}"
-                !store.served -> "the state service refuses it"
+                !store.isServing -> "the state service refuses it"
                 else -> port.unfit()
             }
         if (problem != null) return port.send(from, HandoverMessage.Decline(offer.attempt, problem))
@@ -68,10 +68,10 @@
     private fun prepare(next: Prepared) {
         prepared = next
         val sentAt = context.now
-        store.createLease((leadership.leaseS * MS_A_S).toLong()) { lease ->
+        store.grantLease((leadership.leaseS * MS_A_S).toLong()) { lease ->
             when {
                 prepared !== next -> {
-                    lease?.let { store.dropLease(it) }
+                    lease?.let { store.revokeLease(it) }
                 }
 
                 lease == null -> {
@@ -136,9 +136,9 @@
         if (ready.reading) return
         ready.reading = true
         ready.nextLookAt = context.now + leadership.leaseS / LOOKS_A_LEASE
-        store.get(Leadership.TERM, Urgency.LEADERSHIP) { read ->
+        store.get(Leadership.TERM, RequestPriority.LEADERSHIP) { read ->
             ready.reading = false
-            val row = (read as? Read.Found)?.value
+            val row = (read as? ReadResult.Found)?.value
             if (prepared !== ready || row == null) return@get
             val term = row.value.path("n").asLong()
             val named = term == ready.term + 1 && row.value.path("by").asText() == context.settings.member
@@ -159,7 +159,7 @@
         val lease = ready.lease ?: return
         if (!leadership.adopt(term, row, lease, ready.renewedAt)) {
             context.info("term $term was handed over too late: its lease may have ended")
-            store.dropLease(lease)
+            store.revokeLease(lease)
             leadership.lookSoon()
         }
     }
@@ -177,7 +177,7 @@
     fun drop() {
         val lease = prepared?.lease
         prepared = null
-        lease?.let { store.dropLease(it) }
+        lease?.let { store.revokeLease(it) }
     }
 
     private companion object {
--- a/src/main/kotlin/burlridge/failover/MemberRequests.kt
+++ b/src/main/kotlin/burlridge/failover/MemberRequests.kt
@@ -1,36 +1,36 @@
 package burlridge.failover
 
-import burlridge.core.Answer
-import burlridge.core.Context
+import burlridge.core.HttpResponse
+import burlridge.core.StepContext
 import burlridge.json.Json
 import burlridge.peer.Peers
 
 /** The operators' requests about the members of the service: who leads, and which is to leave. */
 internal class MemberRequests(
-    private val context: Context,
+    private val context: StepContext,
     private val failover: Failover,
     private val peers: Peers,
 ) {
     fun handle(
         method: String,
         path: String,
-        then: (Answer) -> Unit,
+        onResult: (HttpResponse) -> Unit,
     ) {
         val target = path.removePrefix(DRAIN).removePrefix("/")
         when {
-            path == STATUS && method == "GET" -> then(Answer(OK, Json.write(failover.report().encode())))
-            path == STATUS -> then(Answer.error(NOT_ALLOWED, "use GET"))
-            method != "POST" -> then(Answer.error(NOT_ALLOWED, "use POST"))
-            target.isEmpty() || target == context.settings.member -> drainHere(then)
-            else -> drainOther(target, then)
+            path == STATUS && method == "GET" -> onResult(HttpResponse(OK, Json.write(failover.report().encode())))
+            path == STATUS -> onResult(HttpResponse.error(NOT_ALLOWED, "use GET"))
+            method != "POST" -> onResult(HttpResponse.error(NOT_ALLOWED, "use POST"))
+            target.isEmpty() || target == context.settings.member -> drainHere(onResult)
+            else -> drainOther(target, onResult)
         }
     }
 
-    private fun drainHere(then: (Answer) -> Unit) {
+    private fun drainHere(onResult: (HttpResponse) -> Unit) {
         val problem = failover.drain()
-        if (problem != null) return then(Answer.error(CONFLICT, "${context.settings.member} is not drained: $problem"))
-        then(
-            Answer(
+        if (problem != null) return onResult(HttpResponse.error(CONFLICT, "${context.settings.member} is not drained: $problem"))
+        onResult(
+            HttpResponse(
                 OK,
                 Json.write(
                     Json.obj {
@@ -45,11 +45,11 @@
 
     private fun drainOther(
         target: String,
-        then: (Answer) -> Unit,
+        onResult: (HttpResponse) -> Unit,
     ) {
         val problem = failover.refusalToDrain(target)
-        if (problem != null) return then(Answer.error(CONFLICT, "$target is not drained: $problem"))
-        peers.ask(target, "POST", DRAIN, "", ANSWER_S) { then(it ?: Answer.unavailable("$target does not answer")) }
+        if (problem != null) return onResult(HttpResponse.error(CONFLICT, "$target is not drained: $problem"))
+        peers.ask(target, "POST", DRAIN, "", ANSWER_S) { onResult(it ?: HttpResponse.unavailable("$target does not answer")) }
     }
 
     internal companion object {
--- a/src/main/kotlin/burlridge/failover/OutgoingHandover.kt
+++ b/src/main/kotlin/burlridge/failover/OutgoingHandover.kt
@@ -1,13 +1,13 @@
 package burlridge.failover
 
-import burlridge.core.Context
+import burlridge.core.StepContext
 import burlridge.leadership.Leadership
 import burlridge.leadership.TransferOutcome
 import burlridge.message.HandoverMessage
 
 /** The leader's side of a planned handover: offer, wait for the successor, come to rest, transfer. */
 internal class OutgoingHandover(
-    private val context: Context,
+    private val context: StepContext,
     private val leadership: Leadership,
     private val port: Port,
 ) {
--- a/src/main/kotlin/burlridge/failover/ReplicaAudit.kt
+++ b/src/main/kotlin/burlridge/failover/ReplicaAudit.kt
@@ -27,10 +27,14 @@
         page: AuditPage,
     ): String? {
         for (row in page.rows) {
-            if (row.stamp > table.revision) continue
+            if (row.modRevision > table.revision) continue
             val copy = table.rows[row.key]
-            val changedSince = table.revision > page.revision && (copy == null || copy.stamp > page.revision)
-            if (!changedSince && copy?.stamp != row.stamp) return "${row.key} has stamp ${copy?.stamp ?: "none"}, not ${row.stamp}"
+            val changedSince = table.revision > page.revision && (copy == null || copy.modRevision > page.revision)
+            if (!changedSince &&
+                copy?.modRevision != row.modRevision
+            ) {
+                return "${row.key} has stamp ${copy?.modRevision ?: "none"}, not ${row.modRevision}"
+            }
         }
         return null
     }
@@ -45,7 +49,7 @@
         val last = if (page.truncated) page.rows.lastOrNull()?.key ?: return null else null
         val surplus =
             table.rows.entries.firstOrNull { (key, row) ->
-                key > page.from && (last == null || key <= last) && row.stamp <= page.revision && key !in shown
+                key > page.from && (last == null || key <= last) && row.modRevision <= page.revision && key !in shown
             }
         return surplus?.let { "${it.key} is gone from the state service" }
     }
--- a/src/main/kotlin/burlridge/failover/ReplicaTable.kt
+++ b/src/main/kotlin/burlridge/failover/ReplicaTable.kt
@@ -9,7 +9,7 @@
 
 /** A row of the replica; its value is kept as text, which takes a fraction of the memory of a parsed tree. */
 internal data class ReplicaRow(
-    val stamp: Long,
+    val modRevision: Long,
     val value: String,
 )
 
@@ -46,7 +46,7 @@
         clear()
         val built = rows.builder()
         for (row in listing.rows) {
-            val copy = ReplicaRow(row.stamp, Json.write(row.value))
+            val copy = ReplicaRow(row.modRevision, Json.write(row.value))
             built[row.key] = copy
             account(row.key, copy, 1)
         }
@@ -91,16 +91,16 @@
         if (!changes.isArray) return "no list of changes"
         var last = revision
         for (change in changes) {
-            val stamp = change.path("stamp").asLong(-1)
+            val modRevision = change.path("stamp").asLong(-1)
             val key = keyOf(change)
             when {
                 !key.startsWith(prefix) -> return "a change of \"${key.take(MOST_SHOWN)}\" under $prefix"
                 change.has("set") && !change.has("value") -> return "$key has no value"
-                stamp <= revision -> return "$key changed at $stamp, before $revision"
-                stamp < last -> return "$key changed at $stamp, listed after $last"
-                stamp > upTo -> return "$key changed at $stamp, after $upTo"
+                modRevision <= revision -> return "$key changed at $modRevision, before $revision"
+                modRevision < last -> return "$key changed at $modRevision, listed after $last"
+                modRevision > upTo -> return "$key changed at $modRevision, after $upTo"
             }
-            last = stamp
+            last = modRevision
         }
         return null
     }
@@ -120,7 +120,7 @@
         key: String,
         row: ReplicaRow,
     ): Long {
-        val mixed = (key.hashCode().toLong() shl HALF) xor row.value.hashCode().toLong() xor (row.stamp * STAMP_FACTOR)
+        val mixed = (key.hashCode().toLong() shl HALF) xor row.value.hashCode().toLong() xor (row.modRevision * STAMP_FACTOR)
         return mixed * MIX_FACTOR
     }
 
@@ -131,7 +131,7 @@
     fun listing(): Listing? {
         val read =
             rows.entries.map { (key, row) ->
-                Row(key, Json.parseOrNull(row.value) ?: return null, row.stamp)
+                Row(key, Json.parseOrNull(row.value) ?: return null, row.modRevision)
             }
         return Listing(read.sortedBy { it.key }, revision)
     }
--- a/src/main/kotlin/burlridge/failover/StandbyReplica.kt
+++ b/src/main/kotlin/burlridge/failover/StandbyReplica.kt
@@ -1,10 +1,10 @@
 package burlridge.failover
 
-import burlridge.core.Context
+import burlridge.core.StepContext
 import burlridge.message.FailoverStatus
 import burlridge.store.Listing
-import burlridge.store.Store
-import burlridge.store.Urgency
+import burlridge.store.RequestPriority
+import burlridge.store.StoreClient
 
 /** How far a standby replica is. */
 internal enum class ReplicaState {
@@ -29,8 +29,8 @@
  * full read at that revision would have given. A gap, a contradiction, a failed audit or a wrong digest throws it away.
  */
 internal class StandbyReplica(
-    private val context: Context,
-    private val store: Store,
+    private val context: StepContext,
+    private val store: StoreClient,
     prefixes: List<String>,
     private val mostSize: Long,
     private val refreshS: Double,
@@ -103,7 +103,7 @@
         val table = tables[next]
         val mine = generation
         busy = true
-        store.list(table.prefix, Urgency.CLEANUP) { listing ->
+        store.list(table.prefix, RequestPriority.CLEANUP) { listing ->
             if (generation != mine) return@list
             busy = false
             if (listing == null) {
@@ -148,12 +148,12 @@
 
     private fun follow(
         table: ReplicaTable,
-        then: () -> Unit,
+        onResult: () -> Unit,
     ) {
         val mine = generation
         busy = true
-        store.follow(table.prefix, table.revision, 0.0) { status, body ->
-            if (generation != mine) return@follow
+        store.watch(table.prefix, table.revision, 0.0) { status, body ->
+            if (generation != mine) return@watch
             busy = false
             when {
                 status == OK && body != null -> {
@@ -162,7 +162,7 @@
                     if (applied is Applied.Inconsistent) {
                         discard("${table.prefix}: ${applied.reason}")
                     } else if (!tooLarge()) {
-                        then()
+                        onResult()
                     }
                 }
 
@@ -171,7 +171,7 @@
                 }
 
                 // Answers may also be too long to take; then the rows are read anew.
-                ++failures >= FAILURES_TO_DISCARD && store.served -> {
+                ++failures >= FAILURES_TO_DISCARD && store.isServing -> {
                     discard("${table.prefix}: its changes cannot be read")
                 }
             }
@@ -184,10 +184,10 @@
         val mine = generation
         val from = auditFrom.takeIf { it.startsWith(table.prefix) }.orEmpty()
         busy = true
-        store.page(table.prefix, from, AUDIT_ROWS, Urgency.CLEANUP) { page ->
-            if (generation != mine) return@page
+        store.listPage(table.prefix, from, AUDIT_ROWS, RequestPriority.CLEANUP) { page ->
+            if (generation != mine) return@listPage
             busy = false
-            if (page == null) return@page
+            if (page == null) return@listPage
             auditFrom = if (page.truncated) page.rows.last().key else ""
             context.count("failover.replica.audits")
             val shown = AuditPage(from, page.rows, page.truncated, page.revision)
@@ -211,9 +211,9 @@
      */
     fun takeOver(
         fence: Long,
-        then: (Map<String, Listing>?) -> Unit,
+        onResult: (Map<String, Listing>?) -> Unit,
     ) {
-        if (state != ReplicaState.FOLLOWING) return then(null)
+        if (state != ReplicaState.FOLLOWING) return onResult(null)
         generation++
         state = ReplicaState.TAKING_OVER
         val mine = generation
@@ -222,7 +222,7 @@
             if (listings == null) context.info("standby replica is not used: $lastDiscard")
             reset()
             state = ReplicaState.OFF
-            then(listings)
+            onResult(listings)
         }
     }
 
@@ -230,22 +230,22 @@
         index: Int,
         fence: Long,
         mine: Int,
-        then: (Boolean) -> Unit,
+        onResult: (Boolean) -> Unit,
     ) {
-        if (index == tables.size) return then(true)
+        if (index == tables.size) return onResult(true)
         val table = tables[index]
-        store.follow(table.prefix, table.revision, 0.0, Urgency.LEADERSHIP) { status, body ->
-            if (generation != mine) return@follow
+        store.watch(table.prefix, table.revision, 0.0, RequestPriority.LEADERSHIP) { status, body ->
+            if (generation != mine) return@watch
             val problem =
                 when {
                     status != OK || body == null -> "the changes of ${table.prefix} cannot be read ($status)"
                     else -> (table.apply(body) as? Applied.Inconsistent)?.reason ?: unproven(table, fence)
                 }
             if (problem == null) {
-                catchUp(index + 1, fence, mine, then)
+                catchUp(index + 1, fence, mine, onResult)
             } else {
                 lastDiscard = problem
-                then(false)
+                onResult(false)
             }
         }
     }
--- a/src/main/kotlin/burlridge/fleet/CatalogKeeper.kt
+++ b/src/main/kotlin/burlridge/fleet/CatalogKeeper.kt
@@ -1,22 +1,22 @@
 package burlridge.fleet
 
 import burlridge.allocation.Ledger
-import burlridge.core.Context
-import burlridge.core.Outcome
+import burlridge.core.StepContext
+import burlridge.core.CallOutcome
 import burlridge.json.Json
 import burlridge.leadership.Leadership
 import burlridge.store.Change
-import burlridge.store.Read
-import burlridge.store.Store
+import burlridge.store.ReadResult
+import burlridge.store.StoreClient
 import burlridge.store.Transaction
 import burlridge.store.TransactionResult
-import burlridge.store.Urgency
+import burlridge.store.RequestPriority
 import com.fasterxml.jackson.databind.JsonNode
 
 /** Asks the cloud for its machine types, and keeps a copy in the state service for a start during an outage of the cloud. */
 internal class CatalogKeeper(
-    private val context: Context,
-    private val store: Store,
+    private val context: StepContext,
+    private val store: StoreClient,
     private val leadership: Leadership,
     private val ledger: Ledger,
 ) {
@@ -37,7 +37,7 @@
         askedAt = context.now
         context.call(context.settings.cloud, "GET", "/catalog", null, CLOUD_TIMEOUT_S) { outcome ->
             busy = false
-            val body = (outcome as? Outcome.Answered)?.takeIf { it.status == 200 }?.let { Json.parseOrNull(it.body) }
+            val body = (outcome as? CallOutcome.Responded)?.takeIf { it.status == 200 }?.let { Json.parseOrNull(it.body) }
             val parsed = Catalog.parse(body)
             when {
                 parsed != null && body != null -> {
@@ -46,8 +46,8 @@
                 }
 
                 catalog == null -> {
-                    store.get("catalog", Urgency.USER) { read ->
-                        if (read is Read.Found &&
+                    store.get("catalog", RequestPriority.USER) { read ->
+                        if (read is ReadResult.Found &&
                             catalog == null
                         ) {
                             catalog = Catalog.parse(read.value.value)
@@ -62,8 +62,8 @@
     private fun keepCatalog(body: JsonNode) {
         if (!leadership.leading || kept) return
         kept = true
-        store.txn(Transaction(listOf(ledger.fence()), listOf(Change.Put("catalog", body))), Urgency.CLEANUP) {
-            if (it !is TransactionResult.Done) {
+        store.commit(Transaction(listOf(ledger.fence()), listOf(Change.Put("catalog", body))), RequestPriority.CLEANUP) {
+            if (it !is TransactionResult.Committed) {
                 kept =
                     false
             }
--- a/src/main/kotlin/burlridge/fleet/Demand.kt
+++ b/src/main/kotlin/burlridge/fleet/Demand.kt
@@ -2,13 +2,13 @@
 
 import burlridge.allocation.Job
 import burlridge.allocation.Ledger
-import burlridge.core.Context
+import burlridge.core.StepContext
 import burlridge.job.JobSpec
 import burlridge.job.Priority
 
 /** How many tasks want room now, and how many more should find room at once. */
 internal class Demand(
-    private val context: Context,
+    private val context: StepContext,
     private val ledger: Ledger,
 ) {
     private val waits = context.settings.objectives.filter { it.kind == "wait" && it.jobClass != null && it.withinS != null }
--- a/src/main/kotlin/burlridge/fleet/Fleet.kt
+++ b/src/main/kotlin/burlridge/fleet/Fleet.kt
@@ -1,19 +1,19 @@
 package burlridge.fleet
 
 import burlridge.allocation.Ledger
-import burlridge.core.Context
-import burlridge.core.Outcome
+import burlridge.core.StepContext
+import burlridge.core.CallOutcome
 import burlridge.job.JobSpec
 import burlridge.leadership.Leadership
 import burlridge.store.Row
-import burlridge.store.Store
+import burlridge.store.StoreClient
 import burlridge.worker.Machine
 import burlridge.worker.Workers
 
 /** Machine types, rentals, boots and returns. */
 internal class Fleet(
-    private val context: Context,
-    private val store: Store,
+    private val context: StepContext,
+    private val store: StoreClient,
     private val leadership: Leadership,
     private val ledger: Ledger,
     private val workers: Workers,
@@ -84,7 +84,7 @@
     ) {
         val after = if (from.isEmpty()) "" else "from=$from&"
         context.call(context.settings.cloud, "GET", "/rentals?${after}limit=$PAGE", null, CLOUD_TIMEOUT_S) { outcome ->
-            val page = (outcome as? Outcome.Answered)?.takeIf { it.status == 200 }?.let { MachinePage.decode(it.body) }
+            val page = (outcome as? CallOutcome.Responded)?.takeIf { it.status == 200 }?.let { MachinePage.decode(it.body) }
             if (page == null || !mine(term)) {
                 listBusy = false
                 return@call
--- a/src/main/kotlin/burlridge/fleet/Rentals.kt
+++ b/src/main/kotlin/burlridge/fleet/Rentals.kt
@@ -1,16 +1,16 @@
 package burlridge.fleet
 
-import burlridge.core.Context
-import burlridge.core.Outcome
+import burlridge.core.StepContext
+import burlridge.core.CallOutcome
 import burlridge.json.Json
 import burlridge.leadership.Leadership
 import burlridge.store.Change
 import burlridge.store.Condition
 import burlridge.store.Row
-import burlridge.store.Store
+import burlridge.store.StoreClient
 import burlridge.store.Transaction
 import burlridge.store.TransactionResult
-import burlridge.store.Urgency
+import burlridge.store.RequestPriority
 import burlridge.worker.Workers
 
 /** One step of the fleet plan: so many machines of a type, zone and kind. */
@@ -25,7 +25,7 @@
     val offer: Offer,
     val count: Int,
 ) {
-    var stamp: Long = 0
+    var modRevision: Long = 0
     var calledAt: Double = 0.0
 
     /** Set once the cloud's answer is known, or its list has caught up with a call of unknown outcome. */
@@ -35,8 +35,8 @@
 
 /** Rentals, each claimed in a row before the cloud is called; what has an unknown outcome waits for the cloud's list. */
 internal class Rentals(
-    private val context: Context,
-    private val store: Store,
+    private val context: StepContext,
+    private val store: StoreClient,
     private val leadership: Leadership,
     private val workers: Workers,
 ) {
@@ -76,7 +76,7 @@
                 Offer(v.path("type").asText(), v.path("zone").asText(), v.path("spot").asBoolean()),
                 v.path("n").asInt(),
             )
-        rental.stamp = row.stamp
+        rental.modRevision = row.modRevision
         // Called or not, by a leader that is gone: unknown, until the list must show what came of it.
         rental.calledAt = context.now
         rentals[rental.step] = rental
@@ -91,15 +91,15 @@
                 rental.settledAt = context.now
             }
             val settled = rental.settledAt ?: continue
-            if (rental.stamp > 0 && context.now >= settled) forget(rental)
+            if (rental.modRevision > 0 && context.now >= settled) forget(rental)
         }
     }
 
     private fun forget(rental: Rental) {
-        rental.stamp = 0
-        store.ensure(
+        rental.modRevision = 0
+        store.commitUntilKnown(
             Transaction(listOf(leadership.condition()), listOf(Change.Delete("rental/${rental.step}"))),
-            Urgency.CLEANUP,
+            RequestPriority.CLEANUP,
             leadership.stillMine(leadership.term),
         ) {
             rentals.remove(rental.step)
@@ -124,15 +124,15 @@
                 put("tok", leadership.term)
             }
         val mine = leadership.stillMine(leadership.term)
-        val txn =
+        val transaction =
             Transaction(
                 listOf(leadership.condition(), Condition("rental/${rental.step}", 0)),
                 listOf(Change.Put("rental/${rental.step}", row)),
             )
-        store.ensure(txn, Urgency.CLAIM, mine) { result ->
+        store.commitUntilKnown(transaction, RequestPriority.CLAIM, mine) { result ->
             when {
-                result is TransactionResult.Done -> {
-                    rental.stamp = result.revision
+                result is TransactionResult.Committed -> {
+                    rental.modRevision = result.revision
                     order(rental, mine)
                 }
 
@@ -142,7 +142,7 @@
 
                 // An earlier copy of this very claim was applied.
                 result is TransactionResult.Conflict -> {
-                    rental.stamp = 1
+                    rental.modRevision = 1
                     order(rental, mine)
                 }
 
@@ -173,10 +173,10 @@
             "/rentals",
             Json.write(body),
             Fleet.CLOUD_TIMEOUT_S,
-            leadership.commandsLeaveBy,
+            leadership.commandDeadline,
         ) { outcome ->
             if (!mine()) return@call
-            val answer = outcome as? Outcome.Answered
+            val answer = outcome as? CallOutcome.Responded
             val names = answer?.takeIf { it.status == 200 }?.let { Json.parseOrNull(it.body)?.get("drovers") }?.takeIf { it.isArray }
             when {
                 names != null -> {
@@ -197,7 +197,7 @@
                     rental.expected = 0
                 }
 
-                outcome is Outcome.NotSent || answer?.status in REFUSALS -> {
+                outcome is CallOutcome.NotSent || answer?.status in REFUSALS -> {
                     context.info("rental ${rental.step}: refused: ${answer?.status ?: "no connection"} ${answer?.body.orEmpty()}")
                     refuse(offer)
                     rental.settledAt = context.now
--- a/src/main/kotlin/burlridge/fleet/Returns.kt
+++ b/src/main/kotlin/burlridge/fleet/Returns.kt
@@ -1,8 +1,8 @@
 package burlridge.fleet
 
 import burlridge.allocation.Ledger
-import burlridge.core.Context
-import burlridge.core.Outcome
+import burlridge.core.StepContext
+import burlridge.core.CallOutcome
 import burlridge.json.Json
 import burlridge.leadership.Leadership
 import burlridge.worker.DrainReason
@@ -11,7 +11,7 @@
 
 /** Machines that go back to the cloud: the failed, the overdue, the silent, the deaf and the idle. */
 internal class Returns(
-    private val context: Context,
+    private val context: StepContext,
     private val leadership: Leadership,
     private val ledger: Ledger,
     private val workers: Workers,
@@ -93,15 +93,15 @@
         val mine = leadership.stillMine(leadership.term)
         context.info("returning ${list.joinToString { it.id }}")
         val timeoutS = Fleet.CLOUD_TIMEOUT_S * 2
-        context.call(context.settings.cloud, "POST", "/rentals/return", Json.write(body), timeoutS, leadership.commandsLeaveBy) { outcome ->
+        context.call(context.settings.cloud, "POST", "/rentals/return", Json.write(body), timeoutS, leadership.commandDeadline) { outcome ->
             if (!mine()) return@call
-            if ((outcome as? Outcome.Answered)?.status == 200) {
+            if ((outcome as? CallOutcome.Responded)?.status == 200) {
                 list.forEach {
                     workers.gone(it, "returned")
                     if (it !in drained) rentals.returned(Offer(it.type, it.zone, it.spot))
                 }
             } else {
-                list.forEach { m -> context.later(RETRY_S) { m.returning = false } }
+                list.forEach { m -> context.schedule(RETRY_S) { m.returning = false } }
             }
         }
     }
--- a/src/main/kotlin/burlridge/leadership/Leadership.kt
+++ b/src/main/kotlin/burlridge/leadership/Leadership.kt
@@ -1,24 +1,24 @@
 package burlridge.leadership
 
-import burlridge.core.Context
 import burlridge.core.Effect
+import burlridge.core.StepContext
 import burlridge.json.Json
 import burlridge.message.FailoverStatus
 import burlridge.message.PeerMessage
 import burlridge.store.Change
 import burlridge.store.Condition
-import burlridge.store.Read
+import burlridge.store.ReadResult
+import burlridge.store.RequestPriority
 import burlridge.store.Row
-import burlridge.store.Store
+import burlridge.store.StoreClient
 import burlridge.store.Transaction
 import burlridge.store.TransactionResult
-import burlridge.store.Urgency
 import com.fasterxml.jackson.databind.JsonNode
 
 /** One leader at a time, by a tethered row and a term raised by compare-and-swap. */
 internal class Leadership(
-    private val context: Context,
-    private val store: Store,
+    private val context: StepContext,
+    private val store: StoreClient,
     private val events: Events,
 ) {
     internal interface Events {
@@ -107,10 +107,10 @@
     val leaseUntil: Double get() = renewedAt + ttlS * (1 - DRIFT) - MARGIN_S
 
     /** After this a command decided now must not leave any more, since others may have been elected; checked where it leaves. */
-    val commandsLeaveBy: Double get() = if (checksDepartures) leaseUntil else Effect.NEVER_TOO_LATE
+    val commandDeadline: Double get() = if (checksDepartures) leaseUntil else Effect.NO_DEADLINE
 
     /** The same for answers to workers and for the stops of cancelled jobs. */
-    val answersLeaveBy: Double get() = if (checksDepartures) answersUntil else Effect.NEVER_TOO_LATE
+    val responseDeadline: Double get() = if (checksDepartures) answersUntil else Effect.NO_DEADLINE
     private val checksDepartures = context.settings.operator.failover != null
 
     /** The highest term heard of. */
@@ -191,16 +191,16 @@
         context.info("leader change: term $term is over here: $reason")
         knownLeader = null
         nextPollAt = context.now
-        store.leading(false)
+        store.setLeader(false)
         events.onDeposed(term, reason)
     }
 
     private fun poll() {
         nextPollAt = context.now + ttlS / 6 * (0.8 + 0.4 * context.random.nextDouble())
-        store.get(LEADER, Urgency.LEADERSHIP) { read ->
+        store.get(LEADER, RequestPriority.LEADERSHIP) { read ->
             if (leading || campaigning) return@get
             when (read) {
-                is Read.Found -> {
+                is ReadResult.Found -> {
                     absentSince = null
                     val name =
                         read.value.value
@@ -212,7 +212,7 @@
                             read.value.value
                                 .path("term")
                                 .asLong()
-                        if (!events.onNamed(namedTerm)) campaign(read.value.stamp, "its former self led")
+                        if (!events.onNamed(namedTerm)) campaign(read.value.modRevision, "its former self led")
                     } else {
                         learn(
                             name,
@@ -220,17 +220,17 @@
                                 .path("term")
                                 .asLong(),
                         )
-                        watch(read.value.stamp)
+                        watch(read.value.modRevision)
                     }
                 }
 
-                Read.Absent -> {
+                ReadResult.Absent -> {
                     val since = absentSince ?: context.now.also { absentSince = it }
                     val first = events.defersElection() && context.now < since + ttlS / DEFER_PART
                     if (first) nextPollAt = since + ttlS / DEFER_PART else campaign(0, "the leader's lease had ended")
                 }
 
-                Read.Failed -> {
+                ReadResult.Failed -> {
                     Unit
                 }
             }
@@ -242,11 +242,11 @@
      * upgrade by a member of this version, which will not be replaced any more. Each looks a moment later than the next, so that
      * one campaigns and the others find its row.
      */
-    private fun watch(stamp: Long) {
-        if (watched == stamp) return
-        watched = stamp
-        store.follow(LEADER, stamp, ttlS * WATCH_TTLS) { status, body ->
-            if (watched != stamp) return@follow
+    private fun watch(modRevision: Long) {
+        if (watched == modRevision) return
+        watched = modRevision
+        store.watch(LEADER, modRevision, ttlS * WATCH_TTLS) { status, body ->
+            if (watched != modRevision) return@watch
             watched = 0
             val changed = status == OK && body != null && body.path("events").size() > 0
             if (changed && !leading) nextPollAt = minOf(nextPollAt, context.now + ttlS / WATCH_SPREAD * context.random.nextDouble())
@@ -263,22 +263,22 @@
         cause: String,
     ) {
         campaigning = true
-        store.get(TERM, Urgency.LEADERSHIP) { read ->
-            val found = (read as? Read.Found)?.value
-            if (read is Read.Failed) {
+        store.get(TERM, RequestPriority.LEADERSHIP) { read ->
+            val found = (read as? ReadResult.Found)?.value
+            if (read is ReadResult.Failed) {
                 campaigning = false
                 return@get
             }
             val next = (found?.value?.path("n")?.asLong() ?: 0L) + 1
             val sentAt = context.now
-            store.createLease((ttlS * 1000).toLong()) { lease ->
+            store.grantLease((ttlS * 1000).toLong()) { lease ->
                 val led = found?.value?.let(::ledLately) ?: if (found == null) emptyMap() else null
                 if (lease ==
                     null
                 ) {
                     campaigning = false
                 } else {
-                    claim(Candidacy(leaderStamp, found?.stamp ?: 0, next, lease, sentAt, led, cause))
+                    claim(Candidacy(leaderStamp, found?.modRevision ?: 0, next, lease, sentAt, led, cause))
                 }
             }
         }
@@ -298,7 +298,7 @@
 
     private fun claim(candidacy: Candidacy) {
         val next = candidacy.term
-        val txn =
+        val transaction =
             Transaction(
                 listOf(Condition(LEADER, candidacy.leaderStamp), Condition(TERM, candidacy.termStamp)),
                 listOf(
@@ -306,16 +306,16 @@
                     Change.Put(TERM, termRow(next, settings.member, candidacy.led.orEmpty())),
                 ),
             )
-        store.txn(txn, Urgency.LEADERSHIP) { result ->
+        store.commit(transaction, RequestPriority.LEADERSHIP) { result ->
             campaigning = false
-            if (result is TransactionResult.Done) {
+            if (result is TransactionResult.Committed) {
                 // Our own former self is dead; where the row tells no history, anyone may have led.
                 former = (candidacy.led?.keys ?: settings.others.mapTo(HashSet()) { it.member }) - settings.member
                 history = candidacy.led.orEmpty()
                 elected(next, result.revision, candidacy.lease, candidacy.leaseSentAt, candidacy.cause)
             } else {
                 // Where the outcome is unknown the next poll finds our own name and takes over with a further term.
-                store.dropLease(candidacy.lease)
+                store.revokeLease(candidacy.lease)
             }
         }
     }
@@ -338,7 +338,7 @@
     fun transfer(
         successor: String,
         lease: Long,
-        then: (TransferOutcome) -> Unit,
+        onResult: (TransferOutcome) -> Unit,
     ) {
         val keptMs = (answerBoundS * HISTORY_BOUNDS * MS_A_S).toLong()
         val led = (history + (settings.member to context.wallMs)).filterValues { context.wallMs - it < keptMs }
@@ -356,7 +356,7 @@
                 is TransferOutcome.Deposed -> stepDown(outcome.reason)
                 is TransferOutcome.Refused -> nextRenewAt = context.now
             }
-            then(outcome)
+            onResult(outcome)
         }
     }
 
@@ -383,7 +383,7 @@
         val led = ledBefore(termRow.value)
         former = led.keys - settings.member
         history = led
-        elected(newTerm, termRow.stamp, lease, leaseSentAt, "handed over by ${knownLeader ?: "its leader"}")
+        elected(newTerm, termRow.modRevision, lease, leaseSentAt, "handed over by ${knownLeader ?: "its leader"}")
         return true
     }
 
@@ -431,7 +431,7 @@
         silentPeers.clear()
         silentSince = 0.0
         knownLeader = settings.member
-        store.leading(true)
+        store.setLeader(true)
         context.info("leader change: ${settings.member} leads term $term: $cause")
         events.onElected(cause)
         announce()
@@ -478,7 +478,7 @@
                 knownLeader.orEmpty(),
                 leading,
                 answering,
-                store.served,
+                store.isServing,
                 unheard,
                 events.statusOfFailover(),
             )
--- a/src/main/kotlin/burlridge/leadership/LeadershipTransfer.kt
+++ b/src/main/kotlin/burlridge/leadership/LeadershipTransfer.kt
@@ -1,11 +1,11 @@
 package burlridge.leadership
 
-import burlridge.core.Context
-import burlridge.store.Read
-import burlridge.store.Store
+import burlridge.core.StepContext
+import burlridge.store.ReadResult
+import burlridge.store.RequestPriority
+import burlridge.store.StoreClient
 import burlridge.store.Transaction
 import burlridge.store.TransactionResult
-import burlridge.store.Urgency
 
 /** How a transfer of leadership ended. */
 internal sealed interface TransferOutcome {
@@ -28,8 +28,8 @@
  * term, so that of all copies one at most is carried out, and none after another election.
  */
 internal class LeadershipTransfer(
-    private val context: Context,
-    private val store: Store,
+    private val context: StepContext,
+    private val store: StoreClient,
     private val leadership: Leadership,
 ) {
     private class Attempt(
@@ -38,7 +38,7 @@
         val transaction: Transaction,
         val leaseS: Double,
         val giveUpAt: Double,
-        val then: (TransferOutcome) -> Unit,
+        val onResult: (TransferOutcome) -> Unit,
     ) {
         /** A copy of the transaction may have been carried out, or may still be. */
         var inDoubt = false
@@ -52,9 +52,9 @@
     fun begin(
         transaction: Transaction,
         leaseS: Double,
-        then: (TransferOutcome) -> Unit,
+        onResult: (TransferOutcome) -> Unit,
     ) {
-        val attempt = Attempt(leadership.term, leadership.fence, transaction, leaseS, context.now + leaseS / GIVE_UP_PART, then)
+        val attempt = Attempt(leadership.term, leadership.fence, transaction, leaseS, context.now + leaseS / GIVE_UP_PART, onResult)
         current = attempt
         send(attempt)
     }
@@ -69,15 +69,15 @@
         outcome: TransferOutcome,
     ) {
         current = null
-        attempt.then(outcome)
+        attempt.onResult(outcome)
     }
 
     /** Only in the answer to one copy is another sent or the transfer given up, so that none can leave after that. */
     private fun send(attempt: Attempt) {
-        store.txn(attempt.transaction, Urgency.LEADERSHIP, attempt.leaseS / GIVE_UP_PART) { result ->
-            if (current !== attempt) return@txn
+        store.commit(attempt.transaction, RequestPriority.LEADERSHIP, attempt.leaseS / GIVE_UP_PART) { result ->
+            if (current !== attempt) return@commit
             when (result) {
-                is TransactionResult.Done -> {
+                is TransactionResult.Committed -> {
                     end(attempt, TransferOutcome.Done)
                 }
 
@@ -87,12 +87,12 @@
                     end(attempt, TransferOutcome.Deposed(reason))
                 }
 
-                TransactionResult.Refused, TransactionResult.Unknown -> {
+                TransactionResult.Rejected, TransactionResult.Unknown -> {
                     attempt.inDoubt = attempt.inDoubt || result == TransactionResult.Unknown
                     repeatOrGiveUp(attempt)
                 }
 
-                TransactionResult.NoLease, TransactionResult.TooLarge -> {
+                TransactionResult.LeaseNotFound, TransactionResult.TooLarge -> {
                     if (attempt.inDoubt) readOutcome(attempt) else end(attempt, TransferOutcome.Refused(LEASE_ENDED))
                 }
             }
@@ -103,17 +103,31 @@
         if (!attempt.inDoubt && context.now >= attempt.giveUpAt) {
             return end(attempt, TransferOutcome.Refused("the state service refuses it"))
         }
-        context.later(attempt.leaseS / RETRIES_A_LEASE) { if (current === attempt) send(attempt) }
+        context.schedule(attempt.leaseS / RETRIES_A_LEASE) { if (current === attempt) send(attempt) }
     }
 
     /** The successor's lease is gone, so that no copy can be carried out any more; the term's row says whether one was. */
     private fun readOutcome(attempt: Attempt) {
-        store.get(Leadership.TERM, Urgency.LEADERSHIP) { read ->
+        store.get(Leadership.TERM, RequestPriority.LEADERSHIP) { read ->
             if (current !== attempt) return@get
             when {
-                read is Read.Found && read.value.stamp == attempt.fence -> end(attempt, TransferOutcome.Refused(LEASE_ENDED))
-                read is Read.Failed -> context.later(attempt.leaseS / RETRIES_A_LEASE) { if (current === attempt) readOutcome(attempt) }
-                else -> end(attempt, TransferOutcome.Deposed("its term has been passed"))
+                read is ReadResult.Found && read.value.modRevision == attempt.fence -> {
+                    end(attempt, TransferOutcome.Refused(LEASE_ENDED))
+                }
+
+                read is ReadResult.Failed -> {
+                    context.schedule(attempt.leaseS / RETRIES_A_LEASE) {
+                        if (current ===
+                            attempt
+                        ) {
+                            readOutcome(attempt)
+                        }
+                    }
+                }
+
+                else -> {
+                    end(attempt, TransferOutcome.Deposed("its term has been passed"))
+                }
             }
         }
     }
--- a/src/main/kotlin/burlridge/leadership/Versions.kt
+++ b/src/main/kotlin/burlridge/leadership/Versions.kt
@@ -1,12 +1,12 @@
 package burlridge.leadership
 
-import burlridge.core.Context
+import burlridge.core.StepContext
 import burlridge.json.Json
 import burlridge.store.Change
 import burlridge.store.Condition
-import burlridge.store.Store
+import burlridge.store.RequestPriority
+import burlridge.store.StoreClient
 import burlridge.store.Transaction
-import burlridge.store.Urgency
 
 /**
  * Who runs a version that knows gangs. Each member of such a version leaves a row that lasts, since members are replaced a few at
@@ -15,8 +15,8 @@
  * starts reads them again.
  */
 internal class Versions(
-    private val context: Context,
-    private val store: Store,
+    private val context: StepContext,
+    private val store: StoreClient,
 ) {
     private val members = context.settings.others.mapTo(HashSet()) { it.member } + context.settings.member
     private val wanted = context.settings.workers.gang != null
@@ -29,37 +29,37 @@
 
     fun tick() {
         if (!wanted || allKnowGangs || busy || context.now < nextAt) return
-        look(Urgency.CLEANUP) {}
+        look(RequestPriority.CLEANUP) {}
     }
 
     /** Tells whether all members know gangs, reading their rows where that is not certain yet; null where they cannot be read. */
-    fun ask(then: (Boolean?) -> Unit) {
-        if (allKnowGangs || !wanted) then(allKnowGangs) else look(Urgency.USER, then)
+    fun ask(onResult: (Boolean?) -> Unit) {
+        if (allKnowGangs || !wanted) onResult(allKnowGangs) else look(RequestPriority.USER, onResult)
     }
 
     private fun look(
-        urgency: Urgency,
-        then: (Boolean?) -> Unit,
+        priority: RequestPriority,
+        onResult: (Boolean?) -> Unit,
     ) {
         busy = true
         nextAt = context.now + context.settings.workers.reportS
-        store.list(PREFIX, urgency) { listing ->
+        store.list(PREFIX, priority) { listing ->
             busy = false
-            if (listing == null) return@list then(null)
+            if (listing == null) return@list onResult(null)
             val known = listing.rows.filter { it.value.path("v").asInt() >= KNOWS_GANGS }.map { it.key.removePrefix(PREFIX) }
             if (context.settings.member !in known) write()
             if (!allKnowGangs && known.containsAll(members)) {
                 allKnowGangs = true
                 context.info("every member knows gangs: they are taken from now on")
             }
-            then(allKnowGangs)
+            onResult(allKnowGangs)
         }
     }
 
     private fun write() {
         val row = Json.obj { put("v", KNOWS_GANGS) }
         val key = PREFIX + context.settings.member
-        store.txn(Transaction(listOf(Condition(key, 0)), listOf(Change.Put(key, row))), Urgency.CLEANUP) {}
+        store.commit(Transaction(listOf(Condition(key, 0)), listOf(Change.Put(key, row))), RequestPriority.CLEANUP) {}
     }
 
     private companion object {
--- a/src/main/kotlin/burlridge/net/HttpClient.kt
+++ b/src/main/kotlin/burlridge/net/HttpClient.kt
@@ -1,7 +1,7 @@
 package burlridge.net
 
+import burlridge.core.CallOutcome
 import burlridge.core.Effect
-import burlridge.core.Outcome
 import burlridge.settings.Endpoint
 import io.ktor.http.cio.parseResponse
 import kotlinx.coroutines.CancellationException
@@ -33,10 +33,10 @@
         val connection: Connection,
     )
 
-    suspend fun call(effect: Effect.Call): Outcome {
+    suspend fun call(effect: Effect.HttpCall): CallOutcome {
         if (effect.target in first) return callNow(effect)
         // Hundreds of machines that hang must not take all sockets; a call that waited in vain was never sent.
-        if (!permits.tryAcquire()) withTimeoutOrNull((effect.timeoutS * 1000).toLong()) { permits.acquire() } ?: return Outcome.NotSent
+        if (!permits.tryAcquire()) withTimeoutOrNull((effect.timeoutS * 1000).toLong()) { permits.acquire() } ?: return CallOutcome.NotSent
         return try {
             callNow(effect)
         } finally {
@@ -44,10 +44,10 @@
         }
     }
 
-    private suspend fun callNow(effect: Effect.Call): Outcome {
+    private suspend fun callNow(effect: Effect.HttpCall): CallOutcome {
         val timeoutMs = (effect.timeoutS * 1000).toLong()
         val link =
-            kept(effect.target) ?: withTimeoutOrNull(minOf(timeoutMs, CONNECT_MS)) { connect(effect.target) } ?: return Outcome.NotSent
+            kept(effect.target) ?: withTimeoutOrNull(minOf(timeoutMs, CONNECT_MS)) { connect(effect.target) } ?: return CallOutcome.NotSent
         val outcome =
             try {
                 withTimeoutOrNull(timeoutMs) { exchange(link, effect) }
@@ -58,7 +58,7 @@
                 null
             }
         if (outcome == null) link.connection.close()
-        return outcome ?: Outcome.Unknown
+        return outcome ?: CallOutcome.Unknown
     }
 
     private fun kept(target: Endpoint): Link? {
@@ -84,8 +84,8 @@
 
     private suspend fun exchange(
         link: Link,
-        effect: Effect.Call,
-    ): Outcome? {
+        effect: Effect.HttpCall,
+    ): CallOutcome? {
         val body = effect.body?.encodeToByteArray()
         val head =
             buildString {
@@ -101,7 +101,7 @@
         if (tooLate(effect)) {
             // The call waited for a place or a connection, or the process stood still: whoever decided on it may not do so any more.
             keep(link)
-            return Outcome.NotSent
+            return CallOutcome.NotSent
         }
         link.connection.write(if (body == null) head else head + body)
         val response = parseResponse(link.connection.input) ?: return null
@@ -112,13 +112,13 @@
             } else {
                 keep(link)
             }
-            return Outcome.Answered(response.status, text)
+            return CallOutcome.Responded(response.status, text)
         } finally {
             response.release()
         }
     }
 
-    private fun tooLate(effect: Effect.Call) = effect.leaveBy < System.nanoTime() / NS_A_S
+    private fun tooLate(effect: Effect.HttpCall) = effect.sendDeadline < System.nanoTime() / NS_A_S
 
     private fun keep(link: Link) {
         idle.add(link)
--- a/src/main/kotlin/burlridge/net/HttpServer.kt
+++ b/src/main/kotlin/burlridge/net/HttpServer.kt
@@ -1,7 +1,7 @@
 package burlridge.net
 
-import burlridge.core.Answer
 import burlridge.core.Effect
+import burlridge.core.HttpResponse
 import burlridge.core.Input
 import burlridge.settings.Endpoint
 import io.ktor.http.cio.Request
@@ -21,7 +21,7 @@
 ) {
     private class Waiting(
         val since: Long,
-        val answer: (Answer) -> Unit,
+        val answer: (HttpResponse) -> Unit,
     )
 
     private val log = LoggerFactory.getLogger("burlridge")
@@ -52,8 +52,8 @@
 
     private fun seconds() = System.nanoTime() / NS_A_S
 
-    fun answer(effect: Effect.Answer) {
-        waiting.remove(effect.id)?.answer?.invoke(Answer(effect.status, effect.body, effect.retryAfterS, effect.leaveBy))
+    fun answer(effect: Effect.Respond) {
+        waiting.remove(effect.id)?.answer?.invoke(HttpResponse(effect.status, effect.body, effect.retryAfterS, effect.sendDeadline))
     }
 
     /** The core answers everything in time; should it ever not, the other side still gets a final word. */
@@ -63,7 +63,7 @@
             val (id, oldest) = waiting.entries.firstOrNull() ?: return
             if (now - oldest.since < HANDLE_NS) return
             waiting.remove(id)
-            oldest.answer(Answer.unavailable("no answer in time"))
+            oldest.answer(HttpResponse.unavailable("no answer in time"))
         }
     }
 
@@ -99,10 +99,10 @@
                 val asked = request.headers["Connection"]?.contains("close", ignoreCase = true) == true
                 val body = readBody(request.headers, connection.input, MOST_BODY)
                 if (body == null) {
-                    write(connection, Answer.error(400, "the body is longer than $MOST_BODY bytes"), true)
+                    write(connection, HttpResponse.error(400, "the body is longer than $MOST_BODY bytes"), true)
                     return
                 }
-                val deferred = CompletableDeferred<Answer>()
+                val deferred = CompletableDeferred<HttpResponse>()
                 val id = nextId++
                 val since = System.nanoTime()
                 waiting[id] = Waiting(since, deferred::complete)
@@ -163,7 +163,7 @@
     private fun finish(
         connection: Connection,
         uri: String,
-        answer: Answer,
+        answer: HttpResponse,
         scope: CoroutineScope,
     ) {
         clients.answered(connection, seconds())
@@ -199,16 +199,16 @@
 
     private suspend fun write(
         connection: Connection,
-        answer: Answer,
+        answer: HttpResponse,
         close: Boolean,
     ) = connection.write(bytesOf(answer, close))
 
     /** What goes out for [answer]; where it was decided on too long ago, that it is. */
     private fun bytesOf(
-        answer: Answer,
+        answer: HttpResponse,
         close: Boolean,
     ): ByteArray {
-        if (answer.leaveBy < seconds()) return bytesOf(Answer.unavailable("answered too late"), close)
+        if (answer.sendDeadline < seconds()) return bytesOf(HttpResponse.unavailable("answered too late"), close)
         val body = answer.body.encodeToByteArray()
         val head =
             buildString {
--- a/src/main/kotlin/burlridge/peer/PeerLinks.kt
+++ b/src/main/kotlin/burlridge/peer/PeerLinks.kt
@@ -28,7 +28,7 @@
 ) {
     private class Outgoing(
         val message: PeerMessage,
-        val leaveBy: Double,
+        val sendDeadline: Double,
     )
 
     /** Where a zone is cut off from the leader another member passes on all of its reports, so the queue grows with the fleet. */
@@ -38,9 +38,9 @@
     fun send(
         member: String,
         message: PeerMessage,
-        leaveBy: Double = Effect.NEVER_TOO_LATE,
+        sendDeadline: Double = Effect.NO_DEADLINE,
     ) {
-        queues[member]?.trySend(Outgoing(message, leaveBy))
+        queues[member]?.trySend(Outgoing(message, sendDeadline))
     }
 
     fun start(scope: CoroutineScope) {
@@ -102,7 +102,7 @@
             var next = queue.receive()
             // What has gathered goes out together.
             while (true) {
-                if (next.leaveBy >= System.nanoTime() / NS_A_S) {
+                if (next.sendDeadline >= System.nanoTime() / NS_A_S) {
                     val bytes = PeerMessage.encode(next.message)
                     frames.writeInt(bytes.size)
                     frames.write(bytes)
--- a/src/main/kotlin/burlridge/peer/Peers.kt
+++ b/src/main/kotlin/burlridge/peer/Peers.kt
@@ -1,16 +1,16 @@
 package burlridge.peer
 
-import burlridge.core.Answer
-import burlridge.core.Context
 import burlridge.core.Effect
+import burlridge.core.HttpResponse
+import burlridge.core.StepContext
 import burlridge.message.PeerMessage
 import it.unimi.dsi.fastutil.longs.Long2ObjectOpenHashMap
 
 /** Links between the controllers: statuses, requests passed to the leader, and news of accepted jobs. */
 internal class Peers(
-    private val context: Context,
+    private val context: StepContext,
 ) {
-    private val asked = Long2ObjectOpenHashMap<(Answer?) -> Unit>()
+    private val asked = Long2ObjectOpenHashMap<(HttpResponse?) -> Unit>()
 
     /** Begins anywhere: a reply to a question of our former self must not meet one of ours. */
     private var nextAsk = context.random.nextLong(Long.MAX_VALUE / 2)
@@ -39,18 +39,18 @@
         path: String,
         body: String,
         patienceS: Double,
-        leaveBy: Double = Effect.NEVER_TOO_LATE,
-        then: (Answer?) -> Unit,
+        sendDeadline: Double = Effect.NO_DEADLINE,
+        onResult: (HttpResponse?) -> Unit,
     ) {
-        if (silent(member)) return then(null)
+        if (silent(member)) return onResult(null)
         val id = nextAsk++
-        asked.put(id, then)
-        context.send(member, PeerMessage.Ask(context.settings.member, id, method, path, body), leaveBy)
-        context.later(patienceS) { asked.remove(id)?.invoke(null) }
+        asked.put(id, onResult)
+        context.send(member, PeerMessage.Ask(context.settings.member, id, method, path, body), sendDeadline)
+        context.schedule(patienceS) { asked.remove(id)?.invoke(null) }
     }
 
     fun replied(reply: PeerMessage.Reply) {
-        asked.remove(reply.ask)?.invoke(Answer(reply.status, reply.body, reply.retryAfterS.takeIf { it > 0 }))
+        asked.remove(reply.ask)?.invoke(HttpResponse(reply.status, reply.body, reply.retryAfterS.takeIf { it > 0 }))
     }
 
     fun tellAccepted(job: String) {
--- a/src/main/kotlin/burlridge/placement/Fit.kt
+++ b/src/main/kotlin/burlridge/placement/Fit.kt
@@ -1,6 +1,6 @@
 package burlridge.placement
 
-import burlridge.core.Context
+import burlridge.core.StepContext
 import burlridge.fleet.Fleet
 import burlridge.job.JobSpec
 import burlridge.job.Size
@@ -8,7 +8,7 @@
 
 /** Best fit over a few sampled machines. */
 internal class Fit(
-    private val context: Context,
+    private val context: StepContext,
     private val fleet: Fleet,
 ) {
     private val sampleSize = context.settings.operator.sample
--- a/src/main/kotlin/burlridge/placement/GangPlacement.kt
+++ b/src/main/kotlin/burlridge/placement/GangPlacement.kt
@@ -4,7 +4,7 @@
 import burlridge.allocation.Claim
 import burlridge.allocation.Gangs
 import burlridge.allocation.Job
-import burlridge.core.Context
+import burlridge.core.StepContext
 import burlridge.fleet.Fleet
 import burlridge.job.JobSpec
 import burlridge.worker.Workers
@@ -14,7 +14,7 @@
  * run number is claimed for them all.
  */
 internal class GangPlacement(
-    private val context: Context,
+    private val context: StepContext,
     private val workers: Workers,
     private val fleet: Fleet,
     private val fit: Fit,
--- a/src/main/kotlin/burlridge/placement/Placement.kt
+++ b/src/main/kotlin/burlridge/placement/Placement.kt
@@ -4,7 +4,7 @@
 import burlridge.allocation.Claim
 import burlridge.allocation.Job
 import burlridge.allocation.Ledger
-import burlridge.core.Context
+import burlridge.core.StepContext
 import burlridge.fleet.Fleet
 import burlridge.fleet.Offer
 import burlridge.job.JobSpec
@@ -14,7 +14,7 @@
 
 /** Team queues served in turn by shares, and best fit over a few sampled machines. */
 internal class Placement(
-    private val context: Context,
+    private val context: StepContext,
     private val ledger: Ledger,
     private val workers: Workers,
     private val fleet: Fleet,
--- a/src/main/kotlin/burlridge/store/Store.kt
+++ b/src/main/kotlin/burlridge/store/StoreClient.kt
@@ -1,30 +1,30 @@
 package burlridge.store
 
-import burlridge.core.Context
-import burlridge.core.Outcome
+import burlridge.core.StepContext
+import burlridge.core.CallOutcome
 import burlridge.json.Json
 import com.fasterxml.jackson.databind.JsonNode
 import com.google.common.base.Utf8
 
 /** The client of the state service. Writes wait in a queue for this member's part of the shared budget. */
-internal class Store(
-    private val context: Context,
+internal class StoreClient(
+    private val context: StepContext,
 ) {
     private val settings = context.settings
 
     // Users come in bursts, and hardly to all members in the same second: each may use more than its part for a moment.
-    private val writes = Bucket(settings.store.writeRps / BURST_PART)
-    private val requests = Bucket(settings.store.rps / BURST_PART)
-    private val counters = Urgency.entries.associateWith { "store.requests.${it.name.lowercase()}" }
-    private val queues = Urgency.entries.associateWith { ArrayDeque<Waiting>() }
-    private val reads = Urgency.entries.associateWith { ArrayDeque<Waiting>() }
+    private val writes = TokenBucket(settings.store.writeRps / BURST_PART)
+    private val requests = TokenBucket(settings.store.rps / BURST_PART)
+    private val counters = RequestPriority.entries.associateWith { "store.requests.${it.name.lowercase()}" }
+    private val queues = RequestPriority.entries.associateWith { ArrayDeque<QueuedRequest>() }
+    private val reads = RequestPriority.entries.associateWith { ArrayDeque<QueuedRequest>() }
     private val lines = queues.values + reads.values
-    private var leads = false
+    private var isLeader = false
     private var lastServedAt = 0.0
     private var lastRefusedAt = -1.0
     private var pausedUntil = 0.0
 
-    private class Waiting(
+    private class QueuedRequest(
         val cost: Int,
         val since: Double,
         val patienceS: Double,
@@ -34,24 +34,24 @@
     )
 
     /** Whether the state service has lately answered this member with anything but a refusal. */
-    val served: Boolean get() = lastRefusedAt < lastServedAt || context.now - lastServedAt < CALL_TIMEOUT_S
+    val isServing: Boolean get() = lastRefusedAt < lastServedAt || context.now - lastServedAt < CALL_TIMEOUT_S
 
-    fun leading(yes: Boolean) {
-        leads = yes
+    fun setLeader(isLeader: Boolean) {
+        this.isLeader = isLeader
     }
 
     fun get(
         key: String,
-        urgency: Urgency,
-        then: (Read<Row>) -> Unit,
+        priority: RequestPriority,
+        onResult: (ReadResult<Row>) -> Unit,
     ) {
-        enqueue(urgency, 0, READ_PATIENCE_S, { then(Read.Failed) }) {
+        enqueue(priority, 0, READ_PATIENCE_S, { onResult(ReadResult.Failed) }) {
             call("GET", "/store/$key", null, CALL_TIMEOUT_S) { status, body ->
                 val value = body?.get("value")
                 when {
-                    status == 200 && value != null -> then(Read.Found(Row(key, value, body.path("stamp").asLong())))
-                    status == 404 -> then(Read.Absent)
-                    else -> then(Read.Failed)
+                    status == 200 && value != null -> onResult(ReadResult.Found(Row(key, value, body.path("stamp").asLong())))
+                    status == 404 -> onResult(ReadResult.Absent)
+                    else -> onResult(ReadResult.Failed)
                 }
             }
         }
@@ -59,86 +59,86 @@
 
     fun list(
         prefix: String,
-        urgency: Urgency,
-        then: (Listing?) -> Unit,
+        priority: RequestPriority,
+        onResult: (Listing?) -> Unit,
     ) {
-        pages(prefix, "", urgency, ArrayList(), 0L, then)
+        pages(prefix, "", priority, ArrayList(), 0L, onResult)
     }
 
     private fun pages(
         prefix: String,
         from: String,
-        urgency: Urgency,
+        priority: RequestPriority,
         rows: ArrayList<Row>,
         firstRevision: Long,
-        then: (Listing?) -> Unit,
+        onResult: (Listing?) -> Unit,
     ) {
-        page(prefix, from, PAGE, urgency) { page ->
-            if (page == null) return@page then(null)
+        listPage(prefix, from, PAGE, priority) { page ->
+            if (page == null) return@listPage onResult(null)
             rows += page.rows
             val revision = if (from.isEmpty()) page.revision else firstRevision
-            if (page.truncated) pages(prefix, rows.last().key, urgency, rows, revision, then) else then(Listing(rows, revision))
+            if (page.truncated) pages(prefix, rows.last().key, priority, rows, revision, onResult) else onResult(Listing(rows, revision))
         }
     }
 
     /** One page of the rows under [prefix], those after the key [from]; null where it cannot be read. */
-    fun page(
+    fun listPage(
         prefix: String,
         from: String,
         limit: Int,
-        urgency: Urgency,
-        then: (Page?) -> Unit,
+        priority: RequestPriority,
+        onResult: (ListPage?) -> Unit,
     ) {
-        enqueue(urgency, 0, READ_PATIENCE_S, { then(null) }) {
+        enqueue(priority, 0, READ_PATIENCE_S, { onResult(null) }) {
             val after = if (from.isEmpty()) "" else "&from=$from"
             call("GET", "/store?starts=$prefix$after&limit=$limit", null, CALL_TIMEOUT_S) { status, body ->
                 val pairs = body?.get("pairs")
                 if (status != 200 || pairs == null || !pairs.isArray) {
-                    then(null)
+                    onResult(null)
                 } else {
                     val rows = pairs.map { Row(it.path("key").asText(), it.path("value"), it.path("stamp").asLong()) }
-                    then(Page(rows, body.path("truncated").asBoolean() && rows.isNotEmpty(), body.path("ledgerRev").asLong()))
+                    onResult(ListPage(rows, body.path("truncated").asBoolean() && rows.isNotEmpty(), body.path("ledgerRev").asLong()))
                 }
             }
         }
     }
 
-    fun txn(
-        txn: Transaction,
-        urgency: Urgency,
+    fun commit(
+        transaction: Transaction,
+        priority: RequestPriority,
         patienceS: Double = WRITE_PATIENCE_S,
         onSend: () -> Unit = {},
-        then: (TransactionResult) -> Unit,
+        onResult: (TransactionResult) -> Unit,
     ) {
         val body =
             Json.write(
                 Json.obj {
-                    putArray("if").apply { txn.conditions.forEach { c -> addObject().put("key", c.key).put("stamp", c.stamp) } }
-                    putArray("then").apply { txn.ops.forEach { add(encode(it)) } }
+                    putArray("if").apply { transaction.conditions.forEach { c -> addObject().put("key", c.key).put("stamp", c.modRevision) } }
+                    putArray("then").apply { transaction.changes.forEach { add(encode(it)) } }
                 },
             )
-        val excess = excess(txn, body)
+        val excess = excess(transaction, body)
         if (excess != null) {
-            context.error("a transaction is not sent: $excess: ${txn.ops.joinToString(limit = 4) { it.key }}")
-            context.later(0.0) { then(TransactionResult.TooLarge) }
+            context.error("a transaction is not sent: $excess: ${transaction.changes.joinToString(limit = 4) { it.key }}")
+            context.schedule(0.0) { onResult(TransactionResult.TooLarge) }
             return
         }
-        enqueue(urgency, txn.ops.size, patienceS, { then(TransactionResult.Refused) }) {
+        enqueue(priority, transaction.changes.size, patienceS, { onResult(TransactionResult.Rejected) }) {
             onSend()
-            context.call(settings.state, "POST", "/multi", body, CALL_TIMEOUT_S) { outcome -> then(settle(outcome)) }
+            context.call(settings.state, "POST", "/multi", body, CALL_TIMEOUT_S) { outcome -> onResult(settle(outcome)) }
         }
     }
 
     /** The one place where every transaction meets the limits, those announced for later included; null where it keeps them. */
     private fun excess(
-        txn: Transaction,
+        transaction: Transaction,
         body: String,
     ): String? {
         val limits = settings.store
-        val largest = txn.ops.maxOfOrNull { if (it is Change.Put) bytesOf(it.value) else 0 } ?: 0
+        val largest = transaction.changes.maxOfOrNull { if (it is Change.Put) bytesOf(it.value) else 0 } ?: 0
         return when {
-            txn.ops.size > limits.changesPerTransaction -> "${txn.ops.size} changes of ${limits.changesPerTransaction}"
-            txn.conditions.size > limits.changesPerTransaction * CONDITIONS_AN_OP -> "${txn.conditions.size} conditions"
+            transaction.changes.size > limits.changesPerTransaction -> "${transaction.changes.size} changes of ${limits.changesPerTransaction}"
+            transaction.conditions.size > limits.changesPerTransaction * CONDITIONS_AN_OP -> "${transaction.conditions.size} conditions"
             largest > limits.valueBytes -> "a value of $largest bytes of ${limits.valueBytes}"
             body.length > MOST_BYTES / 2 && Utf8.encodedLength(body) > MOST_BYTES -> "more than $MOST_BYTES bytes"
             else -> null
@@ -146,7 +146,7 @@
     }
 
     /** Whether [value] may stand in a row. */
-    fun holds(value: JsonNode): Boolean = bytesOf(value) <= settings.store.valueBytes
+    fun fitsValueLimit(value: JsonNode): Boolean = bytesOf(value) <= settings.store.valueBytes
 
     private fun bytesOf(value: JsonNode): Int = Utf8.encodedLength(Json.write(value))
 
@@ -165,14 +165,14 @@
             }
         }
 
-    private fun settle(outcome: Outcome): TransactionResult {
+    private fun settle(outcome: CallOutcome): TransactionResult {
         note(outcome)
-        if (outcome is Outcome.NotSent) return TransactionResult.Refused
-        val answer = outcome as? Outcome.Answered ?: return TransactionResult.Unknown
+        if (outcome is CallOutcome.NotSent) return TransactionResult.Rejected
+        val answer = outcome as? CallOutcome.Responded ?: return TransactionResult.Unknown
         val body = Json.parseOrNull(answer.body)
         return when {
             answer.status == 200 && body != null && body.path("ledgerRev").isNumber -> {
-                TransactionResult.Done(body.path("ledgerRev").asLong())
+                TransactionResult.Committed(body.path("ledgerRev").asLong())
             }
 
             answer.status == 409 && body != null -> {
@@ -180,16 +180,16 @@
             }
 
             answer.status == 429 || answer.status == 503 -> {
-                TransactionResult.Refused
+                TransactionResult.Rejected
             }
 
             answer.status == 400 && body?.path("error")?.asText() == "no such lease" -> {
-                TransactionResult.NoLease
+                TransactionResult.LeaseNotFound
             }
 
             answer.status == 400 -> {
                 context.error("state service calls a transaction malformed: ${answer.body}")
-                TransactionResult.Refused
+                TransactionResult.Rejected
             }
 
             else -> {
@@ -199,55 +199,55 @@
     }
 
     /**
-     * Repeats [txn] until its outcome is known or [stillWanted] says no; each of our rows is written under a stamp that only one copy can match.
+     * Repeats [transaction] until its outcome is known or [stillWanted] says no; each of our rows is written under a stamp that only one copy can match.
      * [doubt] is told true while a copy may have been carried out without our knowing, and false once all that were sent are refused.
      */
-    fun ensure(
-        txn: Transaction,
-        urgency: Urgency,
+    fun commitUntilKnown(
+        transaction: Transaction,
+        priority: RequestPriority,
         stillWanted: () -> Boolean,
         doubt: (Boolean) -> Unit = {},
-        then: (TransactionResult) -> Unit,
+        onResult: (TransactionResult) -> Unit,
     ) {
-        repeated(txn, urgency, stillWanted, doubt, everUnknown = false, then)
+        repeated(transaction, priority, stillWanted, doubt, everUnknown = false, onResult)
     }
 
     private fun repeated(
-        txn: Transaction,
-        urgency: Urgency,
+        transaction: Transaction,
+        priority: RequestPriority,
         stillWanted: () -> Boolean,
         doubt: (Boolean) -> Unit,
         everUnknown: Boolean,
-        then: (TransactionResult) -> Unit,
+        onResult: (TransactionResult) -> Unit,
     ) {
-        txn(txn, urgency, PATIENT_S, { doubt(true) }) { result ->
+        commit(transaction, priority, PATIENT_S, { doubt(true) }) { result ->
             when {
                 !stillWanted() -> {
                     Unit
                 }
 
-                result is TransactionResult.Refused || result is TransactionResult.Unknown -> {
+                result is TransactionResult.Rejected || result is TransactionResult.Unknown -> {
                     val unknown = everUnknown || result is TransactionResult.Unknown
                     doubt(unknown)
-                    context.later(RETRY_S) {
-                        if (stillWanted()) repeated(txn, urgency, stillWanted, doubt, unknown, then)
+                    context.schedule(RETRY_S) {
+                        if (stillWanted()) repeated(transaction, priority, stillWanted, doubt, unknown, onResult)
                     }
                 }
 
                 else -> {
-                    then(result)
+                    onResult(result)
                 }
             }
         }
     }
 
-    fun createLease(
+    fun grantLease(
         ttlMs: Long,
-        then: (Long?) -> Unit,
+        onResult: (Long?) -> Unit,
     ) {
-        enqueue(Urgency.LEADERSHIP, 0, READ_PATIENCE_S, { then(null) }) {
+        enqueue(RequestPriority.LEADERSHIP, 0, READ_PATIENCE_S, { onResult(null) }) {
             call("POST", "/leases", "{\"ttlMs\":$ttlMs}", CALL_TIMEOUT_S) { status, body ->
-                then(if (status == 200) body?.path("tether")?.takeIf { it.isNumber }?.asLong() else null)
+                onResult(if (status == 200) body?.path("tether")?.takeIf { it.isNumber }?.asLong() else null)
             }
         }
     }
@@ -256,25 +256,25 @@
     fun renewLease(
         leaseId: Long,
         timeoutS: Double,
-        then: (Int?) -> Unit,
+        onResult: (Int?) -> Unit,
     ) {
-        call("POST", "/leases/$leaseId/renew", "", timeoutS) { status, _ -> then(status.takeIf { it == 200 || it == 404 }) }
+        call("POST", "/leases/$leaseId/renew", "", timeoutS) { status, _ -> onResult(status.takeIf { it == 200 || it == 404 }) }
     }
 
-    fun dropLease(leaseId: Long) {
+    fun revokeLease(leaseId: Long) {
         call("DELETE", "/leases/$leaseId", null, CALL_TIMEOUT_S) { _, _ -> }
     }
 
-    fun follow(
+    fun watch(
         prefix: String,
         from: Long,
         blockS: Double,
-        urgency: Urgency = Urgency.CLAIM,
-        then: (Int, JsonNode?) -> Unit,
+        priority: RequestPriority = RequestPriority.CLAIM,
+        onResult: (Int, JsonNode?) -> Unit,
     ) {
-        enqueue(urgency, 0, READ_PATIENCE_S, { then(0, null) }) {
+        enqueue(priority, 0, READ_PATIENCE_S, { onResult(0, null) }) {
             val path = "/follow?starts=$prefix&from=$from&blockMs=${(blockS * 1000).toLong()}"
-            call("GET", path, null, blockS + CALL_TIMEOUT_S, then)
+            call("GET", path, null, blockS + CALL_TIMEOUT_S, onResult)
         }
     }
 
@@ -283,16 +283,16 @@
         path: String,
         body: String?,
         timeoutS: Double,
-        then: (Int, JsonNode?) -> Unit,
+        onResult: (Int, JsonNode?) -> Unit,
     ) {
         context.call(settings.state, method, path, body, timeoutS) { outcome ->
             note(outcome)
-            if (outcome is Outcome.Answered) then(outcome.status, Json.parseOrNull(outcome.body)) else then(0, null)
+            if (outcome is CallOutcome.Responded) onResult(outcome.status, Json.parseOrNull(outcome.body)) else onResult(0, null)
         }
     }
 
-    private fun note(outcome: Outcome) {
-        val status = (outcome as? Outcome.Answered)?.status
+    private fun note(outcome: CallOutcome) {
+        val status = (outcome as? CallOutcome.Responded)?.status
         if (status == 429) {
             writes.drain()
             requests.drain()
@@ -303,7 +303,7 @@
     }
 
     private fun enqueue(
-        urgency: Urgency,
+        priority: RequestPriority,
         writes: Int,
         patienceS: Double,
         drop: () -> Unit,
@@ -317,12 +317,12 @@
             } else {
                 queues
             }
-        ).getValue(urgency).addLast(Waiting(writes, context.now, patienceS, send, drop, counters.getValue(urgency)))
+        ).getValue(priority).addLast(QueuedRequest(writes, context.now, patienceS, send, drop, counters.getValue(priority)))
         pump()
     }
 
     fun pump() {
-        val part = if (leads) LEADER_PART else (1 - LEADER_PART) / (settings.controllers - 1).coerceAtLeast(1)
+        val part = if (isLeader) LEADER_PART else (1 - LEADER_PART) / (settings.controllers - 1).coerceAtLeast(1)
         writes.refill(context.now, settings.store.writeRps * part)
         requests.refill(context.now, settings.store.rps * part)
         for (queue in lines) {
@@ -330,10 +330,10 @@
         }
         if (context.now < pausedUntil) return
         var mayWrite = true
-        for (urgency in Urgency.entries) {
+        for (priority in RequestPriority.entries) {
             // A read never waits for room to write: polls went unanswered behind a burst of submissions.
-            while (reads.getValue(urgency).isNotEmpty()) if (!sendFirst(reads.getValue(urgency))) return
-            val queue = queues.getValue(urgency)
+            while (reads.getValue(priority).isNotEmpty()) if (!sendFirst(reads.getValue(priority))) return
+            val queue = queues.getValue(priority)
             while (mayWrite && queue.isNotEmpty()) {
                 // Nothing less urgent may write before it.
                 val cost = queue.first().cost.toDouble()
@@ -347,7 +347,7 @@
         }
     }
 
-    private fun sendFirst(queue: ArrayDeque<Waiting>): Boolean {
+    private fun sendFirst(queue: ArrayDeque<QueuedRequest>): Boolean {
         if (!requests.take(1.0)) return false
         val next = queue.removeFirst()
         context.count(next.counter)
--- a/src/main/kotlin/burlridge/store/StoreMessages.kt
+++ b/src/main/kotlin/burlridge/store/StoreMessages.kt
@@ -6,12 +6,12 @@
 internal data class Row(
     val key: String,
     val value: JsonNode,
-    val stamp: Long,
+    val modRevision: Long,
 )
 
 internal data class Condition(
     val key: String,
-    val stamp: Long,
+    val modRevision: Long,
 )
 
 internal sealed interface Change {
@@ -30,11 +30,11 @@
 
 internal data class Transaction(
     val conditions: List<Condition>,
-    val ops: List<Change>,
+    val changes: List<Change>,
 )
 
 internal sealed interface TransactionResult {
-    data class Done(
+    data class Committed(
         val revision: Long,
     ) : TransactionResult
 
@@ -43,7 +43,7 @@
     ) : TransactionResult
 
     /** Definitely not executed. */
-    data object Refused : TransactionResult
+    data object Rejected : TransactionResult
 
     /** Possibly executed, or still to be executed. */
     data object Unknown : TransactionResult
@@ -52,17 +52,17 @@
     data object TooLarge : TransactionResult
 
     /** The tether is gone, whatever the conditions are. */
-    data object NoLease : TransactionResult
+    data object LeaseNotFound : TransactionResult
 }
 
-internal sealed interface Read<out T> {
+internal sealed interface ReadResult<out T> {
     data class Found<T>(
         val value: T,
-    ) : Read<T>
+    ) : ReadResult<T>
 
-    data object Absent : Read<Nothing>
+    data object Absent : ReadResult<Nothing>
 
-    data object Failed : Read<Nothing>
+    data object Failed : ReadResult<Nothing>
 }
 
 internal data class Listing(
@@ -71,7 +71,7 @@
 )
 
 /** One answer to a listing; where it is truncated, more rows follow the last one. */
-internal data class Page(
+internal data class ListPage(
     val rows: List<Row>,
     val truncated: Boolean,
     val revision: Long,
--- a/src/main/kotlin/burlridge/store/WriteBudget.kt
+++ b/src/main/kotlin/burlridge/store/TokenBucket.kt
@@ -1,7 +1,7 @@
 package burlridge.store
 
 /** A bucket of permits that refills at a rate and holds one second's worth, or [burst] where that is more. */
-internal class Bucket(
+internal class TokenBucket(
     private val burst: Double,
 ) {
     private var level = burst
@@ -30,4 +30,4 @@
 }
 
 /** Who goes first when the store's limits bind; declared from first to last. */
-internal enum class Urgency { LEADERSHIP, USER, CLAIM, FINISH, CLEANUP }
+internal enum class RequestPriority { LEADERSHIP, USER, CLAIM, FINISH, CLEANUP }
--- a/src/main/kotlin/burlridge/worker/Commands.kt
+++ b/src/main/kotlin/burlridge/worker/Commands.kt
@@ -4,15 +4,15 @@
 import burlridge.allocation.Ledger
 import burlridge.allocation.Phase
 import burlridge.allocation.Standing
-import burlridge.core.Context
-import burlridge.core.Outcome
+import burlridge.core.CallOutcome
+import burlridge.core.StepContext
 import burlridge.leadership.Leadership
 import burlridge.peer.Peers
 import burlridge.settings.Endpoint
 
 /** Commands straight to the workers, and what becomes of them. */
 internal class Commands(
-    private val context: Context,
+    private val context: StepContext,
     private val leadership: Leadership,
     private val ledger: Ledger,
     private val peers: Peers,
@@ -120,7 +120,7 @@
         deliver(machine, address, body, onlyStops = starts.isEmpty() && stops.isNotEmpty()) { outcome ->
             if (!leadership.leading || leadership.term != term || !events.knows(machine)) return@deliver
             machine.commanding = false
-            val answer = outcome as? Outcome.Answered
+            val answer = outcome as? CallOutcome.Responded
             val report = answer?.let { WorkerReport.decode(it.body) }
             when {
                 report != null && answer.status == EXECUTED -> {
@@ -135,7 +135,7 @@
                     answered(machine, report)
                 }
 
-                outcome is Outcome.NotSent || answer?.status == MALFORMED -> {
+                outcome is CallOutcome.NotSent || answer?.status == MALFORMED -> {
                     unsend(starts)
                     unreached(machine)
                 }
@@ -189,25 +189,25 @@
         address: Endpoint,
         body: String,
         onlyStops: Boolean,
-        then: (Outcome) -> Unit,
+        onResult: (CallOutcome) -> Unit,
     ) {
         val relayedBy = machine.relayedBy
         val timeoutS = times.reportS * COMMAND_PART
-        val leaveBy = if (onlyStops) leadership.answersLeaveBy else leadership.commandsLeaveBy
+        val sendDeadline = if (onlyStops) leadership.responseDeadline else leadership.commandDeadline
         val zone = machine.zone
         if (relayedBy == null) {
-            context.call(address, "POST", "/do", body, timeoutS, leaveBy) { outcome ->
-                reachability.commanded(zone, outcome is Outcome.Answered)
-                then(outcome)
+            context.call(address, "POST", "/do", body, timeoutS, sendDeadline) { outcome ->
+                reachability.commanded(zone, outcome is CallOutcome.Responded)
+                onResult(outcome)
             }
         } else {
-            peers.ask(relayedBy, "POST", Relay.COMMAND + address, body, timeoutS * 2, leaveBy) { answer ->
-                then(
+            peers.ask(relayedBy, "POST", Relay.COMMAND + address, body, timeoutS * 2, sendDeadline) { answer ->
+                onResult(
                     when {
-                        answer == null -> Outcome.Unknown
-                        answer.status == Relay.NOT_SENT -> Outcome.NotSent
-                        answer.status == Relay.UNKNOWN -> Outcome.Unknown
-                        else -> Outcome.Answered(answer.status, answer.body)
+                        answer == null -> CallOutcome.Unknown
+                        answer.status == Relay.NOT_SENT -> CallOutcome.NotSent
+                        answer.status == Relay.UNKNOWN -> CallOutcome.Unknown
+                        else -> CallOutcome.Responded(answer.status, answer.body)
                     },
                 )
             }
--- a/src/main/kotlin/burlridge/worker/MachineDrain.kt
+++ b/src/main/kotlin/burlridge/worker/MachineDrain.kt
@@ -4,11 +4,11 @@
 import burlridge.allocation.Job
 import burlridge.allocation.Ledger
 import burlridge.allocation.Phase
-import burlridge.core.Context
+import burlridge.core.StepContext
 
 /** Tasks are taken off machines that are slow or that the cloud takes back. */
 internal class MachineDrain(
-    private val context: Context,
+    private val context: StepContext,
     private val ledger: Ledger,
     private val workers: Workers,
 ) {
--- a/src/main/kotlin/burlridge/worker/Relay.kt
+++ b/src/main/kotlin/burlridge/worker/Relay.kt
@@ -1,8 +1,8 @@
 package burlridge.worker
 
-import burlridge.core.Answer
-import burlridge.core.Context
-import burlridge.core.Outcome
+import burlridge.core.CallOutcome
+import burlridge.core.HttpResponse
+import burlridge.core.StepContext
 import burlridge.json.Json
 import burlridge.peer.Peers
 import burlridge.settings.Endpoint
@@ -13,7 +13,7 @@
  * peer link, and the leader's answers, token and all, back to it.
  */
 internal class Relay(
-    private val context: Context,
+    private val context: StepContext,
     private val peers: Peers,
 ) {
     private class Seen(
@@ -28,10 +28,10 @@
     fun heartbeat(
         body: String,
         leader: String?,
-        then: (Answer) -> Unit,
+        onResult: (HttpResponse) -> Unit,
     ) {
-        if (leader == null) return then(redirect(null))
-        val report = WorkerReport.decode(body) ?: return then(Answer.error(400, "not a report"))
+        if (leader == null) return onResult(redirect(null))
+        val report = WorkerReport.decode(body) ?: return onResult(HttpResponse.error(400, "not a report"))
         val worker = report.machine
         val known = seen[worker]?.takeIf { it.leader == leader }
         val stuck = known != null && (relaying(known) || context.now < known.sentAwayAt + times.leaseS / 2)
@@ -39,24 +39,24 @@
         // for a lease tries the way once.
         val apart = known?.relayedSince == null && peers.unheard(leader, report.zone.orEmpty())
         val before = if (known != null && stuck) known else Seen(leader, context.now).also { seen[worker] = it }
-        if (!stuck && !apart) return then(redirect(leader))
+        if (!stuck && !apart) return onResult(redirect(leader))
         before.relayedSince = before.relayedSince ?: context.now
-        peers.ask(leader, "POST", "/agent/beat", body, times.reportS / 2) { answer -> then(answer ?: redirect(leader)) }
+        peers.ask(leader, "POST", "/agent/beat", body, times.reportS / 2) { answer -> onResult(answer ?: redirect(leader)) }
     }
 
     /** A command of the leader for a worker that only this member reaches; fenced by the leader's token like any other. */
     fun command(
         to: String,
         body: String,
-        then: (Answer) -> Unit,
+        onResult: (HttpResponse) -> Unit,
     ) {
-        val address = Endpoint.parseOrNull(to) ?: return then(Answer(NOT_SENT, ""))
+        val address = Endpoint.parseOrNull(to) ?: return onResult(HttpResponse(NOT_SENT, ""))
         context.call(address, "POST", "/do", body, times.reportS / 2) { outcome ->
-            then(
+            onResult(
                 when (outcome) {
-                    is Outcome.Answered -> Answer(outcome.status, outcome.body)
-                    Outcome.NotSent -> Answer(NOT_SENT, "")
-                    Outcome.Unknown -> Answer(UNKNOWN, "")
+                    is CallOutcome.Responded -> HttpResponse(outcome.status, outcome.body)
+                    CallOutcome.NotSent -> HttpResponse(NOT_SENT, "")
+                    CallOutcome.Unknown -> HttpResponse(UNKNOWN, "")
                 },
             )
         }
@@ -65,7 +65,7 @@
     /** After a lease's time a relayed worker is sent to the leader again, to see whether the way is free. */
     private fun relaying(before: Seen): Boolean = before.relayedSince?.let { context.now < it + times.leaseS } ?: false
 
-    private fun redirect(leader: String?) = Answer(421, Json.write(Json.obj { leader?.let { put("herder", it) } }))
+    private fun redirect(leader: String?) = HttpResponse(421, Json.write(Json.obj { leader?.let { put("herder", it) } }))
 
     internal companion object {
         /** Path of a command passed on, followed by the worker's address; between members only. */
--- a/src/main/kotlin/burlridge/worker/TaskOutcomes.kt
+++ b/src/main/kotlin/burlridge/worker/TaskOutcomes.kt
@@ -4,12 +4,12 @@
 import burlridge.allocation.Job
 import burlridge.allocation.Ledger
 import burlridge.allocation.Phase
-import burlridge.core.Context
+import burlridge.core.StepContext
 import burlridge.job.JobSpec
 
 /** What a report says of a claimed task, taken over into its claim and its job. */
 internal class TaskOutcomes(
-    private val context: Context,
+    private val context: StepContext,
     private val ledger: Ledger,
 ) {
     /** What a type of machine caches; set once the types are known. */
--- a/src/main/kotlin/burlridge/worker/Workers.kt
+++ b/src/main/kotlin/burlridge/worker/Workers.kt
@@ -4,8 +4,8 @@
 import burlridge.allocation.Job
 import burlridge.allocation.Ledger
 import burlridge.allocation.Phase
-import burlridge.core.Answer
-import burlridge.core.Context
+import burlridge.core.HttpResponse
+import burlridge.core.StepContext
 import burlridge.leadership.Leadership
 import burlridge.peer.Peers
 import it.unimi.dsi.fastutil.objects.Object2IntOpenHashMap
@@ -18,7 +18,7 @@
 
 /** Reports in, commands out; says when a claimed task is known to be gone from its machine. */
 internal class Workers(
-    private val context: Context,
+    private val context: StepContext,
     private val leadership: Leadership,
     private val ledger: Ledger,
     private val peers: Peers,
@@ -104,15 +104,15 @@
     fun heartbeat(
         body: String,
         relayedBy: String?,
-    ): Answer {
+    ): HttpResponse {
         context.count("worker.reports")
         val known = LastReport.nameIn(body)?.let { machines[it] }
         val again = known?.lastReport?.numberOf(body)
         if (known != null && again != null) return answer(known, relayedBy, takeAgain(known, again))
         context.count("worker.reports_read")
-        val report = WorkerReport.decode(body) ?: return Answer.error(400, "not a report")
+        val report = WorkerReport.decode(body) ?: return HttpResponse.error(400, "not a report")
         val id = report.machine
-        if (id in returned) return Answer.unavailable("this machine has been returned")
+        if (id in returned) return HttpResponse.unavailable("this machine has been returned")
         val machine = machine(id)
         val fresh = take(machine, report)
         if (fresh) machine.lastReport = LastReport.of(body, machine.tally)
@@ -135,14 +135,14 @@
         machine: Machine,
         relayedBy: String?,
         fresh: Boolean,
-    ): Answer {
+    ): HttpResponse {
         if (fresh) {
             machine.relayedBy = relayedBy
             if (relayedBy == null) reachability.heard(machine.zone)
         }
         if (machine.seenToken shr TERM_SHIFT > leadership.term) {
             leadership.stepDown("worker ${machine.id} has seen a higher token")
-            return Answer.unavailable("not the leader")
+            return HttpResponse.unavailable("not the leader")
         }
         // A report overtaken by a command's answer still renews the worker's lease when it is answered.
         machine.answeredAt = context.now
@@ -151,7 +151,7 @@
             machine.lapsed = false
         }
         val due = if (fresh && loaded) reconcileAndAnswer(machine) else emptyList()
-        return Answer(200, WorkerCommandCodec.answer(machine.token, due), leaveBy = leadership.answersLeaveBy)
+        return HttpResponse(200, WorkerCommandCodec.answer(machine.token, due), sendDeadline = leadership.responseDeadline)
     }
 
     private fun reconcileAndAnswer(machine: Machine): List<WorkerCommand> {
--- a/src/main/kotlin/burlridge/worker/ZoneReachability.kt
+++ b/src/main/kotlin/burlridge/worker/ZoneReachability.kt
@@ -1,12 +1,12 @@
 package burlridge.worker
 
-import burlridge.core.Context
+import burlridge.core.StepContext
 import it.unimi.dsi.fastutil.objects.Object2DoubleOpenHashMap
 import it.unimi.dsi.fastutil.objects.Object2IntOpenHashMap
 
 /** Which zones this leader reaches with commands, and from which it hears reports that come straight to it. */
 internal class ZoneReachability(
-    private val context: Context,
+    private val context: StepContext,
 ) {
     private val reportS = context.settings.workers.reportS
 
--- a/src/test/kotlin/burlridge/allocation/LedgerTest.kt
+++ b/src/test/kotlin/burlridge/allocation/LedgerTest.kt
@@ -1,19 +1,19 @@
 package burlridge.allocation
 
 import burlridge.app.Rehearsal
-import burlridge.core.Context
+import burlridge.core.StepContext
 import burlridge.json.Json
 import burlridge.leadership.Leadership
 import burlridge.settings.Settings
 import burlridge.store.Row
-import burlridge.store.Store
+import burlridge.store.StoreClient
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Test
 
 /** What a new leader makes of the rows that it finds. */
 internal class LedgerTest {
-    private val context = Context(Settings.parse(Rehearsal.settings()), 1)
-    private val store = Store(context)
+    private val context = StepContext(Settings.parse(Rehearsal.settings()), 1)
+    private val store = StoreClient(context)
     private val nobody =
         object : Leadership.Events {
             override fun onElected(cause: String) = Unit
--- a/src/test/kotlin/burlridge/allocation/LimitsTest.kt
+++ b/src/test/kotlin/burlridge/allocation/LimitsTest.kt
@@ -1,11 +1,11 @@
 package burlridge.allocation
 
 import burlridge.app.Rehearsal
-import burlridge.core.Context
+import burlridge.core.CallOutcome
 import burlridge.core.Effect
 import burlridge.core.Input
-import burlridge.core.Level
-import burlridge.core.Outcome
+import burlridge.core.LogLevel
+import burlridge.core.StepContext
 import burlridge.job.JobSpec
 import burlridge.json.Json
 import burlridge.leadership.Leadership
@@ -13,7 +13,7 @@
 import burlridge.sim.Clock
 import burlridge.sim.StateService
 import burlridge.store.Row
-import burlridge.store.Store
+import burlridge.store.StoreClient
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Assertions.assertTrue
 import org.junit.jupiter.api.Test
@@ -28,8 +28,8 @@
         Settings.parse(
             Rehearsal.settings().replace("\"txn_ops\":8", "\"txn_ops\":8,\"next\":{\"value_kb\":2,\"txn_ops\":4,\"write_rps\":18}"),
         )
-    private val context = Context(settings, 1)
-    private val store = Store(context)
+    private val context = StepContext(settings, 1)
+    private val store = StoreClient(context)
     private val nobody =
         object : Leadership.Events {
             override fun onElected(cause: String) = Unit
@@ -48,7 +48,7 @@
     private fun pass(seconds: Double) {
         repeat((seconds * 10).toInt()) {
             clock.runUntil(clock.now + 0.1)
-            context.begin(clock.now, (clock.now * 1000).toLong())
+            context.beginStep(clock.now, (clock.now * 1000).toLong())
             leadership.tick()
             if (leadership.leading) ledger.tick()
             context.runDue()
@@ -58,15 +58,15 @@
     }
 
     private fun answer() {
-        val calls = ArrayDeque(context.finish())
+        val calls = ArrayDeque(context.finishStep())
         while (calls.isNotEmpty()) {
             val effect = calls.removeFirst()
-            if (effect is Effect.Log && effect.level == Level.ERROR) errors += effect.text
-            val call = effect as? Effect.Call ?: continue
+            if (effect is Effect.Log && effect.level == LogLevel.ERROR) errors += effect.text
+            val call = effect as? Effect.HttpCall ?: continue
             state.handle(call.method, call.path, call.body.orEmpty()) { status, body ->
-                context.called(Input.CallDone(call.call, Outcome.Answered(status, body)))
+                context.complete(Input.CallCompleted(call.callId, CallOutcome.Responded(status, body)))
             }
-            calls += context.finish()
+            calls += context.finishStep()
         }
     }
 
@@ -88,9 +88,9 @@
     ) = state.handle("POST", "/multi", """{"if":[],"then":[{"set":"$key","value":$value}]}""") { status, _ -> assertEquals(200, status) }
 
     private fun stampOf(key: String): Long {
-        var stamp = 0L
-        state.handle("GET", "/store/$key", "") { _, body -> stamp = Json.parse(body).path("stamp").asLong() }
-        return stamp
+        var modRevision = 0L
+        state.handle("GET", "/store/$key", "") { _, body -> modRevision = Json.parse(body).path("stamp").asLong() }
+        return modRevision
     }
 
     /** Guards the end of the largest job: with its four old progress rows it has six changes, and was repeated for ever. */
--- a/src/test/kotlin/burlridge/balance/MoveTest.kt
+++ b/src/test/kotlin/burlridge/balance/MoveTest.kt
@@ -15,7 +15,7 @@
 internal class MoveTest {
     /** Steps of a move as they can be told from outside: what leaves the leader, or comes back to it. */
     private enum class Step(
-        val isIt: (Effect.Call) -> Boolean,
+        val isIt: (Effect.HttpCall) -> Boolean,
     ) {
         ROW({ it.path == "/multi" && "\"set\":\"move/" in it.body.orEmpty() }),
         STOP({ it.path == "/do" && "\"halt\"" in it.body.orEmpty() }),
--- a/src/test/kotlin/burlridge/balance/Operators.kt
+++ b/src/test/kotlin/burlridge/balance/Operators.kt
@@ -52,8 +52,8 @@
     method: String,
     path: String,
     body: String = "",
-    then: (status: Int, answer: JsonNode) -> Unit,
-) = request("operator", member, method, path, body, 5.0) { status, text -> then(status, Json.parseOrNull(text) ?: Json.obj {}) }
+    onResult: (status: Int, answer: JsonNode) -> Unit,
+) = request("operator", member, method, path, body, 5.0) { status, text -> onResult(status, Json.parseOrNull(text) ?: Json.obj {}) }
 
 /** Asks until it is accepted, as an operator would, and holds the service to it from then on. */
 internal fun World.drainZone(
--- a/src/test/kotlin/burlridge/core/LogRateLimiterTest.kt
+++ b/src/test/kotlin/burlridge/core/LogRateLimiterTest.kt
@@ -10,8 +10,8 @@
         val logRateLimiter = LogRateLimiter()
         assertEquals(20, (1..284).count { logRateLimiter.admits("machines gone", 5.0) })
         assertEquals(3, (1..3).count { logRateLimiter.admits("tasks lost", 5.4) })
-        assertEquals(emptyList<String>(), logRateLimiter.sumUp(5.9))
-        assertEquals(listOf("264 more in a second: machines gone"), logRateLimiter.sumUp(6.0))
+        assertEquals(emptyList<String>(), logRateLimiter.summarize(5.9))
+        assertEquals(listOf("264 more in a second: machines gone"), logRateLimiter.summarize(6.0))
         assertEquals(true, logRateLimiter.admits("machines gone", 6.1))
     }
 }
--- a/src/test/kotlin/burlridge/failover/StandbyReplicaTest.kt
+++ b/src/test/kotlin/burlridge/failover/StandbyReplicaTest.kt
@@ -15,9 +15,9 @@
 
     private fun row(
         key: String,
-        stamp: Long,
-        value: String = "{\"n\":$stamp}",
-    ) = Row(key, Json.parse(value), stamp)
+        modRevision: Long,
+        value: String = "{\"n\":$modRevision}",
+    ) = Row(key, Json.parse(value), modRevision)
 
     private fun apply(text: String): Applied = table.apply(Json.parse(text))
 
@@ -36,7 +36,7 @@
         assertEquals(setOf("live/1", "live/2"), before.keys)
         assertEquals(9, table.revision)
         assertTrue(table.isIntact())
-        assertEquals(listOf("live/2" to 8L, "live/3" to 6L), table.listing()?.rows?.map { it.key to it.stamp })
+        assertEquals(listOf("live/2" to 8L, "live/3" to 6L), table.listing()?.rows?.map { it.key to it.modRevision })
     }
 
     /** Each of these cannot be what the state service says it is; taken in part it would make a leader start something twice. */
--- a/src/test/kotlin/burlridge/loopback/LoopbackWorld.kt
+++ b/src/test/kotlin/burlridge/loopback/LoopbackWorld.kt
@@ -1,8 +1,8 @@
 package burlridge.loopback
 
+import burlridge.core.CallOutcome
 import burlridge.core.Effect
 import burlridge.core.Input
-import burlridge.core.Outcome
 import burlridge.job.JobSpec
 import burlridge.job.Priority
 import burlridge.job.Size
@@ -156,7 +156,7 @@
         lateinit var server: HttpServer
         server =
             HttpServer(loop, ConnectionBudget(CONNECTIONS), IDLE_S) { request ->
-                handle(request) { status, body -> server.answer(Effect.Answer(request.id, status, body, null)) }
+                handle(request) { status, body -> server.answer(Effect.Respond(request.id, status, body, null)) }
             }
         server.serve(at, scope)
     }
@@ -193,15 +193,15 @@
         path: String,
         body: String,
         timeoutS: Double,
-        then: (Int, String) -> Unit,
+        onResult: (Int, String) -> Unit,
     ) {
         val at = serveOn(members.indexOf(name))
         val askedAt = clock.now
         scope.launch {
-            val outcome = clientOf(from).call(Effect.Call(0, at, method, path, body.ifEmpty { null }, timeoutS))
-            val answer = outcome as? Outcome.Answered
+            val outcome = clientOf(from).call(Effect.HttpCall(0, at, method, path, body.ifEmpty { null }, timeoutS))
+            val answer = outcome as? CallOutcome.Responded
             if (from == USER && answer != null) remember(name, path, body, askedAt, answer)
-            then(answer?.status ?: 0, answer?.body.orEmpty())
+            onResult(answer?.status ?: 0, answer?.body.orEmpty())
         }
     }
 
@@ -210,7 +210,7 @@
         path: String,
         body: String,
         askedAt: Double,
-        answer: Outcome.Answered,
+        answer: CallOutcome.Responded,
     ) {
         val job = if (path == "/api/jobs") Json.parseOrNull(body)?.path("id")?.asText() else path.split('/').getOrNull(3)
         history.told += History.Told(job.orEmpty(), member, answer.status, standing(answer.body), askedAt, clock.now)
--- a/src/test/kotlin/burlridge/net/ClientConnectionsTest.kt
+++ b/src/test/kotlin/burlridge/net/ClientConnectionsTest.kt
@@ -1,8 +1,8 @@
 package burlridge.net
 
-import burlridge.core.Answer
+import burlridge.core.CallOutcome
 import burlridge.core.Effect
-import burlridge.core.Outcome
+import burlridge.core.HttpResponse
 import burlridge.settings.Endpoint
 import kotlinx.coroutines.CoroutineScope
 import kotlinx.coroutines.SupervisorJob
@@ -59,7 +59,7 @@
         server =
             HttpServer(loop, budget, 9.0) {
                 most = maxOf(most, server.open)
-                server.answer(Effect.Answer(it.id, if (it.path == "/agent/beat") 200 else 404, "{}", null))
+                server.answer(Effect.Respond(it.id, if (it.path == "/agent/beat") 200 else 404, "{}", null))
             }
         server.serve(at, scope)
         val workers = List(CROWD) { HttpClient(loop, scope, 1, 1, emptySet()) }
@@ -70,9 +70,9 @@
                 workers.withIndex().chunked(budget.backlog).forEach { group ->
                     group
                         .map { (i, worker) ->
-                            async { worker.call(Effect.Call(turn * CROWD + i.toLong(), at, "POST", "/agent/beat", "{}", 5.0)) }
+                            async { worker.call(Effect.HttpCall(turn * CROWD + i.toLong(), at, "POST", "/agent/beat", "{}", 5.0)) }
                         }.awaitAll()
-                        .forEach { if (it is Outcome.Answered && it.status == 200) answered++ }
+                        .forEach { if (it is CallOutcome.Responded && it.status == 200) answered++ }
                 }
             }
             loop.stop()
--- a/src/test/kotlin/burlridge/net/ConnectionTest.kt
+++ b/src/test/kotlin/burlridge/net/ConnectionTest.kt
@@ -1,7 +1,7 @@
 package burlridge.net
 
-import burlridge.core.Answer
 import burlridge.core.Effect
+import burlridge.core.HttpResponse
 import burlridge.core.Input
 import burlridge.settings.Endpoint
 import kotlinx.coroutines.CoroutineScope
@@ -36,7 +36,7 @@
     /** A server that tells each request back. */
     private fun server(): Int =
         server { server, request ->
-            server.answer(Effect.Answer(request.id, 200, "${request.method} ${request.path} ${request.body}", null))
+            server.answer(Effect.Respond(request.id, 200, "${request.method} ${request.path} ${request.body}", null))
         }
 
     @AfterEach
@@ -141,8 +141,8 @@
         val port =
             server { server, request ->
                 if (request.body == "slow") slow = request.id
-                if (request.path == "/release") server.answer(Effect.Answer(slow, 200, "slow", null))
-                if (request.body == "slow") handled.countDown() else server.answer(Effect.Answer(request.id, 200, request.body, null))
+                if (request.path == "/release") server.answer(Effect.Respond(slow, 200, "slow", null))
+                if (request.body == "slow") handled.countDown() else server.answer(Effect.Respond(request.id, 200, request.body, null))
             }
         teach(port)
         Socket(InetAddress.getLoopbackAddress(), port).use { socket ->
