--- a/src/test/kotlin/burlridge/net/EventLoopTest.kt
+++ b/src/test/kotlin/burlridge/net/EventLoopTest.kt
@@ -1,7 +1,7 @@
 package burlridge.net
 
+import burlridge.core.CallOutcome
 import burlridge.core.Effect
-import burlridge.core.Outcome
 import burlridge.settings.Endpoint
 import kotlinx.coroutines.CoroutineScope
 import kotlinx.coroutines.delay
@@ -49,7 +49,7 @@
         val received = CountDownLatch(1)
         val standsStill = CountDownLatch(1)
         val answered = CountDownLatch(1)
-        var outcome: Outcome? = null
+        var outcome: CallOutcome? = null
         ServerSocket(0, 1, InetAddress.getLoopbackAddress()).use { server ->
             thread(isDaemon = true) {
                 server.accept().use { socket ->
@@ -65,7 +65,7 @@
             val target = Endpoint("127.0.0.1", server.localPort)
             scope.launch {
                 launch {
-                    outcome = client.call(Effect.Call(1, target, "GET", "/", null, TIMEOUT_S))
+                    outcome = client.call(Effect.HttpCall(1, target, "GET", "/", null, TIMEOUT_S))
                     loop.stop()
                 }
                 // Stands still once the request is out, until the answer is there and the time is over.
@@ -76,7 +76,7 @@
             }
             loop.run()
         }
-        assertEquals(Outcome.Answered(200, "{}"), outcome)
+        assertEquals(CallOutcome.Responded(200, "{}"), outcome)
     }
 
     /** Guards the check where a call leaves: it waited for its place, or the process stood still, until it might not go any more. */
@@ -84,8 +84,8 @@
     fun `a call whose time to leave is over is never written`() {
         val loop = EventLoop()
         val scope = CoroutineScope(loop)
-        var late: Outcome? = null
-        var inTime: Outcome? = null
+        var late: CallOutcome? = null
+        var inTime: CallOutcome? = null
         val written = ArrayList<String>()
         ServerSocket(0, 1, InetAddress.getLoopbackAddress()).use { server ->
             thread(isDaemon = true) {
@@ -106,14 +106,14 @@
             val target = Endpoint("127.0.0.1", server.localPort)
             val now = System.nanoTime() / 1e9
             scope.launch {
-                late = client.call(Effect.Call(1, target, "GET", "/late", null, LONG_S, leaveBy = now - 1))
-                inTime = client.call(Effect.Call(2, target, "GET", "/in-time", null, LONG_S, leaveBy = now + LONG_S))
+                late = client.call(Effect.HttpCall(1, target, "GET", "/late", null, LONG_S, sendDeadline = now - 1))
+                inTime = client.call(Effect.HttpCall(2, target, "GET", "/in-time", null, LONG_S, sendDeadline = now + LONG_S))
                 loop.stop()
             }
             loop.run()
         }
-        assertEquals(Outcome.NotSent, late)
-        assertEquals(Outcome.Answered(200, "{}"), inTime)
+        assertEquals(CallOutcome.NotSent, late)
+        assertEquals(CallOutcome.Responded(200, "{}"), inTime)
         assertEquals(listOf("GET /in-time HTTP/1.1"), written)
     }
 
--- a/src/test/kotlin/burlridge/sim/Environment.kt
+++ b/src/test/kotlin/burlridge/sim/Environment.kt
@@ -41,6 +41,6 @@
         path: String,
         body: String,
         timeoutS: Double,
-        then: (Int, String) -> Unit,
+        onResult: (Int, String) -> Unit,
     )
 }
--- a/src/test/kotlin/burlridge/sim/StateService.kt
+++ b/src/test/kotlin/burlridge/sim/StateService.kt
@@ -10,7 +10,7 @@
 ) {
     private class Entry(
         val value: JsonNode,
-        val stamp: Long,
+        val modRevision: Long,
         val leaseId: Long?,
     )
 
@@ -155,7 +155,7 @@
         reply: (Int, String) -> Unit,
     ) {
         val entry = rows[key] ?: return reply(404, "{\"ledgerRev\":$revision}")
-        reply(200, "{\"key\":\"$key\",\"value\":${entry.value},\"stamp\":${entry.stamp}}")
+        reply(200, "{\"key\":\"$key\",\"value\":${entry.value},\"stamp\":${entry.modRevision}}")
     }
 
     private fun list(
@@ -165,17 +165,21 @@
         val prefix = query["starts"].orEmpty()
         val limit = query["limit"]?.toInt() ?: 1000
         val found = rows.filter { it.key.startsWith(prefix) && it.key > query["from"].orEmpty() }.entries
-        val page = found.take(limit).joinToString(",") { "{\"key\":\"${it.key}\",\"value\":${it.value.value},\"stamp\":${it.value.stamp}}" }
+        val page =
+            found
+                .take(
+                    limit,
+                ).joinToString(",") { "{\"key\":\"${it.key}\",\"value\":${it.value.value},\"stamp\":${it.value.modRevision}}" }
         reply(200, "{\"pairs\":[$page],\"truncated\":${found.size > limit},\"ledgerRev\":$revision}")
     }
 
     private fun multi(
-        txn: JsonNode,
+        transaction: JsonNode,
         reply: (Int, String) -> Unit,
     ) {
-        val ops = txn.path("then").toList()
-        check(txn.toString().length <= 64 * 1024) { "transaction too large" }
-        check(txn.path("if").size() <= 4 * changesPerTransaction) { "too many conditions: ${txn.path("if").size()}" }
+        val ops = transaction.path("then").toList()
+        check(transaction.toString().length <= 64 * 1024) { "transaction too large" }
+        check(transaction.path("if").size() <= 4 * changesPerTransaction) { "too many conditions: ${transaction.path("if").size()}" }
         if (ops.size > changesPerTransaction || ops.any { it.path("value").toString().length > valueBytes }) {
             refusedAsTooLarge++
             return reply(400, "{\"error\":\"too large\"}")
@@ -185,9 +189,9 @@
         writesIn.merge(clock.now.toInt(), ops.size, Int::plus)
         if (ops.any { it.has("tether") && it.path("tether").asLong() !in leases }) return reply(400, "{\"error\":\"no such lease\"}")
         val failed =
-            txn
+            transaction
                 .path("if")
-                .filter { (rows[it.path("key").asText()]?.stamp ?: 0L) != it.path("stamp").asLong() }
+                .filter { (rows[it.path("key").asText()]?.modRevision ?: 0L) != it.path("stamp").asLong() }
                 .map { it.path("key").asText() }
         if (failed.isNotEmpty()) {
             return reply(409, "{\"failed\":[${failed.joinToString(",") { "\"$it\"" }}],\"ledgerRev\":$revision}")
--- a/src/test/kotlin/burlridge/sim/World.kt
+++ b/src/test/kotlin/burlridge/sim/World.kt
@@ -1,10 +1,10 @@
 package burlridge.sim
 
 import burlridge.app.Controller
-import burlridge.core.Answer
+import burlridge.core.CallOutcome
 import burlridge.core.Effect
+import burlridge.core.HttpResponse
 import burlridge.core.Input
-import burlridge.core.Outcome
 import burlridge.job.JobSpec
 import burlridge.json.Json
 import burlridge.message.PeerMessage
@@ -103,7 +103,7 @@
     var lateS = 30.0
 
     /** Called for each call before it is carried out; a test returns what is to become of it. */
-    var meddle: (from: String, effect: Effect.Call) -> Fate = { _, _ -> Fate.FINE }
+    var meddle: (from: String, effect: Effect.HttpCall) -> Fate = { _, _ -> Fate.FINE }
 
     /** Told of everything that a member's step returns, before any of it is carried out. */
     var onEffect: (member: String, effect: Effect) -> Unit = { _, _ -> }
@@ -349,7 +349,7 @@
         name: String,
         effect: Effect,
     ) {
-        if (effect !is Effect.Call || !acts(effect)) return
+        if (effect !is Effect.HttpCall || !acts(effect)) return
         val seconds = pauses.remove(name) ?: return
         caughtMidStep++
         held[name] = ArrayList()
@@ -363,24 +363,24 @@
         name: String,
         effect: Effect,
     ) {
-        val tooLate = effect.leaveBy < clock.now
+        val tooLate = effect.sendDeadline < clock.now
         when {
             !tooLate -> {
-                if (effect is Effect.Call && acts(effect)) lateDepartures += "${effect.path} ${effect.body}"
+                if (effect is Effect.HttpCall && acts(effect)) lateDepartures += "${effect.path} ${effect.body}"
                 carryOut(name, effect)
             }
 
-            effect is Effect.Call -> {
-                clock.after(0.0) { step(name, Input.CallDone(effect.call, Outcome.NotSent)) }
+            effect is Effect.HttpCall -> {
+                clock.after(0.0) { step(name, Input.CallCompleted(effect.callId, CallOutcome.NotSent)) }
             }
 
-            effect is Effect.Answer -> {
-                carryOut(name, Effect.Answer(effect.id, 503, "{}", 1))
+            effect is Effect.Respond -> {
+                carryOut(name, Effect.Respond(effect.id, 503, "{}", 1))
             }
         }
     }
 
-    private fun acts(call: Effect.Call): Boolean {
+    private fun acts(call: Effect.HttpCall): Boolean {
         val starts = call.path == "/do" && call.body.orEmpty().contains("\"run\"")
         return starts || (call.method == "POST" && call.path.startsWith("/rentals"))
     }
@@ -389,9 +389,9 @@
     fun tell(
         name: String,
         message: PeerMessage,
-    ) = step(name, Input.FromPeer(message))
+    ) = step(name, Input.MessageReceived(message))
 
-    fun drain(name: String) = step(name, Input.Drain)
+    fun drain(name: String) = step(name, Input.DrainRequested)
 
     private fun carryOut(
         name: String,
@@ -407,7 +407,7 @@
                 Unit
             }
 
-            is Effect.Answer -> {
+            is Effect.Respond -> {
                 onAnswer(effect.status, effect.retryAfterS)
                 openRequests.remove(name to effect.id)?.invoke(effect.status, effect.body)
             }
@@ -416,12 +416,12 @@
                 log += "%8.3f %s %s".format(clock.now, name, effect.text)
             }
 
-            is Effect.Send -> {
+            is Effect.SendToPeer -> {
                 (effect.message as? PeerMessage.Ask)?.let { onAsk(it.path) }
-                if (!isCut(name, effect.member)) clock.after(peerS()) { step(effect.member, Input.FromPeer(effect.message)) }
+                if (!isCut(name, effect.member)) clock.after(peerS()) { step(effect.member, Input.MessageReceived(effect.message)) }
             }
 
-            is Effect.Call -> {
+            is Effect.HttpCall -> {
                 call(name, effect)
             }
         }
@@ -436,16 +436,16 @@
 
     private fun call(
         name: String,
-        effect: Effect.Call,
+        effect: Effect.HttpCall,
     ) {
         calls++
         val life = lives[name]
         var settled = false
 
-        fun settle(outcome: Outcome) {
+        fun settle(outcome: CallOutcome) {
             if (settled) return
             settled = true
-            if (lives[name] == life) step(name, Input.CallDone(effect.call, outcome))
+            if (lives[name] == life) step(name, Input.CallCompleted(effect.callId, outcome))
         }
         val host = host(effect.target)
         val drawn =
@@ -459,10 +459,10 @@
                 }
             }
         val fate = if (host == "nobody") Fate.REFUSED else drawn
-        clock.after(effect.timeoutS) { settle(Outcome.Unknown) }
+        clock.after(effect.timeoutS) { settle(CallOutcome.Unknown) }
         when {
             host == "state" && isRefused(name) && !effect.path.startsWith("/follow") -> {
-                clock.after(0.003) { settle(Outcome.Answered(503, "{}")) }
+                clock.after(0.003) { settle(CallOutcome.Responded(503, "{}")) }
             }
 
             isDeaf(host) || (isCut(name, host) && fate != Fate.LATE) -> {
@@ -470,12 +470,12 @@
                 if (holds && calls % 2 == 0) {
                     atEndOfCut(name, host) { deliver(host, effect) { _, _ -> } }
                 } else {
-                    clock.after(1.0) { settle(Outcome.NotSent) }
+                    clock.after(1.0) { settle(CallOutcome.NotSent) }
                 }
             }
 
             fate == Fate.REFUSED -> {
-                clock.after(0.01) { settle(Outcome.NotSent) }
+                clock.after(0.01) { settle(CallOutcome.NotSent) }
             }
 
             else -> {
@@ -485,7 +485,7 @@
                         if ((fate == Fate.FINE || fate == Fate.REPEATED) &&
                             !isCut(name, host)
                         ) {
-                            clock.after(0.003) { settle(Outcome.Answered(status, body)) }
+                            clock.after(0.003) { settle(CallOutcome.Responded(status, body)) }
                         }
                     }
                 }
@@ -495,7 +495,7 @@
 
     private fun deliver(
         host: String,
-        effect: Effect.Call,
+        effect: Effect.HttpCall,
         reply: (Int, String) -> Unit,
     ) {
         when (host) {
@@ -512,7 +512,7 @@
         path: String,
         body: String,
         timeoutS: Double,
-        then: (Int, String) -> Unit,
+        onResult: (Int, String) -> Unit,
     ) {
         var settled = false
         val askedAt = clock.now
@@ -524,7 +524,7 @@
             if (settled) return
             settled = true
             if (from == "user" && status != 0) remember(name, path, body, askedAt, status, text)
-            then(status, text)
+            onResult(status, text)
         }
         clock.after(timeoutS) { settle(0, "") }
         val cut = isCut(from, name)
--- a/src/test/kotlin/burlridge/transcript/Transcript.kt
+++ b/src/test/kotlin/burlridge/transcript/Transcript.kt
@@ -30,17 +30,17 @@
 
     private fun describe(effect: Effect): String? =
         when (effect) {
-            is Effect.Call -> {
+            is Effect.HttpCall -> {
                 val body = effect.body?.let { " $it" }.orEmpty()
                 "call ${effect.method} ${effect.target}${effect.path}$body timeout=${effect.timeoutS}${deadline(effect)}"
             }
 
-            is Effect.Answer -> {
+            is Effect.Respond -> {
                 val retryAfter = effect.retryAfterS?.let { " retry-after=$it" }.orEmpty()
                 "answer #${effect.id} ${effect.status} ${effect.body}$retryAfter${deadline(effect)}"
             }
 
-            is Effect.Send -> {
+            is Effect.SendToPeer -> {
                 "send ${effect.member} ${describe(effect.message)} ${encoded(effect.message)}${deadline(effect)}"
             }
 
@@ -54,7 +54,7 @@
         }
 
     private fun deadline(effect: Effect): String =
-        if (effect.leaveBy == Effect.NEVER_TOO_LATE) "" else " deadline=%.3f".format(effect.leaveBy)
+        if (effect.sendDeadline == Effect.NO_DEADLINE) "" else " deadline=%.3f".format(effect.sendDeadline)
 
     private fun describe(message: PeerMessage): String =
         when (message) {
