--- a/src/main/kotlin/burlridge/allocation/Job.kt
+++ b/src/main/kotlin/burlridge/allocation/Job.kt
@@ -1,19 +1,19 @@
 package burlridge.allocation
 
 import burlridge.job.JobSpec
-import burlridge.job.Size
+import burlridge.job.Resources
 import it.unimi.dsi.fastutil.ints.Int2DoubleOpenHashMap
 import it.unimi.dsi.fastutil.ints.Int2IntOpenHashMap
 import it.unimi.dsi.fastutil.ints.Int2ObjectOpenHashMap
 import java.util.BitSet
 
-internal enum class Standing(
+internal enum class JobState(
     val wire: String,
 ) {
     QUEUED("queued"),
     RUNNING("running"),
     DONE("done"),
-    WITHDRAWN("withdrawn"),
+    CANCELLED("withdrawn"),
 }
 
 /** An accepted job that is not over, as its leader knows it. */
@@ -30,19 +30,19 @@
 
     /** Keys of the progress rows there are, or may be, with the stamp of each; 0 for one not yet written. */
     val progress: LinkedHashMap<String, Long> = LinkedHashMap()
-    val claims: Int2ObjectOpenHashMap<Claim> = Int2ObjectOpenHashMap()
-    val lastRun: Int2IntOpenHashMap = Int2IntOpenHashMap()
+    val allocations: Int2ObjectOpenHashMap<Allocation> = Int2ObjectOpenHashMap()
+    val lastAttempt: Int2IntOpenHashMap = Int2IntOpenHashMap()
 
     /** The highest run number of any task; to a gang, the number of its last attempt. */
-    var highestRun: Int = 0
+    var highestAttempt: Int = 0
     val notBefore: Int2DoubleOpenHashMap = Int2DoubleOpenHashMap()
 
     /** When a task of it was last claimed, in this leader's time; null where none was. */
-    var claimedAt: Double? = null
+    var allocatedAt: Double? = null
 
     /** Set while the claims of a broken attempt are let go. */
     var breaking: Boolean = false
-    val whenOver: ArrayList<(Standing) -> Unit> = ArrayList()
+    val endListeners: ArrayList<(JobState) -> Unit> = ArrayList()
     var failures: Int = 0
     var flushing: Boolean = false
 
@@ -50,16 +50,16 @@
     var unwrittenSince: Double = 0.0
 
     /** The end that is being written, and once written, told. */
-    var ending: Standing? = null
-    var over: Standing? = null
+    var ending: JobState? = null
+    var over: JobState? = null
 
     /** Its end may have been written without our knowing: until that is settled only the rows can say whether it is over. */
     var inDoubt: Boolean = false
 
-    val standing: Standing
-        get() = over ?: if (running > 0) Standing.RUNNING else Standing.QUEUED
+    val jobState: JobState
+        get() = over ?: if (running > 0) JobState.RUNNING else JobState.QUEUED
 
-    val running: Int get() = claims.values.count { it.phase == Phase.RUNNING }
+    val running: Int get() = allocations.values.count { it.phase == AllocationPhase.RUNNING }
 
     val complete: Boolean get() = done.cardinality() == spec.tasks
 
@@ -74,17 +74,17 @@
     val usualRunS: Double? get() = if (ran >= minOf(FEW, (spec.tasks + 1) / 2)) ranS / ran else null
 
     /** Whether any of its tasks has ever been claimed. */
-    val begun: Boolean get() = !done.isEmpty || lastRun.isNotEmpty()
+    val begun: Boolean get() = !done.isEmpty || lastAttempt.isNotEmpty()
 
-    fun note(claim: Claim) {
-        lastRun.put(claim.task, maxOf(claim.run, lastRun.get(claim.task)))
-        highestRun = maxOf(highestRun, claim.run)
+    fun note(allocation: Allocation) {
+        lastAttempt.put(allocation.task, maxOf(allocation.attempt, lastAttempt.get(allocation.task)))
+        highestAttempt = maxOf(highestAttempt, allocation.attempt)
     }
 
     fun waits(
         task: Int,
         now: Double,
-    ): Boolean = !done.get(task) && !claims.containsKey(task) && notBefore.getOrDefault(task, 0.0) <= now
+    ): Boolean = !done.get(task) && !allocations.containsKey(task) && notBefore.getOrDefault(task, 0.0) <= now
 
     /** Nothing of [task] is tried again before [until]; a gang waits as a whole. */
     fun holdOff(
@@ -99,40 +99,40 @@
     }
 }
 
-internal enum class Phase {
+internal enum class AllocationPhase {
     /** The row's outcome is not known yet. */
-    CLAIMING,
+    COMMITTING,
 
     /** Claimed, and no command has left. */
-    CLAIMED,
+    COMMITTED,
 
     /** A command has left, its outcome open. */
-    SENT,
+    DISPATCHED,
 
     /** The machine has it, fetching its image. */
     FETCHING,
 
     /** It has its image and waits for the others of its gang. */
-    GATHERING,
+    AWAITING_GANG,
     RUNNING,
-    SAVING,
+    CHECKPOINTING,
     ENDED,
 }
 
 /** The intent to run one task once: job, task and run number are its key. */
-internal class Claim(
+internal class Allocation(
     val job: String,
     val task: Int,
-    val run: Int,
+    val attempt: Int,
     val machine: String,
     val session: Long,
     /** Kept with the claim: a new leader must know it before the machine's first report, or spread and one-zone jobs go astray. */
     val zone: String,
-    val charge: Charge,
-    var phase: Phase = Phase.CLAIMING,
+    val charge: QuotaCharge,
+    var phase: AllocationPhase = AllocationPhase.COMMITTING,
 ) {
     val taskName: String get() = "$job/$task"
-    var round: Round? = null
+    var batch: AllocationBatch? = null
     var lost: Boolean = false
 
     /** Its row has been written. */
@@ -140,7 +140,7 @@
 
     /** Claimed by an earlier leader. */
     var inherited: Boolean = false
-    var claimedAt: Double = 0.0
+    var allocatedAt: Double = 0.0
 
     /** When it was first reported running; null where that was before this leader's time. */
     var startedAt: Double? = null
@@ -151,20 +151,20 @@
 
     /** Its worker has answered the command to stop. */
     var stopTold: Boolean = false
-    val ended: Boolean get() = phase == Phase.ENDED
+    val ended: Boolean get() = phase == AllocationPhase.ENDED
 }
 
 /** What a claim takes, and whose limit it counts against; kept with the row since a claim can outlive its job's row. */
-internal data class Charge(
+internal data class QuotaCharge(
     val team: String,
-    val size: Size,
+    val size: Resources,
 )
 
 /** One row: the starts claimed in one placement round. [slot] is its key, claimed anew once [number] is settled. */
-internal class Round(
+internal class AllocationBatch(
     val slot: String,
     val number: String,
-    val claims: List<Claim>,
+    val allocations: List<Allocation>,
 ) {
     var modRevision: Long = 0
 
--- a/src/main/kotlin/burlridge/allocation/Ledger.kt
+++ b/src/main/kotlin/burlridge/allocation/JobRegistry.kt
@@ -2,7 +2,7 @@
 
 import burlridge.core.BoundedMap
 import burlridge.core.StepContext
-import burlridge.job.BadJob
+import burlridge.job.InvalidJobException
 import burlridge.job.JobSpec
 import burlridge.json.Json
 import burlridge.leadership.Leadership
@@ -18,7 +18,7 @@
 import java.util.BitSet
 
 /** The leader's picture of jobs and claims, each of its changes written under the fence of its term. */
-internal class Ledger(
+internal class JobRegistry(
     private val context: StepContext,
     private val store: StoreClient,
     private val leadership: Leadership,
@@ -27,46 +27,46 @@
 
     private var flushing = 0
     private var lastCleanAt = 0.0
-    val claims: Claims = Claims(context, store, leadership, jobs)
+    val allocations: AllocationTable = AllocationTable(context, store, leadership, jobs)
     private val progress = Progress(context.settings.store.valueBytes)
 
     /** Progress rows of jobs that are over, still to be removed. */
-    private val leftovers = LinkedHashSet<String>()
+    private val orphanedProgressKeys = LinkedHashSet<String>()
 
     /** Ends once told stay told; only durable ones get in here. */
     private val ends = BoundedMap<String, End>(ENDS_KEPT)
 
     data class End(
-        val standing: Standing,
+        val jobState: JobState,
         val fingerprint: String,
         val tasks: Int,
     )
 
     fun end(job: String): End? = ends[job]
 
-    fun learnEnd(
+    fun recordEnd(
         job: String,
         row: JsonNode,
     ): End? {
-        val standing = Standing.entries.firstOrNull { it.wire == row.path("st").asText() } ?: return null
-        return End(standing, row.path("fp").asText(), row.path("n").asInt()).also { ends[job] = it }
+        val jobState = JobState.entries.firstOrNull { it.wire == row.path("st").asText() } ?: return null
+        return End(jobState, row.path("fp").asText(), row.path("n").asInt()).also { ends[job] = it }
     }
 
     fun clear() {
         jobs.clear()
-        claims.clear()
+        allocations.clear()
         flushing = 0
-        leftovers.clear()
+        orphanedProgressKeys.clear()
     }
 
-    fun fence(): Condition = leadership.condition()
+    fun fenceCondition(): Condition = leadership.fenceCondition()
 
-    private fun stillMine(term: Long): () -> Boolean = leadership.stillMine(term)
+    private fun whileLeading(term: Long): () -> Boolean = leadership.whileLeading(term)
 
     /** All rows are in. */
-    fun settleLoaded() {
-        claims.settleLoaded()
-        jobs.values.toList().forEach { if (it.complete) finish(it, Standing.DONE) }
+    fun reconcileLoaded() {
+        allocations.reconcileLoaded()
+        jobs.values.toList().forEach { if (it.complete) finish(it, JobState.DONE) }
     }
 
     // --- jobs
@@ -81,7 +81,7 @@
         val spec =
             try {
                 JobSpec.parse(row.path("job"))
-            } catch (e: BadJob) {
+            } catch (e: InvalidJobException) {
                 context.error("row live/$job cannot be read: ${e.message}")
                 return null
             }
@@ -94,7 +94,7 @@
     fun loadProgress(row: Row) {
         val job = jobs[Progress.jobOf(row)]
         if (job == null) {
-            leftovers += row.key
+            orphanedProgressKeys += row.key
             return
         }
         val done = progress.decode(row) ?: return
@@ -115,20 +115,20 @@
             job.done.set(first, end)
             job.taken.set(first, end)
         }
-        if (job.complete) finish(job, Standing.DONE)
+        if (job.complete) finish(job, JobState.DONE)
     }
 
     /** Writes the end of [job]; the one transaction that moves its row decides between done and withdrawn. */
     fun finish(
         job: Job,
-        standing: Standing,
+        jobState: JobState,
     ) {
         if (job.ending != null) return
-        job.ending = standing
+        job.ending = jobState
         val id = job.spec.id
         val row =
             Json.obj {
-                put("st", standing.wire)
+                put("st", jobState.wire)
                 put("fp", job.spec.fingerprint)
                 put("n", job.spec.tasks)
             }
@@ -136,15 +136,15 @@
         val removed = job.progress.keys.take((context.settings.store.changesPerTransaction - 2).coerceAtLeast(0))
         val transaction =
             Transaction(
-                listOf(fence(), Condition("live/$id", job.modRevision), Condition("over/$id", 0)),
+                listOf(fenceCondition(), Condition("live/$id", job.modRevision), Condition("over/$id", 0)),
                 listOf(Change.Delete("live/$id"), Change.Put("over/$id", row)) + removed.map { Change.Delete(it) },
             )
-        val priority = if (standing == Standing.DONE) RequestPriority.FINISH else RequestPriority.USER
-        store.commitUntilKnown(transaction, priority, stillMine(leadership.term), { job.inDoubt = it }) { result ->
+        val priority = if (jobState == JobState.DONE) RequestPriority.FINISH else RequestPriority.USER
+        store.commitUntilKnown(transaction, priority, whileLeading(leadership.term), { job.inDoubt = it }) { result ->
             when (result) {
                 is TransactionResult.Committed -> {
                     job.progress -= removed
-                    ended(job, standing)
+                    ended(job, jobState)
                 }
 
                 is TransactionResult.Conflict -> {
@@ -167,27 +167,27 @@
     private fun readEnd(job: Job) {
         val term = leadership.term
         store.get("over/${job.spec.id}", RequestPriority.FINISH) { read ->
-            if (!stillMine(term)()) return@get
-            val end = (read as? ReadResult.Found)?.value?.value?.let { learnEnd(job.spec.id, it) }
-            if (end != null) ended(job, end.standing) else context.schedule(1.0) { if (stillMine(term)()) readEnd(job) }
+            if (!whileLeading(term)()) return@get
+            val end = (read as? ReadResult.Found)?.value?.value?.let { recordEnd(job.spec.id, it) }
+            if (end != null) ended(job, end.jobState) else context.schedule(1.0) { if (whileLeading(term)()) readEnd(job) }
         }
     }
 
     private fun ended(
         job: Job,
-        standing: Standing,
+        jobState: JobState,
     ) {
-        job.over = standing
-        ends[job.spec.id] = End(standing, job.spec.fingerprint, job.spec.tasks)
+        job.over = jobState
+        ends[job.spec.id] = End(jobState, job.spec.fingerprint, job.spec.tasks)
         jobs.remove(job.spec.id)
-        leftovers += job.progress.keys
+        orphanedProgressKeys += job.progress.keys
         // What was claimed and has not left will not be started any more.
-        job.claims.values
-            .filter { it.phase == Phase.CLAIMED }
-            .forEach { claims.release(it, lost = true) }
-        context.info("job ${job.spec.id} is ${standing.wire} after ${(context.wallMs - job.submittedMs) / 1000} s")
-        job.whenOver.forEach { it(standing) }
-        job.whenOver.clear()
+        job.allocations.values
+            .filter { it.phase == AllocationPhase.COMMITTED }
+            .forEach { allocations.release(it, lost = true) }
+        context.info("job ${job.spec.id} is ${jobState.wire} after ${(context.wallMs - job.submittedMs) / 1000} s")
+        job.endListeners.forEach { it(jobState) }
+        job.endListeners.clear()
     }
 
     // --- lazy writes
@@ -196,22 +196,22 @@
         if (context.now - lastCleanAt < CLEAN_S) return
         lastCleanAt = context.now
         jobs.values.forEach { flush(it) }
-        if (leftovers.isNotEmpty()) removeLeftovers()
-        claims.clean()
+        if (orphanedProgressKeys.isNotEmpty()) removeLeftovers()
+        allocations.clean()
     }
 
     private fun removeLeftovers() {
-        val some = leftovers.take(context.settings.store.changesPerTransaction)
-        leftovers -= some.toSet()
+        val some = orphanedProgressKeys.take(context.settings.store.changesPerTransaction)
+        orphanedProgressKeys -= some.toSet()
         store.commitUntilKnown(
             Transaction(
-                listOf(fence()),
+                listOf(fenceCondition()),
                 some.map {
                     Change.Delete(it)
                 },
             ),
             RequestPriority.CLEANUP,
-            stillMine(leadership.term),
+            whileLeading(leadership.term),
         ) { result ->
             if (result !is TransactionResult.Committed) leadership.stepDown("its term has been passed")
         }
@@ -238,9 +238,9 @@
         job.unwrittenSince = context.now
         // Under the row's own stamp: an earlier copy carried out late would else undo what a later one wrote.
         val before = job.progress.getOrPut(part.key) { 0L }
-        val conditions = listOf(fence(), Condition("live/${job.spec.id}", job.modRevision), Condition(part.key, before))
+        val conditions = listOf(fenceCondition(), Condition("live/${job.spec.id}", job.modRevision), Condition(part.key, before))
         val transaction = Transaction(conditions, listOf(Change.Put(part.key, progress.encode(job.done, part))))
-        store.commitUntilKnown(transaction, RequestPriority.FINISH, stillMine(leadership.term)) { result ->
+        store.commitUntilKnown(transaction, RequestPriority.FINISH, whileLeading(leadership.term)) { result ->
             job.flushing = false
             flushing--
             when {
@@ -265,7 +265,7 @@
         job: Job,
         key: String,
     ) {
-        val mine = stillMine(leadership.term)
+        val mine = whileLeading(leadership.term)
         job.flushing = true
         store.get(key, RequestPriority.FINISH) { read ->
             job.flushing = false
--- a/src/main/kotlin/burlridge/api/Intake.kt
+++ b/src/main/kotlin/burlridge/api/Intake.kt
@@ -1,13 +1,13 @@
 package burlridge.api
 
 import burlridge.allocation.Job
-import burlridge.allocation.Ledger
-import burlridge.allocation.Standing
+import burlridge.allocation.JobRegistry
+import burlridge.allocation.JobState
 import burlridge.core.BoundedMap
 import burlridge.core.HttpResponse
 import burlridge.core.StepContext
 import burlridge.fleet.Fleet
-import burlridge.job.BadJob
+import burlridge.job.InvalidJobException
 import burlridge.job.JobSpec
 import burlridge.json.Json
 import burlridge.leadership.Leadership
@@ -27,16 +27,16 @@
     private val context: StepContext,
     private val store: StoreClient,
     private val leadership: Leadership,
-    private val ledger: Ledger,
+    private val registry: JobRegistry,
     private val fleet: Fleet,
     private val peers: Peers,
     private val versions: Versions,
     private val onAccepted: () -> Unit,
-    private val onWithdrawn: (Job) -> Unit,
+    private val onCancelled: (Job) -> Unit,
 ) {
     /** Set once a new leader has read all rows. */
     var loaded: Boolean = false
-    private val rows = JobRows(store, ledger)
+    private val rows = JobRows(store, registry)
     private val verdict = JobValidation(context, store)
     private val decides: Boolean get() = loaded && leadership.holdsLease
 
@@ -78,7 +78,7 @@
                 )
             }
 
-            versions.allKnowGangs || ledger.end(id) != null || ledger.jobs.containsKey(id) -> {
+            versions.allKnowGangs || registry.end(id) != null || registry.jobs.containsKey(id) -> {
                 go()
             }
 
@@ -134,7 +134,7 @@
         val spec =
             try {
                 JobSpec.parse(node)
-            } catch (e: BadJob) {
+            } catch (e: InvalidJobException) {
                 refuseUnlessKnown(node, HttpResponse.error(400, e.message.orEmpty()), onResult)
                 return
             }
@@ -181,23 +181,23 @@
         when {
             found == null -> onResult(HttpResponse.unavailable("the state service does not answer"))
             found is Found.Nothing -> create(spec, onResult)
-            found.fingerprint == spec.fingerprint -> onResult(told(spec.id, found.standing))
+            found.fingerprint == spec.fingerprint -> onResult(told(spec.id, found.jobState))
             else -> onResult(changed(spec.id))
         }
     }
 
     private fun known(spec: JobSpec): HttpResponse? {
-        ledger.end(spec.id)?.let { return if (it.fingerprint == spec.fingerprint) told(spec.id, it.standing) else changed(spec.id) }
+        registry.end(spec.id)?.let { return if (it.fingerprint == spec.fingerprint) told(spec.id, it.jobState) else changed(spec.id) }
         if (!decides || undecided(spec.id)) return null
-        val job = ledger.jobs[spec.id] ?: return null
-        return if (job.spec.fingerprint == spec.fingerprint) told(spec.id, job.standing) else changed(spec.id)
+        val job = registry.jobs[spec.id] ?: return null
+        return if (job.spec.fingerprint == spec.fingerprint) told(spec.id, job.jobState) else changed(spec.id)
     }
 
     /**
      * Whether the end of [id] may be durable without this leader knowing: other members may read it and tell it, so until it is
      * settled this one goes by the rows as well.
      */
-    private fun undecided(id: String): Boolean = ledger.jobs[id]?.inDoubt == true
+    private fun undecided(id: String): Boolean = registry.jobs[id]?.inDoubt == true
 
     private fun changed(id: String) = HttpResponse.error(409, "$id has been submitted with another description")
 
@@ -221,7 +221,7 @@
             when {
                 found == null -> onResult(HttpResponse.unavailable("the state service does not answer"))
                 found is Found.Nothing -> onResult(refusal)
-                fingerprint == null || found.fingerprint == fingerprint -> onResult(told(id, found.standing))
+                fingerprint == null || found.fingerprint == fingerprint -> onResult(told(id, found.jobState))
                 else -> onResult(changed(id))
             }
         }
@@ -241,7 +241,7 @@
             when (result) {
                 is TransactionResult.Committed -> {
                     accepted(spec, row, result.revision)
-                    onResult(HttpResponse(201, standing(spec.id, Standing.QUEUED)))
+                    onResult(HttpResponse(201, jobState(spec.id, JobState.QUEUED)))
                 }
 
                 is TransactionResult.Conflict -> {
@@ -267,7 +267,7 @@
         heardAccepted(spec.id)
         peers.tellAccepted(spec.id)
         if (leadership.leading && loaded) {
-            ledger.admit(spec.id, row, modRevision)
+            registry.admit(spec.id, row, modRevision)
             onAccepted()
         }
     }
@@ -298,12 +298,12 @@
         answer: HttpResponse,
     ) {
         val body = Json.parseOrNull(answer.body) ?: return
-        val standing = body.path("standing").asText()
-        if (answer.status == 200 && (standing == Standing.DONE.wire || standing == Standing.WITHDRAWN.wire) && body.path("fp").isTextual) {
-            ledger.learnEnd(
+        val jobState = body.path("standing").asText()
+        if (answer.status == 200 && (jobState == JobState.DONE.wire || jobState == JobState.CANCELLED.wire) && body.path("fp").isTextual) {
+            registry.recordEnd(
                 id,
                 Json.obj {
-                    put("st", standing)
+                    put("st", jobState)
                     put("fp", body.path("fp").asText())
                     put("n", body.path("done").asInt())
                 },
@@ -312,8 +312,8 @@
     }
 
     private fun local(id: String): HttpResponse? {
-        ledger.end(id)?.let { return HttpResponse(200, ended(id, it)) }
-        val job = ledger.jobs[id] ?: return null
+        registry.end(id)?.let { return HttpResponse(200, ended(id, it)) }
+        val job = registry.jobs[id] ?: return null
         return if (decides && !job.inDoubt) HttpResponse(200, progress(job)) else null
     }
 
@@ -323,10 +323,21 @@
     ) {
         rows.read(id) { found ->
             when (found) {
-                null -> onResult(HttpResponse.unavailable("the state service does not answer"))
-                is Found.Nothing -> onResult(HttpResponse.error(404, "no such job"))
-                is Found.Live -> onResult(local(id) ?: HttpResponse(200, ledger.jobs[id]?.let(::progress) ?: standing(id, Standing.QUEUED)))
-                is Found.Over -> onResult(HttpResponse(200, ended(id, found.end)))
+                null -> {
+                    onResult(HttpResponse.unavailable("the state service does not answer"))
+                }
+
+                is Found.Nothing -> {
+                    onResult(HttpResponse.error(404, "no such job"))
+                }
+
+                is Found.Live -> {
+                    onResult(local(id) ?: HttpResponse(200, registry.jobs[id]?.let(::progress) ?: jobState(id, JobState.QUEUED)))
+                }
+
+                is Found.Over -> {
+                    onResult(HttpResponse(200, ended(id, found.end)))
+                }
             }
         }
     }
@@ -339,7 +350,7 @@
         onResult: (HttpResponse) -> Unit,
     ) {
         if (!JobSpec.isId(id)) return onResult(HttpResponse.error(404, "no such job"))
-        ledger.end(id)?.let { return onResult(told(id, it.standing)) }
+        registry.end(id)?.let { return onResult(told(id, it.jobState)) }
         val leader = leadership.knownLeader
         when {
             decides -> {
@@ -363,19 +374,26 @@
         id: String,
         onResult: (HttpResponse) -> Unit,
     ) {
-        val job = ledger.jobs[id]
-        if (job != null) return withdraw(job, onResult)
+        val job = registry.jobs[id]
+        if (job != null) return cancel(job, onResult)
         val term = leadership.term
         store.get("live/$id", RequestPriority.USER) { live ->
             when (live) {
                 is ReadResult.Found -> {
-                    val found = if (leadership.term == term && decides) ledger.admit(id, live.value.value, live.value.modRevision) else null
+                    val found =
+                        if (leadership.term == term &&
+                            decides
+                        ) {
+                            registry.admit(id, live.value.value, live.value.modRevision)
+                        } else {
+                            null
+                        }
                     if (found !=
                         null
                     ) {
-                        withdraw(found, onResult)
+                        cancel(found, onResult)
                     } else {
-                        onResult(ledger.end(id)?.let { told(id, it.standing) } ?: HttpResponse.unavailable("try again"))
+                        onResult(registry.end(id)?.let { told(id, it.jobState) } ?: HttpResponse.unavailable("try again"))
                     }
                 }
 
@@ -390,15 +408,15 @@
         }
     }
 
-    private fun withdraw(
+    private fun cancel(
         job: Job,
         onResult: (HttpResponse) -> Unit,
     ) {
         var told = false
-        job.whenOver += { standing ->
+        job.endListeners += { jobState ->
             if (!told) {
                 told = true
-                onResult(told(job.spec.id, standing))
+                onResult(told(job.spec.id, jobState))
             }
         }
         context.schedule(ABORT_S * 0.8) {
@@ -407,26 +425,26 @@
                 onResult(HttpResponse.unavailable("the state service has not answered"))
             }
         }
-        ledger.finish(job, Standing.WITHDRAWN)
-        onWithdrawn(job)
+        registry.finish(job, JobState.CANCELLED)
+        onCancelled(job)
     }
 
     // --- bodies
 
     private fun told(
         id: String,
-        standing: Standing,
-    ) = HttpResponse(200, standing(id, standing))
+        jobState: JobState,
+    ) = HttpResponse(200, jobState(id, jobState))
 
-    private fun standing(
+    private fun jobState(
         id: String,
-        standing: Standing,
+        jobState: JobState,
     ): String =
         Json.write(
             Json.obj {
                 put("id", id)
-                put("standing", standing.wire)
-                ledger.end(id)?.let { put("fp", it.fingerprint) }
+                put("standing", jobState.wire)
+                registry.end(id)?.let { put("fp", it.fingerprint) }
             },
         )
 
@@ -434,7 +452,7 @@
         Json.write(
             Json.obj {
                 put("id", job.spec.id)
-                put("standing", job.standing.wire)
+                put("standing", job.jobState.wire)
                 put("done", job.done.cardinality())
                 put("running", job.running)
             },
@@ -442,13 +460,13 @@
 
     private fun ended(
         id: String,
-        end: Ledger.End,
+        end: JobRegistry.End,
     ): String =
         Json.write(
             Json.obj {
                 put("id", id)
-                put("standing", end.standing.wire)
-                put("done", if (end.standing == Standing.DONE) end.tasks else 0)
+                put("standing", end.jobState.wire)
+                put("done", if (end.jobState == JobState.DONE) end.tasks else 0)
                 put("running", 0)
                 put("fp", end.fingerprint)
             },
--- a/src/main/kotlin/burlridge/api/JobRows.kt
+++ b/src/main/kotlin/burlridge/api/JobRows.kt
@@ -1,7 +1,7 @@
 package burlridge.api
 
-import burlridge.allocation.Ledger
-import burlridge.allocation.Standing
+import burlridge.allocation.JobRegistry
+import burlridge.allocation.JobState
 import burlridge.store.ReadResult
 import burlridge.store.RequestPriority
 import burlridge.store.StoreClient
@@ -9,30 +9,30 @@
 /** What the rows of a job say. */
 internal sealed interface Found {
     val fingerprint: String?
-    val standing: Standing
+    val jobState: JobState
 
     data object Nothing : Found {
         override val fingerprint: String? = null
-        override val standing: Standing = Standing.QUEUED
+        override val jobState: JobState = JobState.QUEUED
     }
 
     data class Live(
         override val fingerprint: String,
     ) : Found {
-        override val standing: Standing = Standing.QUEUED
+        override val jobState: JobState = JobState.QUEUED
     }
 
     data class Over(
-        val end: Ledger.End,
+        val end: JobRegistry.End,
     ) : Found {
         override val fingerprint: String = end.fingerprint
-        override val standing: Standing = end.standing
+        override val jobState: JobState = end.jobState
     }
 }
 
 internal class JobRows(
     private val store: StoreClient,
-    private val ledger: Ledger,
+    private val registry: JobRegistry,
 ) {
     /** The live row first: a job moves from there to its end, so one that is missed there is found here. Null when a read failed. */
     fun read(
@@ -58,7 +58,7 @@
                 ReadResult.Absent -> {
                     store.get("over/$id", RequestPriority.USER) { over ->
                         when (over) {
-                            is ReadResult.Found -> onResult(ledger.learnEnd(id, over.value.value)?.let { Found.Over(it) })
+                            is ReadResult.Found -> onResult(registry.recordEnd(id, over.value.value)?.let { Found.Over(it) })
                             ReadResult.Absent -> onResult(Found.Nothing)
                             ReadResult.Failed -> onResult(null)
                         }
--- a/src/main/kotlin/burlridge/app/Controller.kt
+++ b/src/main/kotlin/burlridge/app/Controller.kt
@@ -1,8 +1,8 @@
 package burlridge.app
 
 import burlridge.admin.AdminRequests
-import burlridge.allocation.Ledger
-import burlridge.allocation.Phase
+import burlridge.allocation.AllocationPhase
+import burlridge.allocation.JobRegistry
 import burlridge.api.Intake
 import burlridge.balance.Balance
 import burlridge.balance.BalancePorts
@@ -38,13 +38,13 @@
     private val context = StepContext(settings, seed)
     private val store = StoreClient(context)
     private val leadership = Leadership(context, store, this)
-    private val ledger = Ledger(context, store, leadership)
+    private val registry = JobRegistry(context, store, leadership)
     private val peers = Peers(context)
-    private val workers = Workers(context, leadership, ledger, peers) { placeSoon() }
-    private val fleet = Fleet(context, store, leadership, ledger, workers)
-    private val placement = Placement(context, ledger, workers, fleet)
+    private val workers = Workers(context, leadership, registry, peers) { placeSoon() }
+    private val fleet = Fleet(context, store, leadership, registry, workers)
+    private val placement = Placement(context, registry, workers, fleet)
     private val versions = Versions(context, store)
-    private val intake = Intake(context, store, leadership, ledger, fleet, peers, versions, { placeSoon() }, workers::stop)
+    private val intake = Intake(context, store, leadership, registry, fleet, peers, versions, { placeSoon() }, workers::stop)
     val work: Map<String, Long> get() = context.counters
     val leads: Boolean get() = leadership.holdsLease && intake.loaded
     private val relay = Relay(context, peers)
@@ -54,14 +54,14 @@
         }
     private val balance =
         settings.operator.balance?.let {
-            Balance(context, it, BalancePorts(store, leadership, ledger, workers, fleet, placement)) { placeSoon() }
+            Balance(context, it, BalancePorts(store, leadership, registry, workers, fleet, placement)) { placeSoon() }
         }
     private val admin =
         AdminRequests(
             failover?.let { MemberRequests(context, it, peers) },
             balance?.let { MachineRequests(context, leadership, it, peers) { intake.loaded } },
         )
-    private val rows = TermRows(context, store, leadership, ledger, fleet, failover, balance) { placeSoon() }
+    private val rows = TermRows(context, store, leadership, registry, fleet, failover, balance) { placeSoon() }
 
     /** Whether this member was asked to leave, and nothing is left for it to do. */
     val drained: Boolean get() = failover?.drained ?: true
@@ -105,7 +105,7 @@
         }
         if (leadership.leading && intake.loaded) {
             workers.tick()
-            ledger.tick()
+            registry.tick()
             if (leadership.holdsLease && !resting) {
                 balance?.tick()
                 fleet.tick()
@@ -126,7 +126,7 @@
         if (!leadership.holdsLease || !intake.loaded || resting) return
         placedAt = context.now
         balance?.mark()
-        placement.round()
+        placement.schedule()
     }
 
     // --- requests
@@ -224,7 +224,7 @@
 
             is PeerMessage.Accepted -> {
                 intake.heardAccepted(message.job)
-                if (leadership.leading && intake.loaded && !ledger.jobs.containsKey(message.job)) admit(message.job)
+                if (leadership.leading && intake.loaded && !registry.jobs.containsKey(message.job)) admit(message.job)
             }
 
             is PeerMessage.Ask -> {
@@ -242,7 +242,7 @@
         val term = leadership.term
         store.get("live/$job", RequestPriority.USER) { live ->
             if (leadership.leading && leadership.term == term && intake.loaded && live is ReadResult.Found) {
-                ledger.admit(job, live.value.value, live.value.modRevision)
+                registry.admit(job, live.value.value, live.value.modRevision)
                 placeSoon()
             }
         }
@@ -267,7 +267,7 @@
 
     private fun forget() {
         intake.loaded = false
-        ledger.clear()
+        registry.clear()
         workers.clear()
         fleet.clear()
         balance?.clear()
@@ -297,10 +297,10 @@
         workers.loaded = true
         intake.loaded = true
         // A machine known only from claims must be waited for like any other.
-        ledger.claims.byMachine.keys
+        registry.allocations.byMachine.keys
             .toList()
             .forEach { workers.machine(it) }
-        context.info("term $term: picture rebuilt, ${ledger.jobs.size} jobs, ${ledger.claims.byMachine.size} machines with claims")
+        context.info("term $term: picture rebuilt, ${registry.jobs.size} jobs, ${registry.allocations.byMachine.size} machines with claims")
         placeSoon()
     }
 
@@ -308,9 +308,9 @@
 
     override fun isAtRest(): Boolean {
         val unsent =
-            ledger.claims.byMachine.values
-                .any { claims -> claims.values.any { it.phase == Phase.CLAIMED } }
-        return ledger.claims.claiming == 0 && !unsent
+            registry.allocations.byMachine.values
+                .any { allocations -> allocations.values.any { it.phase == AllocationPhase.COMMITTED } }
+        return registry.allocations.pendingBatches == 0 && !unsent
     }
 
     override val startsSent: Long get() = context.counters.getLong(Commands.STARTS)
--- a/src/main/kotlin/burlridge/app/TermRows.kt
+++ b/src/main/kotlin/burlridge/app/TermRows.kt
@@ -1,6 +1,6 @@
 package burlridge.app
 
-import burlridge.allocation.Ledger
+import burlridge.allocation.JobRegistry
 import burlridge.balance.Balance
 import burlridge.core.StepContext
 import burlridge.failover.Failover
@@ -18,7 +18,7 @@
     private val context: StepContext,
     private val store: StoreClient,
     private val leadership: Leadership,
-    private val ledger: Ledger,
+    private val registry: JobRegistry,
     private val fleet: Fleet,
     private val failover: Failover?,
     private val balance: Balance?,
@@ -80,12 +80,12 @@
         onResult: () -> Unit,
     ) {
         val live = listings.getValue("live/")
-        live.rows.forEach { ledger.admit(it.key.substringAfter('/'), it.value, it.modRevision) }
-        listings.getValue("prog/").rows.forEach { ledger.loadProgress(it) }
-        listings.getValue("round/").rows.forEach { ledger.claims.loadRound(it) }
+        live.rows.forEach { registry.admit(it.key.substringAfter('/'), it.value, it.modRevision) }
+        listings.getValue("prog/").rows.forEach { registry.loadProgress(it) }
+        listings.getValue("round/").rows.forEach { registry.allocations.loadBatch(it) }
         listings.getValue("rental/").rows.forEach { fleet.load(it) }
         balance?.load(listings)
-        ledger.settleLoaded()
+        registry.reconcileLoaded()
         followAt = live.revision
         failover?.rowsRead(listings.values.sumOf { it.rows.size }, fromReplica)
         onResult()
@@ -101,7 +101,7 @@
                     status == OK && body != null -> {
                         body.path("events").forEach { e ->
                             val key = e.path("set").asText("")
-                            if (key.startsWith("live/")) ledger.admit(key.substringAfter('/'), e.path("value"), e.path("stamp").asLong())
+                            if (key.startsWith("live/")) registry.admit(key.substringAfter('/'), e.path("value"), e.path("stamp").asLong())
                         }
                         followAt = maxOf(followAt, body.path("ledgerRev").asLong())
                         if (body.path("events").size() > 0) onNews()
@@ -119,7 +119,7 @@
     private fun relist(term: Long) {
         store.list("live/", RequestPriority.CLAIM) { live ->
             if (live != null && mine(term)) {
-                live.rows.forEach { ledger.admit(it.key.substringAfter('/'), it.value, it.modRevision) }
+                live.rows.forEach { registry.admit(it.key.substringAfter('/'), it.value, it.modRevision) }
                 followAt = maxOf(followAt, live.revision)
             }
         }
--- a/src/main/kotlin/burlridge/balance/Balance.kt
+++ b/src/main/kotlin/burlridge/balance/Balance.kt
@@ -1,6 +1,6 @@
 package burlridge.balance
 
-import burlridge.allocation.Ledger
+import burlridge.allocation.JobRegistry
 import burlridge.core.StepContext
 import burlridge.fleet.Fleet
 import burlridge.job.JobSpec
@@ -21,7 +21,7 @@
 internal class BalancePorts(
     val store: StoreClient,
     val leadership: Leadership,
-    val ledger: Ledger,
+    val registry: JobRegistry,
     val workers: Workers,
     val fleet: Fleet,
     val placement: Placement,
@@ -38,17 +38,17 @@
     private val index = DrainIndex()
     private val drains: Drains = Drains(context, ports.store, ports.leadership, ::rebuildIndex)
     private val decisions = DecisionLog(context, settings.decisions)
-    private val moves = Moves(context, settings, ports.store, ports.leadership, ports.ledger, workers, decisions)
-    private val evacuation = Evacuation(context, settings, ports.ledger, workers, moves) { ports.placement.moveTargets() }
-    private val relief = Relief(context, settings, ports.ledger, workers, moves, decisions) { ports.placement.moveTargets() }
+    private val moves = Moves(context, settings, ports.store, ports.leadership, ports.registry, workers, decisions)
+    private val evacuation = Evacuation(context, settings, ports.registry, workers, moves) { ports.placement.moveTargets() }
+    private val relief = Relief(context, settings, ports.registry, workers, moves, decisions) { ports.placement.moveTargets() }
     private val slowStart =
-        SlowStart(context, settings, ports.ledger) { type ->
+        SlowStart(context, settings, ports.registry) { type ->
             ports.fleet.catalog
                 ?.types
                 ?.get(type)
                 ?.bootS ?: 0.0
         }
-    private val safety = DrainSafety(context.settings, ports.ledger, workers, ports.fleet)
+    private val safety = DrainSafety(context.settings, ports.registry, workers, ports.fleet)
     private val times = context.settings.workers
     private val retentionMs = (times.leaseS * RETENTION_LEASES * MS_A_S).toLong()
     private var sweepAt = 0.0
@@ -169,7 +169,7 @@
         // One that only claims name, and that has none left, is gone: nothing is ever heard of it again.
         val withTasks =
             workers.machines.values.filter {
-                !ports.ledger.claims.byMachine[it.id]
+                !ports.registry.allocations.byMachine[it.id]
                     .isNullOrEmpty()
             }
         return withTasks.none { it.type.isEmpty() || (drain.target is DrainTarget.InNetwork && it.address == null) }
--- a/src/main/kotlin/burlridge/balance/BalanceReport.kt
+++ b/src/main/kotlin/burlridge/balance/BalanceReport.kt
@@ -57,7 +57,7 @@
     ) {
         to
             .put("task", if (move.isGang) "${move.job} (gang of ${move.tasks})" else move.taskName)
-            .put("run", move.run)
+            .put("run", move.attempt)
             .put("from", move.from)
             .put("to", move.to)
             .put("time", move.count)
--- a/src/main/kotlin/burlridge/balance/Decision.kt
+++ b/src/main/kotlin/burlridge/balance/Decision.kt
@@ -23,7 +23,7 @@
         override val text: String get() {
             val what = if (move.isGang) "gang ${move.job} of ${move.tasks}" else move.taskName
             val where = move.to?.let { "to $it, where room is kept" } ?: "to wherever there is room"
-            return "$what run ${move.run} is moved from ${move.from} $where (${move.reason.wire}), move ${move.count} of it"
+            return "$what run ${move.attempt} is moved from ${move.from} $where (${move.reason.wire}), move ${move.count} of it"
         }
     }
 
--- a/src/main/kotlin/burlridge/balance/DrainSafety.kt
+++ b/src/main/kotlin/burlridge/balance/DrainSafety.kt
@@ -1,7 +1,7 @@
 package burlridge.balance
 
 import burlridge.allocation.Job
-import burlridge.allocation.Ledger
+import burlridge.allocation.JobRegistry
 import burlridge.fleet.Fleet
 import burlridge.job.JobSpec
 import burlridge.settings.Settings
@@ -11,7 +11,7 @@
 /** Says what is wrong with a drain before it is begun. */
 internal class DrainSafety(
     settings: Settings,
-    private val ledger: Ledger,
+    private val registry: JobRegistry,
     private val workers: Workers,
     private val fleet: Fleet,
 ) {
@@ -54,7 +54,7 @@
             return "it takes the last machine, and ${guaranteed.sorted().joinToString()} is guaranteed room; force it if that is meant"
         }
         val stranded =
-            ledger.jobs.values.firstOrNull {
+            registry.jobs.values.firstOrNull {
                 isOwedRoom(it) && leaving.any { m -> holds(m, it.spec) } &&
                     staying.none { m -> holds(m, it.spec) }
             }
--- a/src/main/kotlin/burlridge/balance/Drains.kt
+++ b/src/main/kotlin/burlridge/balance/Drains.kt
@@ -135,10 +135,10 @@
         entry.writing = next
         val transaction =
             Transaction(
-                listOf(leadership.condition(), Condition(next.rowKey, next.modRevision)),
+                listOf(leadership.fenceCondition(), Condition(next.rowKey, next.modRevision)),
                 listOf(Change.Put(next.rowKey, next.encode())),
             )
-        store.commitUntilKnown(transaction, RequestPriority.CLAIM, leadership.stillMine(leadership.term)) { result ->
+        store.commitUntilKnown(transaction, RequestPriority.CLAIM, leadership.whileLeading(leadership.term)) { result ->
             when {
                 result is TransactionResult.Committed -> written(entry, next.copy(modRevision = result.revision))
                 result is TransactionResult.Conflict && Leadership.TERM in result.failed -> leadership.stepDown(TERM_PASSED)
@@ -153,7 +153,7 @@
         entry: Entry,
         next: Drain,
     ) {
-        val mine = leadership.stillMine(leadership.term)
+        val mine = leadership.whileLeading(leadership.term)
         store.get(next.rowKey, RequestPriority.CLAIM) { read ->
             val row = (read as? ReadResult.Found)?.value
             when {
@@ -193,8 +193,11 @@
         val entry = entries[drain.rowKey]?.takeIf { it.writing == null && it.drain == drain } ?: return
         entry.writing = drain
         val transaction =
-            Transaction(listOf(leadership.condition(), Condition(drain.rowKey, drain.modRevision)), listOf(Change.Delete(drain.rowKey)))
-        store.commitUntilKnown(transaction, RequestPriority.CLEANUP, leadership.stillMine(leadership.term)) { result ->
+            Transaction(
+                listOf(leadership.fenceCondition(), Condition(drain.rowKey, drain.modRevision)),
+                listOf(Change.Delete(drain.rowKey)),
+            )
+        store.commitUntilKnown(transaction, RequestPriority.CLEANUP, leadership.whileLeading(leadership.term)) { result ->
             when {
                 result is TransactionResult.Conflict && Leadership.TERM in result.failed -> leadership.stepDown(TERM_PASSED)
 
--- a/src/main/kotlin/burlridge/balance/Evacuation.kt
+++ b/src/main/kotlin/burlridge/balance/Evacuation.kt
@@ -1,10 +1,10 @@
 package burlridge.balance
 
-import burlridge.allocation.Claim
+import burlridge.allocation.Allocation
 import burlridge.allocation.Job
-import burlridge.allocation.Ledger
-import burlridge.allocation.Phase
-import burlridge.allocation.Standing
+import burlridge.allocation.JobRegistry
+import burlridge.allocation.AllocationPhase
+import burlridge.allocation.JobState
 import burlridge.core.StepContext
 import burlridge.placement.MoveTargets
 import burlridge.settings.BalanceSettings
@@ -45,7 +45,7 @@
 internal class Evacuation(
     private val context: StepContext,
     private val settings: BalanceSettings,
-    private val ledger: Ledger,
+    private val registry: JobRegistry,
     private val workers: Workers,
     private val moves: Moves,
     private val targets: () -> MoveTargets,
@@ -68,11 +68,11 @@
             here.machines++
             if (machine.drainReason != DrainReason.OPERATOR) continue
             workers.withdrawUnsent(machine, "never sent, and its machine is drained")
-            for (claim in ledger.claims.byMachine[machine.id]
+            for (allocation in registry.allocations.byMachine[machine.id]
                 ?.values
                 .orEmpty()) {
-                val job = ledger.jobs[claim.job]?.takeIf { it.ending != Standing.WITHDRAWN } ?: continue
-                here.stays(sweep.look(machine, job, claim))
+                val job = registry.jobs[allocation.job]?.takeIf { it.ending != JobState.CANCELLED } ?: continue
+                here.stays(sweep.look(machine, job, allocation))
             }
         }
         sweep.finish()
@@ -88,23 +88,23 @@
         fun look(
             machine: Machine,
             job: Job,
-            claim: Claim,
+            allocation: Allocation,
         ): StayReason =
             when {
-                claim.phase <= Phase.CLAIMED -> StayReason.NOT_YET
-                claim.stopGraceS != null || claim.phase == Phase.SAVING || claim.job in gangs -> StayReason.STOPPING
+                allocation.phase <= AllocationPhase.COMMITTED -> StayReason.NOT_YET
+                allocation.stopGraceS != null || allocation.phase == AllocationPhase.CHECKPOINTING || allocation.job in gangs -> StayReason.STOPPING
                 workers.silent(machine) || !machine.hears || machine.lapsed -> StayReason.UNHEARD
-                endsSoon(job, claim) -> StayReason.FINISHING
-                else -> tryMove(machine, job, claim)
+                endsSoon(job, allocation) -> StayReason.FINISHING
+                else -> tryMove(machine, job, allocation)
             }
 
         private fun tryMove(
             machine: Machine,
             job: Job,
-            claim: Claim,
+            allocation: Allocation,
         ): StayReason {
-            val task = if (job.spec.gang) Move.WHOLE_GANG else claim.task
-            val taskName = "${claim.job}/$task"
+            val task = if (job.spec.gang) Move.WHOLE_GANG else allocation.task
+            val taskName = "${allocation.job}/$task"
             val permission = settings.permission(job.spec.jobClass)
             val count = moves.countOf(taskName) + 1
             return when {
@@ -113,27 +113,27 @@
                 permission == MovePermission.SAVED && job.spec.checkpointS <= 0 -> StayReason.DOES_NOT_SAVE
                 count > settings.movesPerTask -> StayReason.MOVED_OFTEN
                 moves.writing || planned.size >= moves.mostPerRow -> StayReason.OVER_BUDGET
-                else -> plan(machine, job, claim, task, count)
+                else -> plan(machine, job, allocation, task, count)
             }
         }
 
         private fun plan(
             machine: Machine,
             job: Job,
-            claim: Claim,
+            allocation: Allocation,
             task: Int,
             count: Int,
         ): StayReason {
             val spec = job.spec
             val tasks = if (spec.gang) spec.tasks else 1
-            val move = Move(claim.job, task, claim.run, spec.team, spec.jobClass, machine.id, null, count, tasks)
+            val move = Move(allocation.job, task, allocation.attempt, spec.team, spec.jobClass, machine.id, null, count, tasks)
             if (!moves.permits(move)) return StayReason.OVER_BUDGET
             // A gang finds its seats only once it is gone: no room is kept for it.
-            val target = if (spec.gang) null else room.take(job, claim)
+            val target = if (spec.gang) null else room.take(job, allocation)
             if (target == null && !spec.gang && !waitedLong(move.taskName)) return StayReason.NO_ROOM
             moves.spend(move)
             planned += move.copy(to = target?.id)
-            if (spec.gang) gangs += claim.job
+            if (spec.gang) gangs += allocation.job
             return StayReason.STOPPING
         }
 
@@ -152,10 +152,10 @@
     /** Whether its run surely ends within the operators' limit, by those of its job that have ended or by its owner's estimate. */
     private fun endsSoon(
         job: Job,
-        claim: Claim,
+        allocation: Allocation,
     ): Boolean {
         // Of a task that an earlier leader started, what is known is that it has run since this one knows of it.
-        val since = claim.startedAt ?: claim.claimedAt.takeIf { claim.inherited && claim.phase == Phase.RUNNING }
+        val since = allocation.startedAt ?: allocation.allocatedAt.takeIf { allocation.inherited && allocation.phase == AllocationPhase.RUNNING }
         val ranS = since?.let { context.now - it } ?: 0.0
         val leftS = (job.usualRunS ?: job.spec.estimateS) * UNSURE - ranS
         return leftS in 0.0..finishS
--- a/src/main/kotlin/burlridge/balance/Move.kt
+++ b/src/main/kotlin/burlridge/balance/Move.kt
@@ -23,7 +23,7 @@
 internal data class Move(
     val job: String,
     val task: Int,
-    val run: Int,
+    val attempt: Int,
     val team: String,
     val jobClass: String,
     val from: String,
@@ -66,7 +66,7 @@
                     list
                         .addArray()
                         .add(it.task)
-                        .add(it.run)
+                        .add(it.attempt)
                         .add(it.from)
                         .add(it.to)
                         .add(it.count)
--- a/src/main/kotlin/burlridge/balance/Moves.kt
+++ b/src/main/kotlin/burlridge/balance/Moves.kt
@@ -1,10 +1,11 @@
 package burlridge.balance
 
-import burlridge.allocation.Claim
-import burlridge.allocation.Gangs
+import burlridge.allocation.GangState
+import burlridge.allocation.Allocation
+import burlridge.allocation.GangRules
 import burlridge.allocation.Job
-import burlridge.allocation.Ledger
-import burlridge.allocation.Standing
+import burlridge.allocation.JobRegistry
+import burlridge.allocation.JobState
 import burlridge.core.StepContext
 import burlridge.leadership.Leadership
 import burlridge.placement.KeptRoom
@@ -28,7 +29,7 @@
     private val settings: BalanceSettings,
     private val store: StoreClient,
     private val leadership: Leadership,
-    private val ledger: Ledger,
+    private val registry: JobRegistry,
     private val workers: Workers,
     private val decisions: DecisionLog,
 ) {
@@ -83,7 +84,7 @@
             budget.spend(move, batch.plannedMs)
             counts.merge(move.taskName, move.count, ::maxOf)
             val before = open[move.taskName]
-            if (before == null || before.move.run < move.run) open[move.taskName] = Open(move, batch)
+            if (before == null || before.move.attempt < move.attempt) open[move.taskName] = Open(move, batch)
         }
     }
 
@@ -113,13 +114,13 @@
         )
         val transaction =
             Transaction(
-                listOf(leadership.condition(), Condition(batch.key, 0)),
+                listOf(leadership.fenceCondition(), Condition(batch.key, 0)),
                 listOf(Change.Put(batch.key, batch.encode())),
             )
         store.commitUntilKnown(
             transaction,
             RequestPriority.CLAIM,
-            leadership.stillMine(leadership.term),
+            leadership.whileLeading(leadership.term),
         ) { result -> planned(batch, result) }
     }
 
@@ -157,8 +158,8 @@
 
     private fun advance(open: Open) {
         if (!open.batch.durable) return
-        val job = ledger.jobs[open.move.job]
-        val over = job == null || job.ending == Standing.WITHDRAWN
+        val job = registry.jobs[open.move.job]
+        val over = job == null || job.ending == JobState.CANCELLED
         val ended =
             when {
                 job == null || over -> true
@@ -174,13 +175,13 @@
         job: Job,
     ): Boolean {
         val move = open.move
-        val claim = job.claims.get(move.task)
+        val allocation = job.allocations.get(move.task)
         return when {
-            claim == null -> job.done.get(move.task) || givesUpRoom(open)
-            claim.run != move.run -> true
-            open.stopped || claim.stopGraceS != null -> false
+            allocation == null -> job.done.get(move.task) || givesUpRoom(open)
+            allocation.attempt != move.attempt -> true
+            open.stopped || allocation.stopGraceS != null -> false
             isPutBack(move) -> putBack(move)
-            else -> !stop(open, job, claim)
+            else -> !stop(open, job, allocation)
         }
     }
 
@@ -198,11 +199,11 @@
     private fun stop(
         open: Open,
         job: Job,
-        claim: Claim,
+        allocation: Allocation,
     ): Boolean {
         open.stopped = true
-        claim.stopGraceS = if (job.spec.checkpointS > 0) job.spec.saveS * Gangs.GRACE else 0.0
-        workers.machines[claim.machine]?.let(workers::command)
+        allocation.stopGraceS = if (job.spec.checkpointS > 0) job.spec.saveS * GangRules.GRACE else 0.0
+        workers.machines[allocation.machine]?.let(workers::command)
         return true
     }
 
@@ -210,8 +211,8 @@
         open: Open,
         job: Job,
     ): Boolean {
-        if (job.claims.isEmpty() || job.highestRun != open.move.run) return true
-        if (isPutBack(open.move) && Gangs.state(job) == Gangs.State.RUNNING) return true
+        if (job.allocations.isEmpty() || job.highestAttempt != open.move.attempt) return true
+        if (isPutBack(open.move) && GangRules.state(job) == GangState.RUNNING) return true
         workers.stopGang(job, "machine ${open.move.from} is drained", settings.permission(job.spec.jobClass) != MovePermission.REPEAT)
         return false
     }
@@ -228,23 +229,23 @@
     /** Both places count for room, limits and zones while the task may be on the first. */
     fun kept(): List<KeptRoom> =
         open.values.mapNotNull { open ->
-            val job = ledger.jobs[open.move.job]?.takeIf { it.ending == null && !open.move.isGang } ?: return@mapNotNull null
+            val job = registry.jobs[open.move.job]?.takeIf { it.ending == null && !open.move.isGang } ?: return@mapNotNull null
             val machine =
                 open.move.to
                     ?.let { workers.machines[it] }
                     ?.takeIf { mayKeepRoom(open) } ?: return@mapNotNull null
-            val startedAnew = (job.claims.get(open.move.task)?.run ?: 0) > open.move.run
+            val startedAnew = (job.allocations.get(open.move.task)?.attempt ?: 0) > open.move.attempt
             if (startedAnew || job.done.get(open.move.task)) null else KeptRoom(job, open.move.task, machine)
         }
 
     private fun isUnused(batch: MoveBatch): Boolean =
         batch.durable && !batch.removing && context.wallMs - batch.plannedMs > MoveBudget.WINDOW_MS &&
-            batch.moves.none { it.job in ledger.jobs }
+            batch.moves.none { it.job in registry.jobs }
 
     private fun remove(unused: List<MoveBatch>) {
         unused.forEach { it.removing = true }
-        val transaction = Transaction(listOf(leadership.condition()), unused.map { Change.Delete(it.key) })
-        store.commitUntilKnown(transaction, RequestPriority.CLEANUP, leadership.stillMine(leadership.term)) { result ->
+        val transaction = Transaction(listOf(leadership.fenceCondition()), unused.map { Change.Delete(it.key) })
+        store.commitUntilKnown(transaction, RequestPriority.CLEANUP, leadership.whileLeading(leadership.term)) { result ->
             if (result is TransactionResult.Committed) {
                 unused.forEach(::forget)
             } else {
--- a/src/main/kotlin/burlridge/balance/Relief.kt
+++ b/src/main/kotlin/burlridge/balance/Relief.kt
@@ -1,9 +1,9 @@
 package burlridge.balance
 
-import burlridge.allocation.Claim
+import burlridge.allocation.Allocation
 import burlridge.allocation.Job
-import burlridge.allocation.Ledger
-import burlridge.allocation.Phase
+import burlridge.allocation.JobRegistry
+import burlridge.allocation.AllocationPhase
 import burlridge.core.StepContext
 import burlridge.placement.MoveTargets
 import burlridge.settings.BalanceSettings
@@ -40,7 +40,7 @@
 internal class Relief(
     private val context: StepContext,
     private val settings: BalanceSettings,
-    private val ledger: Ledger,
+    private val registry: JobRegistry,
     private val workers: Workers,
     private val moves: Moves,
     private val decisions: DecisionLog,
@@ -61,11 +61,11 @@
 
     /** A fresh report of [machine] has been taken over. */
     fun heard(machine: Machine) {
-        for (claim in ledger.claims.byMachine[machine.id]
+        for (allocation in registry.allocations.byMachine[machine.id]
             ?.values
             .orEmpty()) {
-            val since = claim.startedAt?.takeIf { claim.phase == Phase.RUNNING } ?: continue
-            val job = ledger.jobs[claim.job] ?: continue
+            val since = allocation.startedAt?.takeIf { allocation.phase == AllocationPhase.RUNNING } ?: continue
+            val job = registry.jobs[allocation.job] ?: continue
             picture.runs(machine.id, job, machine.lastReportAt - since, context.now)
         }
     }
@@ -108,34 +108,34 @@
         for (id in hot) {
             if (planned.size >= moves.mostPerRow) break
             val machine = workers.machines[id] ?: continue
-            val (job, claim) = mostGaining(machine) ?: continue
+            val (job, allocation) = mostGaining(machine) ?: continue
             val spec = job.spec
-            val count = moves.countOf(claim.taskName) + 1
-            val move = Move(claim.job, claim.task, claim.run, spec.team, spec.jobClass, id, null, count, 1, MoveReason.HOT)
+            val count = moves.countOf(allocation.taskName) + 1
+            val move = Move(allocation.job, allocation.task, allocation.attempt, spec.team, spec.jobClass, id, null, count, 1, MoveReason.HOT)
             if (count > settings.movesPerTask || !moves.permits(move)) continue
-            val target = room.take(job, claim) { candidate -> isWorth(job, claim, machine, candidate) } ?: continue
+            val target = room.take(job, allocation) { candidate -> isWorth(job, allocation, machine, candidate) } ?: continue
             moves.spend(move)
             planned += move.copy(to = target.id)
         }
         if (planned.isNotEmpty()) moves.plan(planned)
     }
 
-    private fun mostGaining(machine: Machine): Pair<Job, Claim>? =
-        ledger.claims.byMachine[machine.id]
+    private fun mostGaining(machine: Machine): Pair<Job, Allocation>? =
+        registry.allocations.byMachine[machine.id]
             ?.values
             .orEmpty()
-            .mapNotNull { claim -> ledger.jobs[claim.job]?.takeIf { mayMove(it, claim) }?.let { it to claim } }
-            .maxByOrNull { (job, claim) -> gain(job, claim, machine, fetchS = 0.0)?.gainS ?: Double.NEGATIVE_INFINITY }
-            ?.takeIf { (job, claim) -> (gain(job, claim, machine, fetchS = 0.0)?.gainS ?: 0.0) > leastGainS }
+            .mapNotNull { allocation -> registry.jobs[allocation.job]?.takeIf { mayMove(it, allocation) }?.let { it to allocation } }
+            .maxByOrNull { (job, allocation) -> gain(job, allocation, machine, fetchS = 0.0)?.gainS ?: Double.NEGATIVE_INFINITY }
+            ?.takeIf { (job, allocation) -> (gain(job, allocation, machine, fetchS = 0.0)?.gainS ?: 0.0) > leastGainS }
 
     private val leastGainS = settings.gainReports * times.reportS
 
     private fun mayMove(
         job: Job,
-        claim: Claim,
+        allocation: Allocation,
     ): Boolean {
-        if (job.spec.gang || job.ending != null || claim.phase != Phase.RUNNING || claim.stopGraceS != null) return false
-        if (moves.isOpen(claim.taskName)) return false
+        if (job.spec.gang || job.ending != null || allocation.phase != AllocationPhase.RUNNING || allocation.stopGraceS != null) return false
+        if (moves.isOpen(allocation.taskName)) return false
         return when (settings.permission(job.spec.jobClass)) {
             MovePermission.NEVER -> false
             MovePermission.SAVED -> job.spec.checkpointS > 0
@@ -145,22 +145,22 @@
 
     private fun isWorth(
         job: Job,
-        claim: Claim,
+        allocation: Allocation,
         from: Machine,
         to: MoveTargets.Candidate,
     ): Boolean {
         if (to.machine.id in hot || picture.slowdown(to.machine.id, context.now) > settings.coolFactor) return false
-        return (gain(job, claim, from, to.fetchS)?.gainS ?: 0.0) > leastGainS
+        return (gain(job, allocation, from, to.fetchS)?.gainS ?: 0.0) > leastGainS
     }
 
     private fun gain(
         job: Job,
-        claim: Claim,
+        allocation: Allocation,
         machine: Machine,
         fetchS: Double,
     ): MoveGain? {
         val expectedS = picture.expectedRunS(job) ?: return null
-        val ranS = context.now - (claim.startedAt ?: return null)
+        val ranS = context.now - (allocation.startedAt ?: return null)
         val slowdown = picture.slowdown(machine.id, context.now)
         // One that should be over by now may end at any moment: nothing is sure to be gained.
         val leftS = (expectedS - ranS / slowdown).takeIf { it > 0.0 } ?: return null
--- a/src/main/kotlin/burlridge/balance/SlowStart.kt
+++ b/src/main/kotlin/burlridge/balance/SlowStart.kt
@@ -1,8 +1,8 @@
 package burlridge.balance
 
-import burlridge.allocation.Claim
-import burlridge.allocation.Ledger
-import burlridge.allocation.Phase
+import burlridge.allocation.Allocation
+import burlridge.allocation.AllocationPhase
+import burlridge.allocation.JobRegistry
 import burlridge.core.StepContext
 import burlridge.job.JobSpec
 import burlridge.settings.BalanceSettings
@@ -15,7 +15,7 @@
 internal class SlowStart(
     private val context: StepContext,
     private val settings: BalanceSettings,
-    private val ledger: Ledger,
+    private val registry: JobRegistry,
     /** Seconds that machines of a type usually take to come up. */
     private val bootS: (type: String) -> Double,
 ) {
@@ -35,10 +35,10 @@
         return context.now < maxOf(upSince, machine.sessionBeganAt) + coldS
     }
 
-    private fun starting(machine: Machine): List<Claim> =
-        ledger.claims.byMachine[machine.id]
+    private fun starting(machine: Machine): List<Allocation> =
+        registry.allocations.byMachine[machine.id]
             ?.values
-            ?.filter { it.phase < Phase.GATHERING }
+            ?.filter { it.phase < AllocationPhase.AWAITING_GANG }
             .orEmpty()
 
     /** How long [spec]'s image takes to be there, which takes [aloneS] if nothing else is fetched: images share the machine's rate. */
@@ -48,7 +48,7 @@
         aloneS: Double,
     ): Double {
         if (aloneS <= 0.0) return 0.0
-        val images = starting(machine).mapNotNullTo(HashSet()) { ledger.jobs[it.job]?.spec?.image }
+        val images = starting(machine).mapNotNullTo(HashSet()) { registry.jobs[it.job]?.spec?.image }
         images.removeAll(machine.images.keys)
         return if (images.remove(spec.image)) aloneS * HALF_DONE * (1 + images.size) else aloneS * (1 + images.size)
     }
--- a/src/main/kotlin/burlridge/fleet/Catalog.kt
+++ b/src/main/kotlin/burlridge/fleet/Catalog.kt
@@ -1,12 +1,12 @@
 package burlridge.fleet
 
 import burlridge.job.JobSpec
-import burlridge.job.Size
+import burlridge.job.Resources
 import com.fasterxml.jackson.databind.JsonNode
 
 internal data class MachineType(
     val name: String,
-    val size: Size,
+    val size: Resources,
     val cacheGb: Double,
     val fetchGbPerS: Double,
     val price: Double,
@@ -35,7 +35,7 @@
                     if (name.isEmpty() || !t.path("vcpus").isNumber) return@mapNotNull null
                     MachineType(
                         name,
-                        Size(t.path("vcpus").asDouble(), t.path("gpus").asDouble(0.0), t.path("ramGb").asDouble()),
+                        Resources(t.path("vcpus").asDouble(), t.path("gpus").asDouble(0.0), t.path("ramGb").asDouble()),
                         t.path("cacheGb").asDouble(0.0),
                         t.path("pullGbPerS").asDouble(1.0),
                         t.path("price").asDouble(1.0),
--- a/src/main/kotlin/burlridge/fleet/CatalogKeeper.kt
+++ b/src/main/kotlin/burlridge/fleet/CatalogKeeper.kt
@@ -1,6 +1,6 @@
 package burlridge.fleet
 
-import burlridge.allocation.Ledger
+import burlridge.allocation.JobRegistry
 import burlridge.core.StepContext
 import burlridge.core.CallOutcome
 import burlridge.json.Json
@@ -18,7 +18,7 @@
     private val context: StepContext,
     private val store: StoreClient,
     private val leadership: Leadership,
-    private val ledger: Ledger,
+    private val registry: JobRegistry,
 ) {
     var catalog: Catalog? = null
         private set
@@ -62,7 +62,7 @@
     private fun keepCatalog(body: JsonNode) {
         if (!leadership.leading || kept) return
         kept = true
-        store.commit(Transaction(listOf(ledger.fence()), listOf(Change.Put("catalog", body))), RequestPriority.CLEANUP) {
+        store.commit(Transaction(listOf(registry.fenceCondition()), listOf(Change.Put("catalog", body))), RequestPriority.CLEANUP) {
             if (it !is TransactionResult.Committed) {
                 kept =
                     false
--- a/src/main/kotlin/burlridge/fleet/Demand.kt
+++ b/src/main/kotlin/burlridge/fleet/Demand.kt
@@ -1,7 +1,7 @@
 package burlridge.fleet
 
 import burlridge.allocation.Job
-import burlridge.allocation.Ledger
+import burlridge.allocation.JobRegistry
 import burlridge.core.StepContext
 import burlridge.job.JobSpec
 import burlridge.job.Priority
@@ -9,7 +9,7 @@
 /** How many tasks want room now, and how many more should find room at once. */
 internal class Demand(
     private val context: StepContext,
-    private val ledger: Ledger,
+    private val registry: JobRegistry,
 ) {
     private val waits = context.settings.objectives.filter { it.kind == "wait" && it.jobClass != null && it.withinS != null }
     private val recent = HashMap<String, ArrayDeque<Job>>()
@@ -33,15 +33,15 @@
 
     /** Takes note of the jobs there are, so that what comes can be guessed from what came. */
     fun observe() {
-        ledger.jobs.values.forEach { if (it.ending == null && seen.add(it.spec.id)) remember(it) }
+        registry.jobs.values.forEach { if (it.ending == null && seen.add(it.spec.id)) remember(it) }
         // A job that is over does not come again.
-        if (seen.size > MOST_SEEN && seen.size > ledger.jobs.size * 2) seen.retainAll(ledger.jobs.keys)
+        if (seen.size > MOST_SEEN && seen.size > registry.jobs.size * 2) seen.retainAll(registry.jobs.keys)
     }
 
     fun wanted(types: Catalog): List<Need> {
-        val now = ledger.jobs.values.filter { it.ending == null }
+        val now = registry.jobs.values.filter { it.ending == null }
         val held = HashMap<String, Int>()
-        now.forEach { held.merge(it.spec.jobClass, it.claims.size, Int::plus) }
+        now.forEach { held.merge(it.spec.jobClass, it.allocations.size, Int::plus) }
         val waiting = now.filter { it.waiting > 0 }.map { Need(it.spec, it.waiting, slackS(it), held[it.spec.jobClass] ?: 0) }
         // In the order in which placement gives room away: what is kept for gangs is no room for arrays.
         val (gangs, arrays) = waiting.sortedBy { it.spec.priority }.partition { it.spec.gang }
@@ -56,7 +56,7 @@
         if (context.settings.workers.gang == null) return emptyList()
         val cheapest = types.types.values.minByOrNull { it.price } ?: return emptyList()
         val held = HashMap<String, Int>()
-        ledger.jobs.values.forEach { if (it.spec.gang && it.ending == null) held.merge(it.spec.jobClass, it.claims.size, Int::plus) }
+        registry.jobs.values.forEach { if (it.spec.gang && it.ending == null) held.merge(it.spec.jobClass, it.allocations.size, Int::plus) }
         return waits.distinctBy { it.jobClass }.mapNotNull { aim ->
             val list = recent[aim.jobClass]
             val tightS = aim.withinS ?: Double.MAX_VALUE
--- a/src/main/kotlin/burlridge/fleet/Fleet.kt
+++ b/src/main/kotlin/burlridge/fleet/Fleet.kt
@@ -1,6 +1,6 @@
 package burlridge.fleet
 
-import burlridge.allocation.Ledger
+import burlridge.allocation.JobRegistry
 import burlridge.core.StepContext
 import burlridge.core.CallOutcome
 import burlridge.job.JobSpec
@@ -15,17 +15,17 @@
     private val context: StepContext,
     private val store: StoreClient,
     private val leadership: Leadership,
-    private val ledger: Ledger,
+    private val registry: JobRegistry,
     private val workers: Workers,
 ) {
-    private val types = CatalogKeeper(context, store, leadership, ledger)
+    private val types = CatalogKeeper(context, store, leadership, registry)
     val catalog: Catalog? get() = types.catalog
     private var listBusy = false
     private var listAt = -1e9
     private var everListed = false
     private var pages = 1
     private val rentals = Rentals(context, store, leadership, workers)
-    private val returns = Returns(context, leadership, ledger, workers, rentals)
+    private val returns = Returns(context, leadership, registry, workers, rentals)
 
     /** Whether operators want no machines in a zone: then none is rented there. */
     var isZoneDrained: (String) -> Boolean by rentals::isZoneDrained
@@ -34,7 +34,7 @@
     val isListed: Boolean get() = everListed && listAt > leadership.electedAt
     private val lag = context.settings.cloudLimits.listLagS
     private var planAt = 0.0
-    private val demand = Demand(context, ledger)
+    private val demand = Demand(context, registry)
 
     init {
         workers.outcomes.cacheOf = { type -> catalog?.types?.get(type)?.cacheGb ?: 0.0 }
@@ -136,7 +136,7 @@
         for (machine in workers.machines.values.toList()) {
             if (machine.id in names) continue
             val inherited =
-                settled && !machine.listed && !machine.up && ledger.claims.byMachine[machine.id]
+                settled && !machine.listed && !machine.up && registry.allocations.byMachine[machine.id]
                     ?.values
                     ?.any { it.inherited } == true
             if (inherited || (machine.listed && machine.listedAgeS > lag * OLDEST_LIST)) {
@@ -233,7 +233,7 @@
         for (m in workers.machines.values) {
             if (m.draining || m.recallAt != null || (m.up && (m.lapsed || !m.hears || workers.silent(m)))) continue
             val whole = types.types[m.type]?.size ?: continue
-            val free = whole - ledger.claims.usedOn(m.id)
+            val free = whole - registry.allocations.usedOn(m.id)
             if (free.cpus > 0) slots += FreeCapacity(m.type, m.zone, m.spot, free)
         }
         for (r in rentals.open) {
--- a/src/main/kotlin/burlridge/fleet/Rentals.kt
+++ b/src/main/kotlin/burlridge/fleet/Rentals.kt
@@ -98,9 +98,9 @@
     private fun forget(rental: Rental) {
         rental.modRevision = 0
         store.commitUntilKnown(
-            Transaction(listOf(leadership.condition()), listOf(Change.Delete("rental/${rental.step}"))),
+            Transaction(listOf(leadership.fenceCondition()), listOf(Change.Delete("rental/${rental.step}"))),
             RequestPriority.CLEANUP,
-            leadership.stillMine(leadership.term),
+            leadership.whileLeading(leadership.term),
         ) {
             rentals.remove(rental.step)
         }
@@ -123,10 +123,10 @@
                 put("n", rental.count)
                 put("tok", leadership.term)
             }
-        val mine = leadership.stillMine(leadership.term)
+        val mine = leadership.whileLeading(leadership.term)
         val transaction =
             Transaction(
-                listOf(leadership.condition(), Condition("rental/${rental.step}", 0)),
+                listOf(leadership.fenceCondition(), Condition("rental/${rental.step}", 0)),
                 listOf(Change.Put("rental/${rental.step}", row)),
             )
         store.commitUntilKnown(transaction, RequestPriority.CLAIM, mine) { result ->
--- a/src/main/kotlin/burlridge/fleet/Returns.kt
+++ b/src/main/kotlin/burlridge/fleet/Returns.kt
@@ -1,6 +1,6 @@
 package burlridge.fleet
 
-import burlridge.allocation.Ledger
+import burlridge.allocation.JobRegistry
 import burlridge.core.StepContext
 import burlridge.core.CallOutcome
 import burlridge.json.Json
@@ -13,7 +13,7 @@
 internal class Returns(
     private val context: StepContext,
     private val leadership: Leadership,
-    private val ledger: Ledger,
+    private val registry: JobRegistry,
     private val workers: Workers,
     private val rentals: Rentals,
 ) {
@@ -58,7 +58,7 @@
 
     /** An operator's drain can wait until the ends that only its worker keeps are durable. */
     private fun isEmptied(machine: Machine): Boolean {
-        if (!machine.draining || !ledger.claims.byMachine[machine.id].isNullOrEmpty()) return false
+        if (!machine.draining || !registry.allocations.byMachine[machine.id].isNullOrEmpty()) return false
         return machine.drainReason != DrainReason.OPERATOR || machine.reported.isEmpty() || machine.lapsed
     }
 
@@ -67,7 +67,7 @@
      * worker's lease would. Not where many are silent at once: then the fault is more likely ours or the network's.
      */
     private fun buried(machine: Machine): Boolean {
-        val wanted = machine.up || !ledger.claims.byMachine[machine.id].isNullOrEmpty()
+        val wanted = machine.up || !registry.allocations.byMachine[machine.id].isNullOrEmpty()
         if (!wanted || machine.dead || machine.lapsed || machine.starting || machine.refusals < TRIES_TO_BURY) return false
         return workers.hears(machine.zone) && context.now > machine.silentSince + context.settings.workers.reportS * DEAD_REPORTS
     }
@@ -90,7 +90,7 @@
             it.drainReason = DrainReason.RETURNED
         }
         val body = Json.obj { putArray("drovers").also { names -> list.forEach { m -> names.add(m.id) } } }
-        val mine = leadership.stillMine(leadership.term)
+        val mine = leadership.whileLeading(leadership.term)
         context.info("returning ${list.joinToString { it.id }}")
         val timeoutS = Fleet.CLOUD_TIMEOUT_S * 2
         context.call(context.settings.cloud, "POST", "/rentals/return", Json.write(body), timeoutS, leadership.commandDeadline) { outcome ->
@@ -121,7 +121,7 @@
         val idle =
             up.filter { m ->
                 val dear = if (m.spot) 1.0 else Prices.DEAR_FACTOR
-                m.idleSince > 0 && context.now > m.idleSince + patience / dear && ledger.claims.byMachine[m.id].isNullOrEmpty()
+                m.idleSince > 0 && context.now > m.idleSince + patience / dear && registry.allocations.byMachine[m.id].isNullOrEmpty()
             }
         if (idle.isEmpty()) return
         // Only machines that the expected tasks leave wholly free are spare.
--- a/src/main/kotlin/burlridge/job/JobSpec.kt
+++ b/src/main/kotlin/burlridge/job/JobSpec.kt
@@ -19,15 +19,15 @@
 }
 
 /** What one task takes of its machine. */
-internal data class Size(
+internal data class Resources(
     val cpus: Double,
     val gpus: Double,
     val memoryGb: Double,
 ) {
-    fun fits(free: Size): Boolean = cpus <= free.cpus + SLACK && gpus <= free.gpus + SLACK && memoryGb <= free.memoryGb + SLACK
+    fun fits(free: Resources): Boolean = cpus <= free.cpus + SLACK && gpus <= free.gpus + SLACK && memoryGb <= free.memoryGb + SLACK
 
     /** How many tasks of [size] it has room for. */
-    fun holds(size: Size): Int {
+    fun holds(size: Resources): Int {
         fun part(
             free: Double,
             asked: Double,
@@ -35,16 +35,16 @@
         return minOf(part(cpus, size.cpus), part(gpus, size.gpus), part(memoryGb, size.memoryGb)).toInt().coerceAtLeast(0)
     }
 
-    operator fun minus(other: Size): Size = Size(cpus - other.cpus, gpus - other.gpus, memoryGb - other.memoryGb)
+    operator fun minus(other: Resources): Resources = Resources(cpus - other.cpus, gpus - other.gpus, memoryGb - other.memoryGb)
 
-    operator fun times(tasks: Int): Size = Size(cpus * tasks, gpus * tasks, memoryGb * tasks)
+    operator fun times(tasks: Int): Resources = Resources(cpus * tasks, gpus * tasks, memoryGb * tasks)
 
-    operator fun plus(other: Size): Size = Size(cpus + other.cpus, gpus + other.gpus, memoryGb + other.memoryGb)
+    operator fun plus(other: Resources): Resources = Resources(cpus + other.cpus, gpus + other.gpus, memoryGb + other.memoryGb)
 
     internal companion object {
         private const val SLACK = 1e-9
         private const val MANY = 1e6
-        val NONE = Size(0.0, 0.0, 0.0)
+        val NONE = Resources(0.0, 0.0, 0.0)
     }
 }
 
@@ -55,7 +55,7 @@
     val team: String,
     val priority: Priority,
     val tasks: Int,
-    val size: Size,
+    val size: Resources,
     val image: String,
     val imageGb: Double,
     val types: List<String>?,
@@ -122,15 +122,15 @@
         fun isId(text: String): Boolean = ID.matches(text)
 
         fun parse(body: JsonNode?): JobSpec {
-            if (body == null) throw BadJob("the body is not JSON")
-            if (!body.isObject) throw BadJob("the body is not an object")
+            if (body == null) throw InvalidJobException("the body is not JSON")
+            if (!body.isObject) throw InvalidJobException("the body is not an object")
             val id = body.string("id")
-            if (!isId(id)) throw BadJob("id must look like j-000412")
+            if (!isId(id)) throw InvalidJobException("id must look like j-000412")
             val shape = body.string("shape")
-            if (shape != ARRAY && shape != GANG) throw BadJob("shape must be \"$ARRAY\" or \"$GANG\"")
+            if (shape != ARRAY && shape != GANG) throw InvalidJobException("shape must be \"$ARRAY\" or \"$GANG\"")
             val tasks = body.whole("pieces")
-            if (tasks !in 1..MOST_TASKS) throw BadJob("pieces must be from 1 to $MOST_TASKS")
-            val size = Size(body.amount("vcpus"), body.amount("gpus"), body.amount("ramGb"))
+            if (tasks !in 1..MOST_TASKS) throw InvalidJobException("pieces must be from 1 to $MOST_TASKS")
+            val size = Resources(body.amount("vcpus"), body.amount("gpus"), body.amount("ramGb"))
             return JobSpec(
                 id = id,
                 jobClass = body.string("lane"),
@@ -138,7 +138,7 @@
                 priority =
                     Priority.of(
                         body.string("urgency"),
-                    ) ?: throw BadJob("urgency must be one of ${Priority.entries.map { it.wire }}"),
+                    ) ?: throw InvalidJobException("urgency must be one of ${Priority.entries.map { it.wire }}"),
                 tasks = tasks.toInt(),
                 size = size,
                 image = body.string("bundle"),
@@ -158,42 +158,46 @@
 
         private fun JsonNode.present(name: String): JsonNode? = get(name)?.takeIf { !it.isNull }
 
-        private fun JsonNode.need(name: String): JsonNode = present(name) ?: throw BadJob("$name is missing")
+        private fun JsonNode.need(name: String): JsonNode = present(name) ?: throw InvalidJobException("$name is missing")
 
         private fun JsonNode.string(name: String): String {
             val node = need(name)
-            if (!node.isTextual) throw BadJob("$name must be a text")
+            if (!node.isTextual) throw InvalidJobException("$name must be a text")
             val text = node.asText()
-            if (text.isEmpty() || text.length > LONGEST_TEXT) throw BadJob("$name must have 1 to $LONGEST_TEXT characters")
+            if (text.isEmpty() || text.length > LONGEST_TEXT) throw InvalidJobException("$name must have 1 to $LONGEST_TEXT characters")
             return text
         }
 
         private fun JsonNode.amount(name: String): Double {
             val node = need(name)
-            if (!node.isNumber || !node.asDouble().isFinite() || node.asDouble() < 0) throw BadJob("$name must be a number from 0")
+            if (!node.isNumber || !node.asDouble().isFinite() ||
+                node.asDouble() < 0
+            ) {
+                throw InvalidJobException("$name must be a number from 0")
+            }
             return node.asDouble()
         }
 
         private fun JsonNode.whole(name: String): Long {
             val node = need(name)
             val value = node.asDouble()
-            if (!node.isNumber || value != Math.rint(value) || !value.isFinite()) throw BadJob("$name must be a whole number")
+            if (!node.isNumber || value != Math.rint(value) || !value.isFinite()) throw InvalidJobException("$name must be a whole number")
             return node.asLong()
         }
 
         private fun JsonNode.flag(name: String): Boolean =
-            need(name).takeIf { it.isBoolean }?.asBoolean() ?: throw BadJob("$name must be true or false")
+            need(name).takeIf { it.isBoolean }?.asBoolean() ?: throw InvalidJobException("$name must be true or false")
 
         private fun JsonNode.types(): List<String>? {
             val node = present("breeds") ?: return null
             if (!node.isArray || node.size() > MOST_TYPES || node.any { !it.isTextual || it.asText().length > LONGEST_TEXT }) {
-                throw BadJob("breeds must be null or a list of at most $MOST_TYPES names")
+                throw InvalidJobException("breeds must be null or a list of at most $MOST_TYPES names")
             }
             return node.map { it.asText() }
         }
     }
 }
 
-internal class BadJob(
+internal class InvalidJobException(
     reason: String,
 ) : Exception(reason)
--- a/src/main/kotlin/burlridge/leadership/Leadership.kt
+++ b/src/main/kotlin/burlridge/leadership/Leadership.kt
@@ -142,10 +142,10 @@
     private var silentSince = 0.0
 
     /** What fences every write of this leader. */
-    fun condition(): Condition = Condition(TERM, fence)
+    fun fenceCondition(): Condition = Condition(TERM, fence)
 
     /** Whether this member still leads [term]. */
-    fun stillMine(term: Long): () -> Boolean = { leading && this.term == term }
+    fun whileLeading(term: Long): () -> Boolean = { leading && this.term == term }
 
     fun tick() {
         val stalled = leading && context.now > lastTickAt + ttlS / LATE_PART
--- a/src/main/kotlin/burlridge/placement/Fit.kt
+++ b/src/main/kotlin/burlridge/placement/Fit.kt
@@ -3,7 +3,7 @@
 import burlridge.core.StepContext
 import burlridge.fleet.Fleet
 import burlridge.job.JobSpec
-import burlridge.job.Size
+import burlridge.job.Resources
 import burlridge.worker.Machine
 
 /** Best fit over a few sampled machines. */
@@ -18,7 +18,7 @@
 
     fun overLimit(
         name: String,
-        use: Size,
+        use: Resources,
     ): Boolean {
         val team = context.settings.teams[name] ?: return true
         return (team.cpusMax > 0 && use.cpus > team.cpusMax) || (team.gpusMax > 0 && use.gpus > team.gpusMax)
--- a/src/main/kotlin/burlridge/placement/GangPlacement.kt
+++ b/src/main/kotlin/burlridge/placement/GangPlacement.kt
@@ -1,8 +1,9 @@
 package burlridge.placement
 
-import burlridge.allocation.Charge
-import burlridge.allocation.Claim
-import burlridge.allocation.Gangs
+import burlridge.allocation.GangState
+import burlridge.allocation.QuotaCharge
+import burlridge.allocation.Allocation
+import burlridge.allocation.GangRules
 import burlridge.allocation.Job
 import burlridge.core.StepContext
 import burlridge.fleet.Fleet
@@ -31,7 +32,7 @@
 
     /** Whether the next attempt may be claimed: nothing of the last one, nor any orphaned task of it, is left anywhere. */
     fun mayBegin(job: Job): Boolean =
-        Gangs.state(job) == Gangs.State.FREE && job.notBefore.getOrDefault(0, 0.0) <= context.now && !workers.hasOrphans(job.spec.id)
+        GangRules.state(job) == GangState.IDLE && job.notBefore.getOrDefault(0, 0.0) <= context.now && !workers.hasOrphans(job.spec.id)
 
     /** Where there is no room for all, what there is is kept from those that come after, until it is enough. */
     fun place(
@@ -52,8 +53,8 @@
             if (seats.size == spec.tasks) {
                 plan.used[spec.team] = after
                 plan.jobs += spec.id
-                val run = job.highestRun + 1
-                seats.forEachIndexed { task, room -> plan.claims += claim(spec, task, run, room) }
+                val attempt = job.highestAttempt + 1
+                seats.forEachIndexed { task, room -> plan.allocations += newAllocation(spec, task, attempt, room) }
                 return
             }
             seats.forEach { it.free += spec.size }
@@ -89,12 +90,12 @@
         return plan.poolsFor(spec).filter { !spec.oneZone || it.first.zone == zone }.sumOf { it.machines * it.whole.holds(spec.size) }
     }
 
-    private fun claim(
+    private fun newAllocation(
         spec: JobSpec,
         task: Int,
-        run: Int,
+        attempt: Int,
         room: Room,
-    ): Claim = Claim(spec.id, task, run, room.machine.id, room.machine.session, room.machine.zone, Charge(spec.team, spec.size))
+    ): Allocation = Allocation(spec.id, task, attempt, room.machine.id, room.machine.session, room.machine.zone, QuotaCharge(spec.team, spec.size))
 
     /** The rooms that may hold the gang together: those of a zone where it must be one, the zone that holds its image first. */
     private fun groups(
--- a/src/main/kotlin/burlridge/placement/MoveTargets.kt
+++ b/src/main/kotlin/burlridge/placement/MoveTargets.kt
@@ -1,6 +1,6 @@
 package burlridge.placement
 
-import burlridge.allocation.Claim
+import burlridge.allocation.Allocation
 import burlridge.allocation.Job
 import burlridge.worker.Machine
 
@@ -21,7 +21,7 @@
      */
     fun take(
         job: Job,
-        claim: Claim,
+        allocation: Allocation,
         suits: (Candidate) -> Boolean = { true },
     ): Machine? {
         val spec = job.spec
@@ -33,9 +33,9 @@
             val rooms =
                 group
                     .flatMap { it.rooms }
-                    .filterTo(ArrayList()) { isRoom(it, job, claim) && suits(Candidate(it.machine, fit.expectedFetchS(it.machine, spec))) }
+                    .filterTo(ArrayList()) { isRoom(it, job, allocation) && suits(Candidate(it.machine, fit.expectedFetchS(it.machine, spec))) }
             val room = fit.sample(rooms, spec, zones) ?: continue
-            plan.keep(KeptRoom(job, claim.task, room.machine))
+            plan.keep(KeptRoom(job, allocation.task, room.machine))
             return room.machine
         }
         return null
@@ -44,6 +44,6 @@
     private fun isRoom(
         room: Room,
         job: Job,
-        claim: Claim,
-    ): Boolean = !room.avoided && room.machine.id != claim.machine && job.spec.size.fits(room.free)
+        allocation: Allocation,
+    ): Boolean = !room.avoided && room.machine.id != allocation.machine && job.spec.size.fits(room.free)
 }
--- a/src/main/kotlin/burlridge/placement/Placement.kt
+++ b/src/main/kotlin/burlridge/placement/Placement.kt
@@ -1,21 +1,21 @@
 package burlridge.placement
 
-import burlridge.allocation.Charge
-import burlridge.allocation.Claim
+import burlridge.allocation.QuotaCharge
+import burlridge.allocation.Allocation
 import burlridge.allocation.Job
-import burlridge.allocation.Ledger
+import burlridge.allocation.JobRegistry
 import burlridge.core.StepContext
 import burlridge.fleet.Fleet
 import burlridge.fleet.Offer
 import burlridge.job.JobSpec
-import burlridge.job.Size
+import burlridge.job.Resources
 import burlridge.worker.Machine
 import burlridge.worker.Workers
 
 /** Team queues served in turn by shares, and best fit over a few sampled machines. */
 internal class Placement(
     private val context: StepContext,
-    private val ledger: Ledger,
+    private val registry: JobRegistry,
     private val workers: Workers,
     private val fleet: Fleet,
 ) {
@@ -44,8 +44,8 @@
     var advice: PlacementAdvice? by fit::advice
 
     /** One round: as many waiting tasks as there is room for and one row holds. */
-    fun round() {
-        if (ledger.claims.claiming >= MOST_OPEN_ROUNDS) return
+    fun schedule() {
+        if (registry.allocations.pendingBatches >= MOST_OPEN_ROUNDS) return
         val queue = queue()
         if (queue.isEmpty()) return
         val plan = newPlan()
@@ -63,18 +63,18 @@
                 place(job, plan)
             }
         }
-        if (plan.claims.isEmpty()) return
-        context.debug("claims ${plan.claims.size} starts of ${plan.jobs.size} jobs")
+        if (plan.allocations.isEmpty()) return
+        context.debug("claims ${plan.allocations.size} starts of ${plan.jobs.size} jobs")
         // Only a gang is claimed beyond what one row holds: it begins once all its rows are written.
-        plan.claims.chunked(ledger.claims.mostStarts).forEach { claims ->
-            ledger.claims.claim(claims) { granted ->
+        plan.allocations.chunked(registry.allocations.maxStartsPerBatch).forEach { allocations ->
+            registry.allocations.allocate(allocations) { granted ->
                 granted.map { it.machine }.distinct().forEach { id -> workers.machines[id]?.let(workers::command) }
             }
         }
     }
 
     private fun newPlan(): PlacementPlan {
-        val plan = PlacementPlan(pools(), HashMap(ledger.claims.used))
+        val plan = PlacementPlan(pools(), HashMap(registry.allocations.used))
         advice?.kept()?.forEach(plan::keep)
         return plan
     }
@@ -97,13 +97,13 @@
         room.free -= spec.size
         plan.used[spec.team] = after
         plan.jobs += spec.id
-        plan.claims += claim(job, kept.task, kept.machine)
+        plan.allocations += newAllocation(job, kept.task, kept.machine)
         plan.placedWhereKept += "${spec.id}/${kept.task}"
         advice?.placed("${spec.id}/${kept.task}", kept.machine.id, PlacementReason.KEPT_ROOM)
     }
 
     private fun full(plan: PlacementPlan): Boolean =
-        plan.claims.size >= ledger.claims.mostStarts || plan.jobs.size >= ledger.claims.mostJobs
+        plan.allocations.size >= registry.allocations.maxStartsPerBatch || plan.jobs.size >= registry.allocations.maxJobsPerBatch
 
     /** The smallest machines first: a task that fits one should not break up a larger one. */
     private fun pools(): List<Pool> {
@@ -122,8 +122,8 @@
 
     private fun room(
         machine: Machine,
-        whole: Size,
-        free: Size,
+        whole: Resources,
+        free: Resources,
     ): Room {
         val advice = advice ?: return Room(machine, whole, free)
         return Room(machine, whole, free, advice.avoids(machine), advice.startsLeft(machine))
@@ -138,10 +138,10 @@
 
     private fun free(
         machine: Machine,
-        whole: Size,
-    ): Size {
-        var free = whole - ledger.claims.usedOn(machine.id)
-        machine.orphans.forEach { taskName -> ledger.jobs[taskName.substringBefore('/')]?.let { free -= it.spec.size } }
+        whole: Resources,
+    ): Resources {
+        var free = whole - registry.allocations.usedOn(machine.id)
+        machine.orphans.forEach { taskName -> registry.jobs[taskName.substringBefore('/')]?.let { free -= it.spec.size } }
         return free
     }
 
@@ -160,7 +160,7 @@
      */
     fun queue(): List<Job> {
         val turns =
-            ledger.jobs.values.filter { it.ending == null && it.waiting > 0 && (!it.spec.gang || gangs.mayBegin(it)) }.map {
+            registry.jobs.values.filter { it.ending == null && it.waiting > 0 && (!it.spec.gang || gangs.mayBegin(it)) }.map {
                 Turn(it, tooLate(it), load(it.spec.team), rank(it), ageS(it))
             }
         if (turns.isEmpty()) return emptyList()
@@ -197,7 +197,7 @@
 
     private fun load(team: String): Double {
         val share = context.settings.teams[team] ?: return 0.0
-        val used = ledger.claims.used[team] ?: return 0.0
+        val used = registry.allocations.used[team] ?: return 0.0
         return maxOf(if (share.cpus > 0) used.cpus / share.cpus else 0.0, if (share.gpus > 0) used.gpus / share.gpus else 0.0)
     }
 
@@ -221,7 +221,7 @@
             context.count("placement.candidates", group.sumOf { it.rooms.size })
             task = fill(job, task, group.flatMap { pool -> pool.rooms.filter { mayTake(job, it) } }, zones, plan)
         }
-        val stopped = plan.claims.size >= ledger.claims.mostStarts || fit.overLimit(spec.team, plan.used(spec.team) + spec.size)
+        val stopped = plan.allocations.size >= registry.allocations.maxStartsPerBatch || fit.overLimit(spec.team, plan.used(spec.team) + spec.size)
         if (task >= 0 && advice != null && spec.jobClass in waitClasses) task = fillCold(job, task, pools, zones, plan)
         if (task >= 0 && !stopped && !spec.oneZone && !spec.spread && tookAllRoom(job, pools)) {
             plan.unplaceable += ResourceRequest(spec.types, spec.zone, spec.spot, spec.size)
@@ -246,15 +246,15 @@
         if (cold.isEmpty()) return first
         val limits = cold.associateWith { it.startsLeft }
         cold.forEach { it.startsLeft = Int.MAX_VALUE }
-        val before = plan.claims.size
+        val before = plan.allocations.size
         val next = fill(job, first, cold, zones, plan)
         limits.forEach { (room, left) -> room.startsLeft = left }
-        plan.claims.drop(before).forEach { advice?.placed(it.taskName, it.machine, PlacementReason.COLD_FOR_AIM) }
+        plan.allocations.drop(before).forEach { advice?.placed(it.taskName, it.machine, PlacementReason.COLD_FOR_AIM) }
         return next
     }
 
     /** What has waited for half of the time within which a job gets what room there is also takes room that is avoided. */
-    private fun takesAvoided(job: Job): Boolean = (job.claimedAt?.let { context.now - it } ?: ageS(job)) > MUST_HAVE_ROOM_S / 2
+    private fun takesAvoided(job: Job): Boolean = (job.allocatedAt?.let { context.now - it } ?: ageS(job)) > MUST_HAVE_ROOM_S / 2
 
     private fun mayTake(
         job: Job,
@@ -283,7 +283,7 @@
         // Where idle machines are returned, those in use go first, so that others fall idle.
         val (idle, inUse) = rooms.partition { fleet.returnsIdle && it.free == it.whole }
         val (empty, shared) = idle.toMutableList() to inUse.toMutableList()
-        while (task >= 0 && plan.claims.size < ledger.claims.mostStarts) {
+        while (task >= 0 && plan.allocations.size < registry.allocations.maxStartsPerBatch) {
             val after = plan.used(spec.team) + spec.size
             if (fit.overLimit(spec.team, after)) break
             val room = fit.sample(shared, spec, zones) ?: fit.sample(empty, spec, zones) ?: break
@@ -293,7 +293,7 @@
             plan.used[spec.team] = after
             plan.jobs += spec.id
             zones.merge(room.machine.zone, 1, Int::plus)
-            plan.claims += claim(job, task, room.machine)
+            plan.allocations += newAllocation(job, task, room.machine)
             if (room.avoided) advice?.placed("${spec.id}/$task", room.machine.id, PlacementReason.AVOIDED_AFTER_WAIT)
             task = next(job, task + 1, plan)
         }
@@ -315,18 +315,18 @@
         return -1
     }
 
-    private fun claim(
+    private fun newAllocation(
         job: Job,
         task: Int,
         machine: Machine,
-    ) = Claim(
+    ) = Allocation(
         job.spec.id,
         task,
-        job.lastRun.get(task) + 1,
+        job.lastAttempt.get(task) + 1,
         machine.id,
         machine.session,
         machine.zone,
-        Charge(job.spec.team, job.spec.size),
+        QuotaCharge(job.spec.team, job.spec.size),
     )
 
     private companion object {
--- a/src/main/kotlin/burlridge/placement/PlacementPlan.kt
+++ b/src/main/kotlin/burlridge/placement/PlacementPlan.kt
@@ -1,28 +1,28 @@
 package burlridge.placement
 
-import burlridge.allocation.Claim
+import burlridge.allocation.Allocation
 import burlridge.allocation.Job
 import burlridge.job.JobSpec
-import burlridge.job.Size
+import burlridge.job.Resources
 import burlridge.worker.Machine
 
 /** A machine with room, and what of it is free. */
 internal class Room(
     val machine: Machine,
-    val whole: Size,
-    var free: Size,
+    val whole: Resources,
+    var free: Resources,
     /** Only for what would else wait too long. */
     val avoided: Boolean = false,
     /** How many more single tasks it may get now. */
     var startsLeft: Int = Int.MAX_VALUE,
 ) {
     /** How many tasks of [size] find room. */
-    fun seats(size: Size): Int = free.holds(size)
+    fun seats(size: Resources): Int = free.holds(size)
 }
 
 /** The machines with room of one type, zone and kind. */
 internal class Pool(
-    val whole: Size,
+    val whole: Resources,
     val first: Machine,
     val rooms: ArrayList<Room> = ArrayList(),
 ) {
@@ -35,15 +35,15 @@
     val types: List<String>?,
     val zone: String?,
     val spot: Boolean,
-    val size: Size,
+    val size: Resources,
 )
 
 /** What one round has used up and found out. */
 internal class PlacementPlan(
     val pools: List<Pool>,
-    val used: HashMap<String, Size>,
+    val used: HashMap<String, Resources>,
 ) {
-    val claims = ArrayList<Claim>()
+    val allocations = ArrayList<Allocation>()
     val jobs = HashSet<String>()
     val unplaceable = ArrayList<ResourceRequest>()
 
@@ -65,7 +65,7 @@
         val spec = room.job.spec
         val there = roomOn(room.machine.id)?.takeIf { spec.size.fits(it.free) } ?: return
         there.free -= spec.size
-        used.merge(spec.team, spec.size, Size::plus)
+        used.merge(spec.team, spec.size, Resources::plus)
         kept += room
     }
 
@@ -75,8 +75,8 @@
      */
     fun zonesOf(job: Job): HashMap<String, Int> {
         val zones = HashMap<String, Int>()
-        job.claims.values.forEach { zones.merge(it.zone, 1, Int::plus) }
-        if (placedWhereKept.isNotEmpty()) claims.forEach { if (it.job == job.spec.id) zones.merge(it.zone, 1, Int::plus) }
+        job.allocations.values.forEach { zones.merge(it.zone, 1, Int::plus) }
+        if (placedWhereKept.isNotEmpty()) allocations.forEach { if (it.job == job.spec.id) zones.merge(it.zone, 1, Int::plus) }
         kept.forEach { if (it.job === job) zones.merge(it.machine.zone, 1, Int::plus) }
         return zones
     }
@@ -85,11 +85,11 @@
     fun giveBack(room: KeptRoom) {
         val spec = room.job.spec
         roomOn(room.machine.id)?.let { it.free += spec.size }
-        used.merge(spec.team, spec.size, Size::minus)
+        used.merge(spec.team, spec.size, Resources::minus)
         kept -= room
     }
 
-    fun used(team: String): Size = used[team] ?: Size.NONE
+    fun used(team: String): Resources = used[team] ?: Resources.NONE
 
     /** The pools whose machines [spec] may use and that are large enough. */
     fun poolsFor(spec: JobSpec): List<Pool> =
--- a/src/main/kotlin/burlridge/worker/Commands.kt
+++ b/src/main/kotlin/burlridge/worker/Commands.kt
@@ -1,9 +1,9 @@
 package burlridge.worker
 
-import burlridge.allocation.Claim
-import burlridge.allocation.Ledger
-import burlridge.allocation.Phase
-import burlridge.allocation.Standing
+import burlridge.allocation.Allocation
+import burlridge.allocation.AllocationPhase
+import burlridge.allocation.JobRegistry
+import burlridge.allocation.JobState
 import burlridge.core.CallOutcome
 import burlridge.core.StepContext
 import burlridge.leadership.Leadership
@@ -14,7 +14,7 @@
 internal class Commands(
     private val context: StepContext,
     private val leadership: Leadership,
-    private val ledger: Ledger,
+    private val registry: JobRegistry,
     private val peers: Peers,
     private val reachability: ZoneReachability,
     private val reconciler: ReportReconciler,
@@ -32,7 +32,7 @@
         fun nextToken(): Long
 
         fun lose(
-            claim: Claim,
+            allocation: Allocation,
             reason: String,
         )
 
@@ -51,35 +51,46 @@
     fun command(machine: Machine) {
         val address = machine.address ?: return
         if (!mayCommand(machine)) return
-        val claims = ledger.claims.byMachine[machine.id]?.values
-        if (claims.isNullOrEmpty() || claims.none { isPending(it) }) return
+        val allocations = registry.allocations.byMachine[machine.id]?.values
+        if (allocations.isNullOrEmpty() || allocations.none { isPending(it) }) return
         val starts = if (leadership.holdsLease) startsOf(machine).take(MOST_COMMANDS) else emptyList()
-        val stops = claims.filter { (leadership.holdsLease || reconciler.withdrawn(it)) && wantsStop(it) }
-        if (starts.isEmpty() && stops.isEmpty() && !needsFence(machine, claims)) return
+        val stops = allocations.filter { (leadership.holdsLease || reconciler.isCancelled(it)) && wantsStop(it) }
+        if (starts.isEmpty() && stops.isEmpty() && !needsFence(machine, allocations)) return
         stops.forEach { it.stopSentAt = context.now }
-        starts.forEach { it.phase = Phase.SENT }
+        starts.forEach { it.phase = AllocationPhase.DISPATCHED }
         if (starts.isNotEmpty()) machine.lastStartToken = machine.token
-        send(machine, address, stops.map { stop(it) } + starts.map { WorkerCommand.Start(it.taskName, it.run) }, starts, stops)
+        send(machine, address, stops.map { stop(it) } + starts.map { WorkerCommand.Start(it.taskName, it.attempt) }, starts, stops)
     }
 
     /** While others may have been elected only what can never be wrong goes out: the stops of cancelled jobs. */
     private fun mayCommand(machine: Machine): Boolean =
         !machine.commanding && context.now >= machine.nextCommandAt && !machine.lapsed && (leadership.holdsLease || leadership.answering)
 
-    private fun isPending(claim: Claim): Boolean = claim.phase <= Phase.SENT || claim.stopGraceS != null || reconciler.withdrawn(claim)
+    private fun isPending(allocation: Allocation): Boolean =
+        allocation.phase <= AllocationPhase.DISPATCHED || allocation.stopGraceS != null || reconciler.isCancelled(allocation)
 
     /** Whether a start of unknown outcome waits for the worker to see a newer token. */
     private fun needsFence(
         machine: Machine,
-        claims: Collection<Claim>,
-    ): Boolean = leadership.holdsLease && machine.seenToken <= machine.unsettledToken && claims.any { it.phase == Phase.SENT }
+        allocations: Collection<Allocation>,
+    ): Boolean =
+        leadership.holdsLease && machine.seenToken <= machine.unsettledToken && allocations.any { it.phase == AllocationPhase.DISPATCHED }
 
-    private fun stop(claim: Claim) =
-        WorkerCommand.Stop(claim.taskName, claim.run, if (reconciler.withdrawn(claim)) 0.0 else claim.stopGraceS ?: 0.0)
+    private fun stop(allocation: Allocation) =
+        WorkerCommand.Stop(
+            allocation.taskName,
+            allocation.attempt,
+            if (reconciler.isCancelled(allocation)) {
+                0.0
+            } else {
+                allocation.stopGraceS
+                    ?: 0.0
+            },
+        )
 
-    private fun startsOf(machine: Machine): List<Claim> =
+    private fun startsOf(machine: Machine): List<Allocation> =
         if (machine.hears) {
-            ledger.claims.byMachine[machine.id]
+            registry.allocations.byMachine[machine.id]
                 ?.values
                 ?.filter { startable(it, machine) }
                 .orEmpty()
@@ -88,27 +99,31 @@
         }
 
     private fun startable(
-        claim: Claim,
+        allocation: Allocation,
         machine: Machine,
     ): Boolean =
-        claim.phase == Phase.CLAIMED && claim.session == machine.session && claim.stopGraceS == null &&
+        allocation.phase == AllocationPhase.COMMITTED && allocation.session == machine.session && allocation.stopGraceS == null &&
             machine.drainReason != DrainReason.OPERATOR &&
-            ledger.jobs[claim.job]?.let { it.ending != Standing.WITHDRAWN } == true
+            registry.jobs[allocation.job]?.let { it.ending != JobState.CANCELLED } == true
 
-    private fun wantsStop(claim: Claim): Boolean {
-        if (claim.phase < Phase.SENT || claim.ended || context.now < claim.stopSentAt + times.reportS / 3) return false
-        if (reconciler.withdrawn(claim)) return true
-        if (claim.phase == Phase.SAVING) return false
-        if (claim.stopTold && reconciler.savesAsGang(claim)) return false
-        return claim.stopGraceS != null
+    private fun wantsStop(allocation: Allocation): Boolean {
+        if (allocation.phase < AllocationPhase.DISPATCHED || allocation.ended ||
+            context.now < allocation.stopSentAt + times.reportS / 3
+        ) {
+            return false
+        }
+        if (reconciler.isCancelled(allocation)) return true
+        if (allocation.phase == AllocationPhase.CHECKPOINTING) return false
+        if (allocation.stopTold && reconciler.savesAsGang(allocation)) return false
+        return allocation.stopGraceS != null
     }
 
     private fun send(
         machine: Machine,
         address: Endpoint,
         commands: List<WorkerCommand>,
-        starts: List<Claim>,
-        stops: List<Claim> = emptyList(),
+        starts: List<Allocation>,
+        stops: List<Allocation> = emptyList(),
     ) {
         machine.commanding = true
         context.count("worker.commands")
@@ -217,7 +232,7 @@
     /** A machine that is overdue is asked directly, so that a dead one is told from one whose reports go astray. */
     fun ask(machine: Machine) {
         val address = machine.address ?: return
-        val wanted = machine.up || !ledger.claims.byMachine[machine.id].isNullOrEmpty()
+        val wanted = machine.up || !registry.allocations.byMachine[machine.id].isNullOrEmpty()
         if (!wanted || machine.commanding || machine.abandoned || context.now < machine.nextCommandAt || !leadership.holdsLease) return
         if (context.now > machine.silentSince + times.reportS * OVERDUE_REPORTS) send(machine, address, emptyList(), emptyList())
     }
@@ -241,12 +256,12 @@
         machine.nextCommandAt = context.now + RETRY_S * minOf(machine.refusals, 8)
     }
 
-    private fun unsend(starts: List<Claim>) {
-        for (claim in starts) {
-            if (claim.phase != Phase.SENT) continue
-            claim.phase = Phase.CLAIMED
+    private fun unsend(starts: List<Allocation>) {
+        for (allocation in starts) {
+            if (allocation.phase != AllocationPhase.DISPATCHED) continue
+            allocation.phase = AllocationPhase.COMMITTED
             // Its gang's attempt was over before it could begin.
-            if (claim.stopGraceS != null) events.lose(claim, "never sent, and its gang is gone")
+            if (allocation.stopGraceS != null) events.lose(allocation, "never sent, and its gang is gone")
         }
     }
 
--- a/src/main/kotlin/burlridge/worker/MachineDrain.kt
+++ b/src/main/kotlin/burlridge/worker/MachineDrain.kt
@@ -1,18 +1,19 @@
 package burlridge.worker
 
-import burlridge.allocation.Gangs
+import burlridge.allocation.AllocationPhase
+import burlridge.allocation.GangRules
+import burlridge.allocation.GangState
 import burlridge.allocation.Job
-import burlridge.allocation.Ledger
-import burlridge.allocation.Phase
+import burlridge.allocation.JobRegistry
 import burlridge.core.StepContext
 
 /** Tasks are taken off machines that are slow or that the cloud takes back. */
 internal class MachineDrain(
     private val context: StepContext,
-    private val ledger: Ledger,
+    private val registry: JobRegistry,
     private val workers: Workers,
 ) {
-    private val slowness = Slowness(ledger)
+    private val slowness = Slowness(registry)
     private var slowAt = 0.0
 
     /**
@@ -37,12 +38,12 @@
     /** Takes a slow [machine] out of service, and stops what is seen to run there. */
     fun leave(machine: Machine) {
         machine.drainReason = DrainReason.SLOW
-        slowness.running(machine).forEach { claim ->
-            val job = ledger.jobs[claim.job] ?: return@forEach
+        slowness.running(machine).forEach { allocation ->
+            val job = registry.jobs[allocation.job] ?: return@forEach
             val spec = job.spec
             when {
                 spec.gang -> stopGang(job, "machine ${machine.id} is slow", mustSave = false)
-                claim.stopGraceS == null -> claim.stopGraceS = if (spec.checkpointS > 0) spec.saveS * Gangs.GRACE else 0.0
+                allocation.stopGraceS == null -> allocation.stopGraceS = if (spec.checkpointS > 0) spec.saveS * GangRules.GRACE else 0.0
             }
         }
     }
@@ -50,18 +51,18 @@
     /** Tasks that can save do so before the cloud takes the machine; the others may yet finish. */
     fun drain(machine: Machine) {
         val gangs = LinkedHashSet<Job>()
-        for (claim in ledger.claims.byMachine[machine.id]
+        for (allocation in registry.allocations.byMachine[machine.id]
             ?.values
             .orEmpty()) {
-            val job = ledger.jobs[claim.job] ?: continue
+            val job = registry.jobs[allocation.job] ?: continue
             val spec = job.spec
             if (spec.gang) {
                 gangs += job
                 continue
             }
-            if (claim.phase == Phase.RUNNING && spec.checkpointS > 0 && claim.stopGraceS == null) {
-                claim.stopGraceS = spec.saveS * Gangs.GRACE
-                context.info("task ${claim.taskName} is stopped on ${machine.id}: the cloud takes the machine back")
+            if (allocation.phase == AllocationPhase.RUNNING && spec.checkpointS > 0 && allocation.stopGraceS == null) {
+                allocation.stopGraceS = spec.saveS * GangRules.GRACE
+                context.info("task ${allocation.taskName} is stopped on ${machine.id}: the cloud takes the machine back")
             }
         }
         gangs.forEach { stopGang(it, "the cloud takes ${machine.id} back", mustSave = true) }
@@ -76,18 +77,18 @@
         reason: String,
         mustSave: Boolean,
     ) {
-        val state = Gangs.state(job)
-        if (state != Gangs.State.RUNNING && state != Gangs.State.GATHERING) return
+        val state = GangRules.state(job)
+        if (state != GangState.RUNNING && state != GangState.AWAITING_GANG) return
         val on =
-            job.claims.values
+            job.allocations.values
                 .mapNotNull { workers.machines[it.machine] }
                 .distinct()
-        if (state == Gangs.State.RUNNING) {
+        if (state == GangState.RUNNING) {
             if (mustSave && job.spec.checkpointS <= 0) return
             if (!on.all { it.up && it.hears && !it.lapsed && it.refusals == 0 && !workers.silent(it) && workers.reaches(it) }) return
         }
-        context.info("gang ${job.spec.id} run ${job.highestRun} is stopped: $reason")
-        Gangs.stop(job).filter { it.phase == Phase.CLAIMED }.forEach { workers.lose(it, reason) }
+        context.info("gang ${job.spec.id} run ${job.highestAttempt} is stopped: $reason")
+        GangRules.stop(job).filter { it.phase == AllocationPhase.COMMITTED }.forEach { workers.lose(it, reason) }
         on.forEach { workers.command(it) }
     }
 
--- a/src/main/kotlin/burlridge/worker/TaskOutcomes.kt
+++ b/src/main/kotlin/burlridge/worker/TaskOutcomes.kt
@@ -1,16 +1,16 @@
 package burlridge.worker
 
-import burlridge.allocation.Claim
+import burlridge.allocation.Allocation
+import burlridge.allocation.AllocationPhase
 import burlridge.allocation.Job
-import burlridge.allocation.Ledger
-import burlridge.allocation.Phase
+import burlridge.allocation.JobRegistry
 import burlridge.core.StepContext
 import burlridge.job.JobSpec
 
 /** What a report says of a claimed task, taken over into its claim and its job. */
 internal class TaskOutcomes(
     private val context: StepContext,
-    private val ledger: Ledger,
+    private val registry: JobRegistry,
 ) {
     /** What a type of machine caches; set once the types are known. */
     var cacheOf: (String) -> Double = { 0.0 }
@@ -23,26 +23,26 @@
     /** The machine has the task, in the state that [report] names. */
     fun seen(
         machine: Machine,
-        claim: Claim,
+        allocation: Allocation,
         report: ReportedTask,
     ) {
-        val before = claim.phase
-        claim.phase =
+        val before = allocation.phase
+        allocation.phase =
             when (report.state) {
                 "fetching" -> {
-                    Phase.FETCHING
+                    AllocationPhase.FETCHING
                 }
 
                 "gathering" -> {
-                    Phase.GATHERING
+                    AllocationPhase.AWAITING_GANG
                 }
 
                 "running" -> {
-                    Phase.RUNNING
+                    AllocationPhase.RUNNING
                 }
 
                 "saving" -> {
-                    Phase.SAVING
+                    AllocationPhase.CHECKPOINTING
                 }
 
                 // A state of a later day: the machine has the task, and that is all that is known.
@@ -50,21 +50,25 @@
                     context.count("worker.unknown_words")
                     context.infoRateLimited(
                         "states not known",
-                        "machine ${machine.id} reports ${claim.taskName} in a state that is not known: ${report.state.take(WORD)}",
+                        "machine ${machine.id} reports ${allocation.taskName} in a state that is not known: ${report.state.take(WORD)}",
                     )
-                    maxOf(before, Phase.FETCHING)
+                    maxOf(before, AllocationPhase.FETCHING)
                 }
             }
-        if (claim.phase == Phase.RUNNING && before != Phase.RUNNING && !claim.inherited) {
-            claim.startedAt = context.now
-            val job = ledger.jobs[claim.job]
-            if (claim.task == 0 && job?.spec?.gang == true) {
+        if (allocation.phase == AllocationPhase.RUNNING && before != AllocationPhase.RUNNING && !allocation.inherited) {
+            allocation.startedAt = context.now
+            val job = registry.jobs[allocation.job]
+            if (allocation.task == 0 && job?.spec?.gang == true) {
                 context.debug(
-                    "gang ${job.spec.id} run ${claim.run} is seen to run ${(context.wallMs - job.submittedMs) / 1000.0} s after its submission",
+                    "gang ${job.spec.id} run ${allocation.attempt} is seen to run ${(context.wallMs - job.submittedMs) / 1000.0} s after its submission",
                 )
             }
         }
-        if (claim.phase >= Phase.GATHERING && before < Phase.GATHERING) ledger.jobs[claim.job]?.let { remember(machine, it.spec) }
+        if (allocation.phase >= AllocationPhase.AWAITING_GANG &&
+            before < AllocationPhase.AWAITING_GANG
+        ) {
+            registry.jobs[allocation.job]?.let { remember(machine, it.spec) }
+        }
     }
 
     private fun remember(
@@ -80,35 +84,35 @@
     /** The task has ended there, for the reason that [report] names. */
     fun exited(
         machine: Machine,
-        claim: Claim,
+        allocation: Allocation,
         report: ReportedTask,
     ) {
-        val job = ledger.jobs[claim.job]
-        ledger.claims.release(claim, lost = report.exitReason != "done")
+        val job = registry.jobs[allocation.job]
+        registry.allocations.release(allocation, lost = report.exitReason != "done")
         if (job == null) return
         when (report.exitReason) {
             "done" -> {
                 machine.failures = 0
-                claim.startedAt?.let {
+                allocation.startedAt?.let {
                     job.ranS += context.now - it
                     job.ran++
                     onRan(machine, job, context.now - it)
                 }
                 remember(machine, job.spec)
-                ledger.markDone(job, claim.task)
+                registry.markDone(job, allocation.task)
             }
 
             "stopped" -> {
-                context.infoRateLimited("tasks stopped", "task ${claim.taskName} stopped on ${machine.id}, saved: ${report.saved}")
+                context.infoRateLimited("tasks stopped", "task ${allocation.taskName} stopped on ${machine.id}, saved: ${report.saved}")
             }
 
             "error" -> {
                 job.failures++
                 machine.failures++
                 context.info(
-                    "task ${claim.taskName} failed on ${machine.id}: failure ${job.failures} of its job, ${machine.failures} in a row there",
+                    "task ${allocation.taskName} failed on ${machine.id}: failure ${job.failures} of its job, ${machine.failures} in a row there",
                 )
-                job.holdOff(claim.task, context.now + minOf(times.reportS * job.failures, times.leaseS))
+                job.holdOff(allocation.task, context.now + minOf(times.reportS * job.failures, times.leaseS))
                 if (machine.failures >= FAILURES_TO_QUARANTINE && job.failures < machine.failures * 2) {
                     machine.notBefore = context.now + times.leaseS
                 }
@@ -118,7 +122,7 @@
             "peers", "incomplete" -> {
                 context.infoRateLimited(
                     "gang tasks ended without their gang",
-                    "task ${claim.taskName} run ${claim.run} ended on ${machine.id} without its gang: ${report.exitReason}",
+                    "task ${allocation.taskName} run ${allocation.attempt} ended on ${machine.id} without its gang: ${report.exitReason}",
                 )
             }
 
@@ -126,9 +130,9 @@
                 if (report.exitReason !in REFUSALS) context.count("worker.unknown_words")
                 context.infoRateLimited(
                     "starts refused",
-                    "start of ${claim.taskName} refused by ${machine.id}: ${report.exitReason?.take(WORD)}",
+                    "start of ${allocation.taskName} refused by ${machine.id}: ${report.exitReason?.take(WORD)}",
                 )
-                job.holdOff(claim.task, context.now + times.reportS / 3)
+                job.holdOff(allocation.task, context.now + times.reportS / 3)
                 if (report.exitReason == "full") machine.notBefore = context.now + times.reportS / 3
             }
         }
--- a/src/main/kotlin/burlridge/worker/Workers.kt
+++ b/src/main/kotlin/burlridge/worker/Workers.kt
@@ -1,9 +1,9 @@
 package burlridge.worker
 
-import burlridge.allocation.Claim
+import burlridge.allocation.Allocation
+import burlridge.allocation.AllocationPhase
 import burlridge.allocation.Job
-import burlridge.allocation.Ledger
-import burlridge.allocation.Phase
+import burlridge.allocation.JobRegistry
 import burlridge.core.HttpResponse
 import burlridge.core.StepContext
 import burlridge.leadership.Leadership
@@ -20,7 +20,7 @@
 internal class Workers(
     private val context: StepContext,
     private val leadership: Leadership,
-    private val ledger: Ledger,
+    private val registry: JobRegistry,
     private val peers: Peers,
     private val onChange: () -> Unit,
 ) : Commands.Events {
@@ -35,10 +35,10 @@
     private var tokens = 0L
     var loaded: Boolean = false
     private val reachability = ZoneReachability(context)
-    val outcomes: TaskOutcomes = TaskOutcomes(context, ledger)
-    private val reconciler = ReportReconciler(ledger) { nextToken() }
-    private val commands = Commands(context, leadership, ledger, peers, reachability, reconciler, this)
-    private val draining = MachineDrain(context, ledger, this)
+    val outcomes: TaskOutcomes = TaskOutcomes(context, registry)
+    private val reconciler = ReportReconciler(registry) { nextToken() }
+    private val commands = Commands(context, leadership, registry, peers, reachability, reconciler, this)
+    private val draining = MachineDrain(context, registry, this)
 
     fun reaches(machine: Machine): Boolean = machine.relayedBy != null || !reachability.isLeft(machine.zone)
 
@@ -199,34 +199,34 @@
     }
 
     fun reconcile(machine: Machine) {
-        val claims =
-            ledger.claims.byMachine[machine.id]
+        val allocations =
+            registry.allocations.byMachine[machine.id]
                 ?.values
                 ?.toList()
                 .orEmpty()
-        for (claim in claims) {
-            if (claim.session < machine.session) {
-                lose(claim, "its worker's session is over")
+        for (allocation in allocations) {
+            if (allocation.session < machine.session) {
+                lose(allocation, "its worker's session is over")
                 continue
             }
-            val report = machine.reported[taskKey(claim.taskName, claim.run)]
+            val report = machine.reported[taskKey(allocation.taskName, allocation.attempt)]
             when {
-                report == null -> if (knownAbsent(machine, claim)) lose(claim, "its worker does not have it")
-                report.exited -> outcomes.exited(machine, claim, report)
-                else -> outcomes.seen(machine, claim, report)
+                report == null -> if (knownAbsent(machine, allocation)) lose(allocation, "its worker does not have it")
+                report.exited -> outcomes.exited(machine, allocation, report)
+                else -> outcomes.seen(machine, allocation, report)
             }
         }
         setOrphans(
             machine,
             machine.reported.values
                 .filter {
-                    !it.exited && ledger.claims.byMachine[machine.id]
+                    !it.exited && registry.allocations.byMachine[machine.id]
                         ?.get(it.task)
-                        ?.run != it.attempt
+                        ?.attempt != it.attempt
                 }.mapTo(HashSet()) { it.task },
         )
-        if (machine.idleSince > 0 && !ledger.claims.byMachine[machine.id].isNullOrEmpty()) machine.idleSince = 0.0
-        if (machine.idleSince == 0.0 && ledger.claims.byMachine[machine.id].isNullOrEmpty()) machine.idleSince = context.now
+        if (machine.idleSince > 0 && !registry.allocations.byMachine[machine.id].isNullOrEmpty()) machine.idleSince = 0.0
+        if (machine.idleSince == 0.0 && registry.allocations.byMachine[machine.id].isNullOrEmpty()) machine.idleSince = context.now
     }
 
     /**
@@ -235,25 +235,28 @@
      */
     private fun knownAbsent(
         machine: Machine,
-        claim: Claim,
+        allocation: Allocation,
     ): Boolean =
-        when (claim.phase) {
-            Phase.CLAIMING, Phase.CLAIMED, Phase.ENDED -> false
+        when (allocation.phase) {
+            AllocationPhase.COMMITTING, AllocationPhase.COMMITTED, AllocationPhase.ENDED -> false
             else -> !machine.commanding && machine.seenToken > machine.unsettledToken
         }
 
     override fun lose(
-        claim: Claim,
+        allocation: Allocation,
         reason: String,
     ) {
         // Of a job that is over nothing is lost: a new leader only learns so late that its tasks are.
-        if (ledger.jobs.containsKey(
-                claim.job,
+        if (registry.jobs.containsKey(
+                allocation.job,
             )
         ) {
-            context.infoRateLimited("tasks lost: $reason", "task ${claim.taskName} run ${claim.run} lost on ${claim.machine}: $reason")
+            context.infoRateLimited(
+                "tasks lost: $reason",
+                "task ${allocation.taskName} run ${allocation.attempt} lost on ${allocation.machine}: $reason",
+            )
         }
-        ledger.claims.release(claim, lost = true)
+        registry.allocations.release(allocation, lost = true)
         onChange()
     }
 
@@ -262,7 +265,7 @@
         reason: String,
         below: Long = Long.MAX_VALUE,
     ) {
-        ledger.claims.byMachine[machine.id]
+        registry.allocations.byMachine[machine.id]
             ?.values
             ?.toList()
             .orEmpty()
@@ -289,7 +292,7 @@
 
     /** Nobody has any use for what the tasks of a withdrawn [job] do: their machines are told at once, before its end is durable. */
     fun stop(job: Job) =
-        job.claims.values
+        job.allocations.values
             .mapNotNull { machines[it.machine] }
             .distinct()
             .forEach { command(it) }
@@ -326,10 +329,10 @@
         machine: Machine,
         reason: String,
     ) {
-        ledger.claims.byMachine[machine.id]
+        registry.allocations.byMachine[machine.id]
             ?.values
             ?.filter {
-                it.phase == Phase.CLAIMED
+                it.phase == AllocationPhase.COMMITTED
             }?.toList()
             ?.forEach { lose(it, reason) }
     }
@@ -363,7 +366,7 @@
         machines.remove(machine.id)
         setOrphans(machine, emptySet())
         loseAll(machine, reason)
-        ledger.claims.byMachine.remove(machine.id)
+        registry.allocations.byMachine.remove(machine.id)
     }
 
     internal companion object {
--- a/src/test/kotlin/burlridge/allocation/LimitsTest.kt
+++ b/src/test/kotlin/burlridge/allocation/LimitsTest.kt
@@ -40,7 +40,7 @@
             ) = Unit
         }
     private val leadership = Leadership(context, store, nobody)
-    private val ledger = Ledger(context, store, leadership)
+    private val registry = JobRegistry(context, store, leadership)
 
     private val errors = ArrayList<String>()
 
@@ -50,7 +50,7 @@
             clock.runUntil(clock.now + 0.1)
             context.beginStep(clock.now, (clock.now * 1000).toLong())
             leadership.tick()
-            if (leadership.leading) ledger.tick()
+            if (leadership.leading) registry.tick()
             context.runDue()
             store.pump()
             answer()
@@ -79,7 +79,7 @@
             "ramGb":0.0,"bundle":"i","pullGb":1.0,"together":false,"spread":false,"loaners":true,"guessS":1.0,"markEveryS":0.0,
             "markCostS":0.0}"""
         put("live/$id", """{"job":$body,"fp":"x","at":0}""")
-        return checkNotNull(ledger.admit(id, Json.parse("""{"job":$body,"fp":"x","at":0}"""), stampOf("live/$id")))
+        return checkNotNull(registry.admit(id, Json.parse("""{"job":$body,"fp":"x","at":0}"""), stampOf("live/$id")))
     }
 
     private fun put(
@@ -104,14 +104,14 @@
             state.lower(valueKb = 8.0, changesPerTransaction = 8)
             put("prog/j-1/$chunk", """{"bits":"$bits"}""")
             state.lower(valueKb = 2.0, changesPerTransaction = 4)
-            ledger.loadProgress(Row("prog/j-1/$chunk", Json.parse("""{"bits":"$bits"}"""), 1))
+            registry.loadProgress(Row("prog/j-1/$chunk", Json.parse("""{"bits":"$bits"}"""), 1))
         }
         assertEquals(2 * Progress.CHUNK, job.durable.cardinality())
-        (2 * Progress.CHUNK until JobSpecLimits.TASKS - 1).forEach { ledger.markDone(job, it) }
+        (2 * Progress.CHUNK until JobSpecLimits.TASKS - 1).forEach { registry.markDone(job, it) }
         pass(120.0)
         assertEquals(JobSpecLimits.TASKS - 1, job.durable.cardinality())
         assertTrue(state.keys("prog/").size > 4)
-        ledger.markDone(job, JobSpecLimits.TASKS - 1)
+        registry.markDone(job, JobSpecLimits.TASKS - 1)
         pass(20.0)
         assertEquals(listOf("over/j-1"), state.keys("over/"))
         assertEquals(emptyList<String>(), state.keys("prog/") + state.keys("live/"))
@@ -124,7 +124,7 @@
     fun `progress of a job that is over is removed by the leader that finds it`() {
         pass(3.0)
         repeat(6) { put("prog/j-9/b${it * 8}", """{"bits":"/w=="}""") }
-        state.keys("prog/").forEach { ledger.loadProgress(Row(it, Json.parse("""{"bits":"/w=="}"""), 1)) }
+        state.keys("prog/").forEach { registry.loadProgress(Row(it, Json.parse("""{"bits":"/w=="}"""), 1)) }
         pass(10.0)
         assertEquals(emptyList<String>(), state.keys("prog/"))
         assertEquals(0, state.refusedAsTooLarge)
@@ -141,26 +141,26 @@
         state.lower(valueKb = 8.0, changesPerTransaction = 8)
         put("round/1-0", value)
         state.lower(valueKb = 2.0, changesPerTransaction = 4)
-        ledger.claims.loadRound(Row("round/1-0", Json.parse(value), stampOf("round/1-0")))
-        ledger.settleLoaded()
+        registry.allocations.loadBatch(Row("round/1-0", Json.parse(value), stampOf("round/1-0")))
+        registry.reconcileLoaded()
 
-        fun claimsOf(tasks: IntRange) = tasks.map { job.claims.get(it) }
-        claimsOf(0..0).forEach { ledger.claims.release(it, lost = true) }
+        fun claimsOf(tasks: IntRange) = tasks.map { job.allocations.get(it) }
+        claimsOf(0..0).forEach { registry.allocations.release(it, lost = true) }
         pass(5.0)
         // Of 149 nothing is known yet: too much for a row.
-        assertEquals(1, decode(Row("round/1-0", Json.parse(value), 1)).claims.count { it.task == 0 })
+        assertEquals(1, decode(Row("round/1-0", Json.parse(value), 1)).allocations.count { it.task == 0 })
         claimsOf(1..130).forEach {
-            ledger.claims.release(it, lost = false)
-            ledger.markDone(job, it.task)
+            registry.allocations.release(it, lost = false)
+            registry.markDone(job, it.task)
             job.durable.set(it.task)
         }
-        claimsOf(131..131).forEach { ledger.claims.release(it, lost = true) }
+        claimsOf(131..131).forEach { registry.allocations.release(it, lost = true) }
         pass(5.0)
         var row = ""
         state.handle("GET", "/store/round/1-0", "") { _, body -> row = body }
         assertTrue("[131,1,\"m-00000131\",1,0,1]" in row, row)
-        (0 until 200).forEach { if (!job.done.get(it)) ledger.markDone(job, it) }
-        claimsOf(132..149).forEach { it?.let { claim -> ledger.claims.release(claim, lost = false) } }
+        (0 until 200).forEach { if (!job.done.get(it)) registry.markDone(job, it) }
+        claimsOf(132..149).forEach { it?.let { allocation -> registry.allocations.release(allocation, lost = false) } }
         pass(20.0)
         assertEquals(emptyList<String>(), state.keys("round/"))
         assertEquals(0, state.refusedAsTooLarge)
--- a/src/test/kotlin/burlridge/allocation/ProductionTest.kt
+++ b/src/test/kotlin/burlridge/allocation/ProductionTest.kt
@@ -43,9 +43,9 @@
     @Test
     fun `a round of production is read, and written byte for byte as it writes it`() {
         for (row in rows("round/")) {
-            val round = decode(row)
-            assertTrue(round.claims.size > 100)
-            assertEquals(Json.write(row.value), Json.write(encode(round, row.value.path("tok").asLong(), row.value.path("until").asLong())))
+            val batch = decode(row)
+            assertTrue(batch.allocations.size > 100)
+            assertEquals(Json.write(row.value), Json.write(encode(batch, row.value.path("tok").asLong(), row.value.path("until").asLong())))
         }
     }
 
@@ -141,7 +141,7 @@
 
     @Test
     fun `ends and terms of production are what this version looks for`() {
-        rows("over/").forEach { row -> assertTrue(Standing.entries.any { it.wire == row.value.path("st").asText() }) }
+        rows("over/").forEach { row -> assertTrue(JobState.entries.any { it.wire == row.value.path("st").asText() }) }
         rows("term").forEach { row -> assertTrue(row.value.path("n").isIntegralNumber && row.value.path("led").isObject) }
     }
 }
--- a/src/test/kotlin/burlridge/job/JobSpecTest.kt
+++ b/src/test/kotlin/burlridge/job/JobSpecTest.kt
@@ -16,7 +16,7 @@
         from: String,
         to: String,
     ): String =
-        assertThrows(BadJob::class.java) {
+        assertThrows(InvalidJobException::class.java) {
             JobSpec.parse(Json.parseOrNull(good.replace(from, to).also { check(it != good) }))
         }.message.orEmpty()
 
--- a/src/test/kotlin/burlridge/loopback/LoopbackWorld.kt
+++ b/src/test/kotlin/burlridge/loopback/LoopbackWorld.kt
@@ -5,7 +5,7 @@
 import burlridge.core.Input
 import burlridge.job.JobSpec
 import burlridge.job.Priority
-import burlridge.job.Size
+import burlridge.job.Resources
 import burlridge.json.Json
 import burlridge.net.ConnectionBudget
 import burlridge.net.EventLoop
@@ -266,7 +266,7 @@
             "crew",
             Priority.HIGH,
             tasks,
-            Size(1.0, 0.0, 2.0),
+            Resources(1.0, 0.0, 2.0),
             "img-1",
             1.0,
             null,
--- a/src/test/kotlin/burlridge/sim/Rules.kt
+++ b/src/test/kotlin/burlridge/sim/Rules.kt
@@ -1,7 +1,7 @@
 package burlridge.sim
 
 import burlridge.job.JobSpec
-import burlridge.job.Size
+import burlridge.job.Resources
 
 /** Every rule of the protocol, checked against what really happened on the stand-ins. */
 internal class Rules(
@@ -191,8 +191,8 @@
         }
     }
 
-    private fun teamUse(team: String): Size =
-        on.entries.fold(Size.NONE) { sum, (taskName, machines) ->
+    private fun teamUse(team: String): Resources =
+        on.entries.fold(Resources.NONE) { sum, (taskName, machines) ->
             val spec = jobs[taskName.substringBefore('/')]?.takeIf { it.team == team }
             if (spec == null) sum else machines.fold(sum) { s, _ -> s + spec.size }
         }
--- a/src/test/kotlin/burlridge/sim/Users.kt
+++ b/src/test/kotlin/burlridge/sim/Users.kt
@@ -2,7 +2,7 @@
 
 import burlridge.job.JobSpec
 import burlridge.job.Priority
-import burlridge.job.Size
+import burlridge.job.Resources
 import burlridge.json.Json
 
 // The users of a simulated world: what they submit, ask and cancel. Every answer goes to the checker of rules.
@@ -25,7 +25,7 @@
         team,
         if (jobClass == "urgent") Priority.HIGH else Priority.NORMAL,
         tasks,
-        Size(cpus, 0.0, cpus * 2),
+        Resources(cpus, 0.0, cpus * 2),
         "img-1",
         1.0,
         null,
