--- a/src/main/kotlin/burlridge/allocation/AllocationBatchCodec.kt
+++ b/src/main/kotlin/burlridge/allocation/AllocationBatchCodec.kt
@@ -36,7 +36,7 @@
                     .add(it.task)
                     .add(it.attempt)
                     .add(it.machine)
-                    .add(it.session)
+                    .add(it.agentEpoch)
                     .add(zones.indexOf(it.zone))
                     .add(if (it.lost) 1 else 0)
             }
--- a/src/main/kotlin/burlridge/allocation/Job.kt
+++ b/src/main/kotlin/burlridge/allocation/Job.kt
@@ -125,7 +125,7 @@
     val task: Int,
     val attempt: Int,
     val machine: String,
-    val session: Long,
+    val agentEpoch: Long,
     /** Kept with the claim: a new leader must know it before the machine's first report, or spread and one-zone jobs go astray. */
     val zone: String,
     val charge: QuotaCharge,
--- a/src/main/kotlin/burlridge/api/Intake.kt
+++ b/src/main/kotlin/burlridge/api/JobApi.kt
@@ -11,8 +11,8 @@
 import burlridge.job.JobSpec
 import burlridge.json.Json
 import burlridge.leadership.Leadership
-import burlridge.leadership.Versions
-import burlridge.peer.Peers
+import burlridge.leadership.GangFeatureGate
+import burlridge.peer.PeerRequests
 import burlridge.store.Change
 import burlridge.store.Condition
 import burlridge.store.ReadResult
@@ -23,20 +23,20 @@
 import com.fasterxml.jackson.databind.JsonNode
 
 /** What users ask: submit, query, abort. Nothing is held back; what cannot be done now is refused at once. */
-internal class Intake(
+internal class JobApi(
     private val context: StepContext,
     private val store: StoreClient,
     private val leadership: Leadership,
     private val registry: JobRegistry,
     private val fleet: Fleet,
-    private val peers: Peers,
-    private val versions: Versions,
+    private val peers: PeerRequests,
+    private val gangGate: GangFeatureGate,
     private val onAccepted: () -> Unit,
     private val onCancelled: (Job) -> Unit,
 ) {
     /** Set once a new leader has read all rows. */
     var loaded: Boolean = false
-    private val rows = JobRows(store, registry)
+    private val rows = StoredJobReader(store, registry)
     private val verdict = JobValidation(context, store)
     private val decides: Boolean get() = loaded && leadership.holdsLease
 
@@ -78,12 +78,12 @@
                 )
             }
 
-            versions.allKnowGangs || registry.end(id) != null || registry.jobs.containsKey(id) -> {
+            gangGate.allMembersSupportGangs || registry.end(id) != null || registry.jobs.containsKey(id) -> {
                 go()
             }
 
             else -> {
-                versions.ask { all ->
+                gangGate.ask { all ->
                     when (all) {
                         true -> go()
                         false -> refuseUnlessKnown(node, HttpResponse.unavailable("not every member knows gangs yet", waitS), onResult)
@@ -101,14 +101,14 @@
         passedOn: Boolean,
         onResult: (HttpResponse) -> Unit,
     ) {
-        val helper = if (passedOn) null else peers.served()
+        val helper = if (passedOn) null else peers.memberWithStore()
         when {
             helper == null -> {
                 submitHere(body, passedOn, onResult)
             }
 
             !store.isServing -> {
-                peers.ask(helper, "POST", "/api/jobs", body, PASS_S) {
+                peers.forward(helper, "POST", "/api/jobs", body, PASS_S) {
                     onResult(it ?: HttpResponse.unavailable("no member can reach the state service"))
                 }
             }
@@ -118,7 +118,7 @@
                     if (first.status != 503) {
                         onResult(first)
                     } else {
-                        peers.ask(helper, "POST", "/api/jobs", body, PASS_S) { onResult(it ?: first) }
+                        peers.forward(helper, "POST", "/api/jobs", body, PASS_S) { onResult(it ?: first) }
                     }
                 }
             }
@@ -163,7 +163,7 @@
     ) {
         val leader = leadership.knownLeader?.takeIf { it != context.settings.member }
         if (leader == null || body == null) return lookUpOrCreate(spec, onResult)
-        peers.ask(leader, "POST", "/api/jobs", body, ASK_S) {
+        peers.forward(leader, "POST", "/api/jobs", body, ASK_S) {
             if (it == null ||
                 it.status == 503
             ) {
@@ -180,7 +180,7 @@
     ) = rows.read(spec.id) { found ->
         when {
             found == null -> onResult(HttpResponse.unavailable("the state service does not answer"))
-            found is Found.Nothing -> create(spec, onResult)
+            found is StoredJob.Missing -> create(spec, onResult)
             found.fingerprint == spec.fingerprint -> onResult(told(spec.id, found.jobState))
             else -> onResult(changed(spec.id))
         }
@@ -220,7 +220,7 @@
         rows.read(id) { found ->
             when {
                 found == null -> onResult(HttpResponse.unavailable("the state service does not answer"))
-                found is Found.Nothing -> onResult(refusal)
+                found is StoredJob.Missing -> onResult(refusal)
                 fingerprint == null || found.fingerprint == fingerprint -> onResult(told(id, found.jobState))
                 else -> onResult(changed(id))
             }
@@ -265,8 +265,8 @@
         modRevision: Long,
     ) {
         heardAccepted(spec.id)
-        peers.tellAccepted(spec.id)
-        if (leadership.leading && loaded) {
+        peers.broadcastAccepted(spec.id)
+        if (leadership.isLeader && loaded) {
             registry.admit(spec.id, row, modRevision)
             onAccepted()
         }
@@ -281,9 +281,9 @@
     ) {
         if (!JobSpec.isId(id)) return onResult(HttpResponse.error(404, "no such job"))
         local(id)?.let { return onResult(it) }
-        val leader = if (leadership.leading) peers.served() else leadership.knownLeader ?: peers.served()
+        val leader = if (leadership.isLeader) peers.memberWithStore() else leadership.knownLeader ?: peers.memberWithStore()
         if (passedOn || leader == null || leader == context.settings.member || (decides && undecided(id))) return queryRows(id, onResult)
-        peers.ask(leader, "GET", "/api/jobs/$id", "", ASK_S) { answer ->
+        peers.forward(leader, "GET", "/api/jobs/$id", "", ASK_S) { answer ->
             if (answer != null && answer.status != 503) {
                 noteEnd(id, answer)
                 onResult(answer)
@@ -327,15 +327,15 @@
                     onResult(HttpResponse.unavailable("the state service does not answer"))
                 }
 
-                is Found.Nothing -> {
+                is StoredJob.Missing -> {
                     onResult(HttpResponse.error(404, "no such job"))
                 }
 
-                is Found.Live -> {
+                is StoredJob.Live -> {
                     onResult(local(id) ?: HttpResponse(200, registry.jobs[id]?.let(::progress) ?: jobState(id, JobState.QUEUED)))
                 }
 
-                is Found.Over -> {
+                is StoredJob.Over -> {
                     onResult(HttpResponse(200, ended(id, found.end)))
                 }
             }
@@ -357,12 +357,12 @@
                 abortHere(id, onResult)
             }
 
-            passedOn || leadership.leading || leader == null || leader == context.settings.member -> {
+            passedOn || leadership.isLeader || leader == null || leader == context.settings.member -> {
                 onResult(HttpResponse.unavailable("no leader at the moment"))
             }
 
             else -> {
-                peers.ask(leader, "POST", "/api/jobs/$id/abort", "", ABORT_S) { answer ->
+                peers.forward(leader, "POST", "/api/jobs/$id/abort", "", ABORT_S) { answer ->
                     answer?.let { noteEnd(id, it) }
                     onResult(answer ?: HttpResponse.unavailable("the leader does not answer"))
                 }
--- a/src/main/kotlin/burlridge/api/JobRows.kt
+++ b/src/main/kotlin/burlridge/api/StoredJobReader.kt
@@ -7,43 +7,43 @@
 import burlridge.store.StoreClient
 
 /** What the rows of a job say. */
-internal sealed interface Found {
+internal sealed interface StoredJob {
     val fingerprint: String?
     val jobState: JobState
 
-    data object Nothing : Found {
+    data object Missing : StoredJob {
         override val fingerprint: String? = null
         override val jobState: JobState = JobState.QUEUED
     }
 
     data class Live(
         override val fingerprint: String,
-    ) : Found {
+    ) : StoredJob {
         override val jobState: JobState = JobState.QUEUED
     }
 
     data class Over(
         val end: JobRegistry.End,
-    ) : Found {
+    ) : StoredJob {
         override val fingerprint: String = end.fingerprint
         override val jobState: JobState = end.jobState
     }
 }
 
-internal class JobRows(
+internal class StoredJobReader(
     private val store: StoreClient,
     private val registry: JobRegistry,
 ) {
     /** The live row first: a job moves from there to its end, so one that is missed there is found here. Null when a read failed. */
     fun read(
         id: String,
-        onResult: (Found?) -> Unit,
+        onResult: (StoredJob?) -> Unit,
     ) {
         store.get("live/$id", RequestPriority.USER) { live ->
             when (live) {
                 is ReadResult.Found -> {
                     onResult(
-                        Found.Live(
+                        StoredJob.Live(
                             live.value.value
                                 .path("fp")
                                 .asText(),
@@ -58,8 +58,8 @@
                 ReadResult.Absent -> {
                     store.get("over/$id", RequestPriority.USER) { over ->
                         when (over) {
-                            is ReadResult.Found -> onResult(registry.recordEnd(id, over.value.value)?.let { Found.Over(it) })
-                            ReadResult.Absent -> onResult(Found.Nothing)
+                            is ReadResult.Found -> onResult(registry.recordEnd(id, over.value.value)?.let { StoredJob.Over(it) })
+                            ReadResult.Absent -> onResult(StoredJob.Missing)
                             ReadResult.Failed -> onResult(null)
                         }
                     }
--- a/src/main/kotlin/burlridge/app/AdminCommand.kt
+++ b/src/main/kotlin/burlridge/app/AdminCommand.kt
@@ -31,8 +31,8 @@
 
     /** What each part that is switched on says. */
     fun status(): String {
-        val members = askIfOn("GET", MemberRequests.STATUS)?.let(FailoverText::describe)
-        val machines = askIfOn("GET", MachineRequests.STATUS)?.let(BalanceText::describe)
+        val members = askIfOn("GET", MemberRequests.STATUS)?.let(FailoverReportFormatter::describe)
+        val machines = askIfOn("GET", MachineRequests.STATUS)?.let(BalanceReportFormatter::describe)
         val parts = listOfNotNull(members, machines)
         if (parts.isEmpty()) throw Failure("the controller at $address has neither failover nor balance switched on")
         return parts.joinToString("\n")
@@ -50,7 +50,7 @@
     fun explain(subject: String): String {
         val answer =
             askIfOn("GET", MachineRequests.EXPLAIN + subject) ?: throw Failure("the controller at $address has no balance switched on")
-        return BalanceText.explain(answer)
+        return BalanceReportFormatter.explain(answer)
     }
 
     private fun change(
@@ -65,7 +65,7 @@
                 put(MachineRequests.ASKED, System.currentTimeMillis())
             }
         val answer = askIfOn("POST", path, Json.write(request)) ?: throw Failure("the controller at $address has no balance switched on")
-        return BalanceText.drain(answer)
+        return BalanceReportFormatter.drain(answer)
     }
 
     /** Takes [member], or the controller itself, out of service and waits until it is. */
--- a/src/main/kotlin/burlridge/app/BalanceText.kt
+++ b/src/main/kotlin/burlridge/app/BalanceReportFormatter.kt
@@ -4,7 +4,7 @@
 import java.time.Instant
 
 /** The leader's report about drains and moves as lines of text. */
-internal object BalanceText {
+internal object BalanceReportFormatter {
     fun describe(report: JsonNode): String =
         buildString {
             val lately = "${report.path("moved_lately").asInt()} of ${report.path("moves_per_minute").asInt()} lately"
--- a/src/main/kotlin/burlridge/app/Rehearsal.kt
+++ b/src/main/kotlin/burlridge/app/ClassArchiveTraining.kt
@@ -7,7 +7,7 @@
 import java.net.ServerSocket
 
 /** Settings and calls for [Service.rehearse]: everything on loopback, and every outside system is the controller itself. */
-internal object Rehearsal {
+internal object ClassArchiveTraining {
     fun settings(): String {
         val (serve, peer) =
             List(2) { ServerSocket(0, 1, InetAddress.getLoopbackAddress()) }
--- a/src/main/kotlin/burlridge/app/Controller.kt
+++ b/src/main/kotlin/burlridge/app/Controller.kt
@@ -3,9 +3,9 @@
 import burlridge.admin.AdminRequests
 import burlridge.allocation.AllocationPhase
 import burlridge.allocation.JobRegistry
-import burlridge.api.Intake
+import burlridge.api.JobApi
 import burlridge.balance.Balance
-import burlridge.balance.BalancePorts
+import burlridge.balance.BalanceDependencies
 import burlridge.balance.MachineRequests
 import burlridge.core.Effect
 import burlridge.core.HttpResponse
@@ -15,53 +15,54 @@
 import burlridge.failover.MemberRequests
 import burlridge.fleet.Fleet
 import burlridge.leadership.Leadership
-import burlridge.leadership.Versions
+import burlridge.leadership.LeadershipListener
+import burlridge.leadership.GangFeatureGate
 import burlridge.message.FailoverStatus
 import burlridge.message.PeerMessage
-import burlridge.peer.Peers
+import burlridge.peer.PeerRequests
 import burlridge.placement.Placement
 import burlridge.settings.Settings
 import burlridge.store.ReadResult
 import burlridge.store.RequestPriority
 import burlridge.store.StoreClient
-import burlridge.worker.AnsweredWorkers
-import burlridge.worker.Commands
-import burlridge.worker.Relay
-import burlridge.worker.Workers
+import burlridge.worker.WorkerResponseCount
+import burlridge.worker.CommandDispatcher
+import burlridge.worker.HeartbeatRelay
+import burlridge.worker.WorkerManager
 
 /** The state machine of one controller: an input and the time go in, what to send, write and answer comes out. */
 internal class Controller(
     private val settings: Settings,
     seed: Long,
-) : Leadership.Events,
+) : LeadershipListener,
     Failover.ControllerState {
     private val context = StepContext(settings, seed)
     private val store = StoreClient(context)
     private val leadership = Leadership(context, store, this)
     private val registry = JobRegistry(context, store, leadership)
-    private val peers = Peers(context)
-    private val workers = Workers(context, leadership, registry, peers) { placeSoon() }
+    private val peers = PeerRequests(context)
+    private val workers = WorkerManager(context, leadership, registry, peers) { placeSoon() }
     private val fleet = Fleet(context, store, leadership, registry, workers)
     private val placement = Placement(context, registry, workers, fleet)
-    private val versions = Versions(context, store)
-    private val intake = Intake(context, store, leadership, registry, fleet, peers, versions, { placeSoon() }, workers::stop)
+    private val gangGate = GangFeatureGate(context, store)
+    private val jobApi = JobApi(context, store, leadership, registry, fleet, peers, gangGate, { placeSoon() }, workers::stop)
     val work: Map<String, Long> get() = context.counters
-    val leads: Boolean get() = leadership.holdsLease && intake.loaded
-    private val relay = Relay(context, peers)
+    val isActiveLeader: Boolean get() = leadership.holdsLease && jobApi.loaded
+    private val relay = HeartbeatRelay(context, peers)
     private val failover =
         settings.operator.failover?.let {
-            Failover(context, it, store, leadership, TermRows.prefixes(settings.operator.balance != null), this)
+            Failover(context, it, store, leadership, LeaderStateLoader.prefixes(settings.operator.balance != null), this)
         }
     private val balance =
         settings.operator.balance?.let {
-            Balance(context, it, BalancePorts(store, leadership, registry, workers, fleet, placement)) { placeSoon() }
+            Balance(context, it, BalanceDependencies(store, leadership, registry, workers, fleet, placement)) { placeSoon() }
         }
     private val admin =
         AdminRequests(
             failover?.let { MemberRequests(context, it, peers) },
-            balance?.let { MachineRequests(context, leadership, it, peers) { intake.loaded } },
+            balance?.let { MachineRequests(context, leadership, it, peers) { jobApi.loaded } },
         )
-    private val rows = TermRows(context, store, leadership, registry, fleet, failover, balance) { placeSoon() }
+    private val rows = LeaderStateLoader(context, store, leadership, registry, fleet, failover, balance) { placeSoon() }
 
     /** Whether this member was asked to leave, and nothing is left for it to do. */
     val drained: Boolean get() = failover?.drained ?: true
@@ -97,13 +98,13 @@
     private fun tick() {
         leadership.tick()
         fleet.tickCatalog()
-        versions.tick()
+        gangGate.tick()
         failover?.tick()
         if (context.now >= announceAt) {
-            announceAt = context.now + Leadership.ANNOUNCE_S
-            leadership.announce(if (leadership.leading) workers.unheardZones() else emptyList())
+            announceAt = context.now + Leadership.STATUS_INTERVAL_S
+            leadership.broadcastStatus(if (leadership.isLeader) workers.zonesWithoutHeartbeats() else emptyList())
         }
-        if (leadership.leading && intake.loaded) {
+        if (leadership.isLeader && jobApi.loaded) {
             workers.tick()
             registry.tick()
             if (leadership.holdsLease && !resting) {
@@ -123,9 +124,9 @@
 
     private fun place() {
         placing = false
-        if (!leadership.holdsLease || !intake.loaded || resting) return
+        if (!leadership.holdsLease || !jobApi.loaded || resting) return
         placedAt = context.now
-        balance?.mark()
+        balance?.applyCordons()
         placement.schedule()
     }
 
@@ -158,18 +159,18 @@
             }
 
             path == "/api/jobs" -> {
-                only(method, "POST", onResult) { intake.submit(body, passedOn, onResult) }
+                only(method, "POST", onResult) { jobApi.submit(body, passedOn, onResult) }
             }
 
             parts.size == 3 && path.startsWith("/api/jobs/") -> {
-                only(method, "GET", onResult) { intake.query(parts[2], passedOn, onResult) }
+                only(method, "GET", onResult) { jobApi.query(parts[2], passedOn, onResult) }
             }
 
             parts.size == 4 &&
                 path.startsWith(
                     "/api/jobs/",
                 ) && parts[3] == "abort" -> {
-                only(method, "POST", onResult) { intake.abort(parts[2], passedOn, onResult) }
+                only(method, "POST", onResult) { jobApi.abort(parts[2], passedOn, onResult) }
             }
 
             else -> {
@@ -196,9 +197,9 @@
     ) {
         when {
             // Before it has read the rows a leader does not know what was cancelled: an answer without a halt would keep it alive.
-            leadership.answering && workers.loaded -> onResult(workers.heartbeat(body, from))
+            leadership.mayAnswerWorkers && workers.loaded -> onResult(workers.heartbeat(body, from))
 
-            leadership.leading || from != null -> onResult(HttpResponse.unavailable("leadership in doubt"))
+            leadership.isLeader || from != null -> onResult(HttpResponse.unavailable("leadership in doubt"))
 
             else -> relay.heartbeat(body, leadership.knownLeader?.takeIf { it != settings.member }, onResult)
         }
@@ -207,10 +208,10 @@
     // --- peers
 
     private fun fromPeer(message: PeerMessage) {
-        peers.heard(message)
+        peers.onMessage(message)
         when (message) {
             is PeerMessage.Status -> {
-                leadership.heard(message)
+                leadership.onPeerStatus(message)
                 failover?.heard(message)
             }
 
@@ -218,18 +219,18 @@
                 if (failover == null) context.count("failover.messages_refused") else failover.handover(message)
             }
 
-            is PeerMessage.Reply -> {
-                peers.replied(message)
+            is PeerMessage.ForwardedResponse -> {
+                peers.onResponse(message)
             }
 
-            is PeerMessage.Accepted -> {
-                intake.heardAccepted(message.job)
-                if (leadership.leading && intake.loaded && !registry.jobs.containsKey(message.job)) admit(message.job)
+            is PeerMessage.JobAccepted -> {
+                jobApi.heardAccepted(message.job)
+                if (leadership.isLeader && jobApi.loaded && !registry.jobs.containsKey(message.job)) admit(message.job)
             }
 
-            is PeerMessage.Ask -> {
-                if (message.path.startsWith(Relay.COMMAND)) {
-                    relay.command(message.path.removePrefix(Relay.COMMAND), message.body) { reply(message, it) }
+            is PeerMessage.ForwardedRequest -> {
+                if (message.path.startsWith(HeartbeatRelay.COMMAND)) {
+                    relay.command(message.path.removePrefix(HeartbeatRelay.COMMAND), message.body) { reply(message, it) }
                 } else {
                     request(message.method, message.path, message.body, message.from) { reply(message, it) }
                 }
@@ -241,7 +242,7 @@
     private fun admit(job: String) {
         val term = leadership.term
         store.get("live/$job", RequestPriority.USER) { live ->
-            if (leadership.leading && leadership.term == term && intake.loaded && live is ReadResult.Found) {
+            if (leadership.isLeader && leadership.term == term && jobApi.loaded && live is ReadResult.Found) {
                 registry.admit(job, live.value.value, live.value.modRevision)
                 placeSoon()
             }
@@ -249,10 +250,10 @@
     }
 
     private fun reply(
-        to: PeerMessage.Ask,
+        to: PeerMessage.ForwardedRequest,
         answer: HttpResponse,
     ) {
-        context.send(to.from, PeerMessage.Reply(settings.member, to.ask, answer.status, answer.body, answer.retryAfterS ?: 0))
+        context.send(to.from, PeerMessage.ForwardedResponse(settings.member, to.requestId, answer.status, answer.body, answer.retryAfterS ?: 0))
     }
 
     // --- leadership
@@ -266,7 +267,7 @@
     }
 
     private fun forget() {
-        intake.loaded = false
+        jobApi.loaded = false
         registry.clear()
         workers.clear()
         fleet.clear()
@@ -287,7 +288,7 @@
         failover?.learned(leader, term)
     }
 
-    override fun onNamed(term: Long): Boolean = failover?.named(term) ?: false
+    override fun onTermHandedOver(term: Long): Boolean = failover?.named(term) ?: false
 
     override fun defersElection(): Boolean = failover?.defersElection() ?: false
 
@@ -295,7 +296,7 @@
 
     private fun loaded(term: Long) {
         workers.loaded = true
-        intake.loaded = true
+        jobApi.loaded = true
         // A machine known only from claims must be waited for like any other.
         registry.allocations.byMachine.keys
             .toList()
@@ -313,9 +314,9 @@
         return registry.allocations.pendingBatches == 0 && !unsent
     }
 
-    override val startsSent: Long get() = context.counters.getLong(Commands.STARTS)
+    override val startsSent: Long get() = context.counters.getLong(CommandDispatcher.STARTS)
 
-    override fun workersAnswered(): AnsweredWorkers = if (workers.loaded) workers.answered() else AnsweredWorkers(0, 0)
+    override fun workerResponseCount(): WorkerResponseCount = if (workers.loaded) workers.answered() else WorkerResponseCount(0, 0)
 
     private companion object {
         const val PLACE_S = 1.0
--- a/src/main/kotlin/burlridge/app/FailoverText.kt
+++ b/src/main/kotlin/burlridge/app/FailoverReportFormatter.kt
@@ -4,7 +4,7 @@
 import java.time.Instant
 
 /** A controller's failover report as lines of text. */
-internal object FailoverText {
+internal object FailoverReportFormatter {
     fun describe(report: JsonNode): String =
         buildString {
             val draining = if (report.path("draining").asBoolean()) ", draining" else ""
--- a/src/main/kotlin/burlridge/app/TermRows.kt
+++ b/src/main/kotlin/burlridge/app/LeaderStateLoader.kt
@@ -14,7 +14,7 @@
  * What a new leader reads before it acts, and the other members' submissions that it watches from then on. Where a standby replica
  * is shown to be complete, nothing but the changes since its last refresh is read.
  */
-internal class TermRows(
+internal class LeaderStateLoader(
     private val context: StepContext,
     private val store: StoreClient,
     private val leadership: Leadership,
@@ -26,7 +26,7 @@
 ) {
     private var followAt = 0L
 
-    private fun mine(term: Long): Boolean = leadership.leading && leadership.term == term
+    private fun mine(term: Long): Boolean = leadership.isLeader && leadership.term == term
 
     /** Reads every row for [term]; [onResult] comes once all are in, and never where the term ends before. */
     fun load(
--- a/src/main/kotlin/burlridge/app/Main.kt
+++ b/src/main/kotlin/burlridge/app/Main.kt
@@ -33,7 +33,7 @@
 private fun rehearse() {
     val file = File.createTempFile("burlridge", ".json")
     try {
-        file.writeText(Rehearsal.settings())
+        file.writeText(ClassArchiveTraining.settings())
         // By the way of `serve`, so that its classes are in the archive as well.
         val serve = CommandLine.parse(listOf("serve", "--config", file.path)) as CommandLine.Serve
         Service(serve.files.read()).rehearse()
--- a/src/main/kotlin/burlridge/app/Service.kt
+++ b/src/main/kotlin/burlridge/app/Service.kt
@@ -9,8 +9,8 @@
 import burlridge.net.EventLoop
 import burlridge.net.HttpClient
 import burlridge.net.HttpServer
-import burlridge.peer.PeerLinks
-import burlridge.settings.GangTimes
+import burlridge.peer.PeerTransport
+import burlridge.settings.GangTimings
 import burlridge.settings.Settings
 import kotlinx.coroutines.CoroutineExceptionHandler
 import kotlinx.coroutines.CoroutineScope
@@ -35,7 +35,7 @@
     private val client = HttpClient(loop, scope, budget.commands, budget.kept, setOf(settings.state, settings.cloud), settings.state)
     private val server = HttpServer(loop, budget, settings.workers.reportS * QUIET_REPORTS) { step(it) }
     private val metrics = Metrics()
-    private val peers = PeerLinks(settings, loop, metrics::unknownPeerMessage) { step(Input.MessageReceived(it)) }
+    private val peers = PeerTransport(settings, loop, metrics::unknownPeerMessage) { step(Input.MessageReceived(it)) }
     private val serveOn = settings.serveOn
     private var metricsAt = 0L
     private val failover = settings.operator.failover
@@ -80,7 +80,7 @@
     /** A short life with itself as state service, cloud and worker, so that every path of I/O is walked once. */
     fun rehearse() {
         // A deployment without guarantees rents in another way, and gangs take ways of their own.
-        val gang = GangTimes(settings.workers.reportS, settings.workers.reportS)
+        val gang = GangTimings(settings.workers.reportS, settings.workers.reportS)
         val unguaranteed = settings.teams.mapValues { it.value.copy(cpus = 0.0) }
         WarmUp(settings.copy(teams = unguaranteed, workers = settings.workers.copy(gang = gang))).run()
         scope.launch {
@@ -89,10 +89,10 @@
         }
         start {
             step(Input.Tick)
-            scope.launch { (Rehearsal.calls(serveOn) + Rehearsal.refusedCall()).forEach { client.call(it) } }
+            scope.launch { (ClassArchiveTraining.calls(serveOn) + ClassArchiveTraining.refusedCall()).forEach { client.call(it) } }
             peers.send(
                 "rehearsal",
-                PeerMessage.Status("drover-0", 1, "drover-0", leading = false, answering = false, storeServed = true),
+                PeerMessage.Status("drover-0", 1, "drover-0", isLeader = false, mayAnswerWorkers = false, storeReachable = true),
             )
         }
     }
--- a/src/main/kotlin/burlridge/app/SettingsFiles.kt
+++ b/src/main/kotlin/burlridge/app/SettingsFiles.kt
@@ -2,7 +2,7 @@
 
 import burlridge.settings.OperatorSettings
 import burlridge.settings.Settings
-import burlridge.settings.SettingsError
+import burlridge.settings.InvalidSettingsException
 import java.io.File
 import java.io.IOException
 
@@ -28,7 +28,7 @@
     ): T =
         try {
             parse(File(file).readText())
-        } catch (e: SettingsError) {
+        } catch (e: InvalidSettingsException) {
             fail("$file: ${e.message}")
         } catch (e: IOException) {
             fail("$file cannot be read: ${e.message}")
--- a/src/main/kotlin/burlridge/app/WarmUp.kt
+++ b/src/main/kotlin/burlridge/app/WarmUp.kt
@@ -19,7 +19,7 @@
     private val inputs = ArrayDeque<Input>()
     private var revision = 1L
     private var nextId = 1L
-    private var tally = 1L
+    private var sequence = 1L
     private val reported = Json.arr()
     val work: Map<String, Long> get() = core.work
 
@@ -90,7 +90,7 @@
             put("yard", settings.zone)
             put("loaners", false)
             put("stint", 1)
-            put("tally", tally++)
+            put("tally", sequence++)
             put("baton", FIRST_TOKEN)
             set<JsonNode>("pieces", reported.deepCopy())
         }
--- a/src/main/kotlin/burlridge/balance/Balance.kt
+++ b/src/main/kotlin/burlridge/balance/Balance.kt
@@ -5,24 +5,24 @@
 import burlridge.fleet.Fleet
 import burlridge.job.JobSpec
 import burlridge.leadership.Leadership
-import burlridge.placement.KeptRoom
+import burlridge.placement.CapacityReservation
 import burlridge.placement.Placement
-import burlridge.placement.PlacementAdvice
+import burlridge.placement.PlacementPolicy
 import burlridge.placement.PlacementReason
 import burlridge.settings.BalanceSettings
 import burlridge.store.Listing
 import burlridge.store.StoreClient
 import burlridge.worker.DrainReason
 import burlridge.worker.Machine
-import burlridge.worker.Workers
+import burlridge.worker.WorkerManager
 import com.fasterxml.jackson.databind.JsonNode
 
 /** What the rest of a controller lends to this package. */
-internal class BalancePorts(
+internal class BalanceDependencies(
     val store: StoreClient,
     val leadership: Leadership,
     val registry: JobRegistry,
-    val workers: Workers,
+    val workers: WorkerManager,
     val fleet: Fleet,
     val placement: Placement,
 )
@@ -31,16 +31,16 @@
 internal class Balance(
     private val context: StepContext,
     private val settings: BalanceSettings,
-    private val ports: BalancePorts,
+    private val ports: BalanceDependencies,
     private val placeSoon: () -> Unit,
-) : PlacementAdvice {
+) : PlacementPolicy {
     private val workers = ports.workers
     private val index = DrainIndex()
     private val drains: Drains = Drains(context, ports.store, ports.leadership, ::rebuildIndex)
     private val decisions = DecisionLog(context, settings.decisions)
     private val moves = Moves(context, settings, ports.store, ports.leadership, ports.registry, workers, decisions)
-    private val evacuation = Evacuation(context, settings, ports.registry, workers, moves) { ports.placement.moveTargets() }
-    private val relief = Relief(context, settings, ports.registry, workers, moves, decisions) { ports.placement.moveTargets() }
+    private val evacuation = GracefulEviction(context, settings, ports.registry, workers, moves) { ports.placement.moveTargets() }
+    private val relief = HotspotMitigation(context, settings, ports.registry, workers, moves, decisions) { ports.placement.moveTargets() }
     private val slowStart =
         SlowStart(context, settings, ports.registry) { type ->
             ports.fleet.catalog
@@ -70,7 +70,7 @@
         }
     }
 
-    override fun kept(): List<KeptRoom> = moves.kept()
+    override fun kept(): List<CapacityReservation> = moves.kept()
 
     override fun avoids(machine: Machine): Boolean = machine.id in relief.hot
 
@@ -113,21 +113,21 @@
     }
 
     /** Takes covered machines out of service, and puts back those that no drain covers any more; before every placement round. */
-    fun mark() {
+    fun applyCordons() {
         if (drains.isEmpty) return
         for (machine in workers.machines.values) {
             val drain = if (index.isEmpty) null else index.covering(machine)
-            if (drain != null) cover(machine, drain) else uncover(machine)
+            if (drain != null) cordon(machine, drain) else uncordon(machine)
         }
     }
 
-    private fun cover(
+    private fun cordon(
         machine: Machine,
         drain: Drain,
     ) {
         if (machine.drainReason == null) {
             decisions.add(Decision.Covered(machine.id, drain))
-            if (drain.cause == DrainCause.SLOW) workers.leaveSlow(machine) else machine.drainReason = DrainReason.OPERATOR
+            if (drain.cause == DrainCause.SLOW) workers.evictStraggler(machine) else machine.drainReason = DrainReason.OPERATOR
         }
         // Where the cloud puts new machines cannot be chosen by network: what it gave there is not asked for again at once.
         if (drain.target is DrainTarget.InNetwork && machine.idleSince >= machine.knownSince && joined.add(machine.id)) {
@@ -135,7 +135,7 @@
         }
     }
 
-    private fun uncover(machine: Machine) {
+    private fun uncordon(machine: Machine) {
         if (machine.drainReason != DrainReason.OPERATOR) return
         machine.drainReason = null
         decisions.add(Decision.BackInService(machine.id))
@@ -148,8 +148,8 @@
         relief.tick()
         if (moves.openMoves.isNotEmpty()) placeSoon()
         if (drains.isEmpty) return
-        mark()
-        workers.machines.values.forEach { if (it.drainReason == DrainReason.SLOW) workers.leaveSlow(it) }
+        applyCordons()
+        workers.machines.values.forEach { if (it.drainReason == DrainReason.SLOW) workers.evictStraggler(it) }
         progress = if (index.isEmpty) emptyMap() else evacuation.sweep(index::covering)
         drains.all.forEach(::advance)
     }
@@ -218,7 +218,7 @@
     /** Machines that the cloud takes back; their workers repeat the notice in every report, so that it needs no row. */
     private fun noticed(): List<String> =
         workers.machines.values
-            .filter { it.recallAt != null }
+            .filter { it.reclaimAt != null }
             .map { it.id }
 
     internal companion object {
--- a/src/main/kotlin/burlridge/balance/DrainSafety.kt
+++ b/src/main/kotlin/burlridge/balance/DrainSafety.kt
@@ -6,13 +6,13 @@
 import burlridge.job.JobSpec
 import burlridge.settings.Settings
 import burlridge.worker.Machine
-import burlridge.worker.Workers
+import burlridge.worker.WorkerManager
 
 /** Says what is wrong with a drain before it is begun. */
 internal class DrainSafety(
     settings: Settings,
     private val registry: JobRegistry,
-    private val workers: Workers,
+    private val workers: WorkerManager,
     private val fleet: Fleet,
 ) {
     private val guaranteed =
@@ -45,7 +45,7 @@
     ): String? {
         val serving =
             workers.machines.values.filter {
-                it.up && !it.lapsed && !it.draining && it.recallAt == null &&
+                it.up && !it.leaseExpired && !it.draining && it.reclaimAt == null &&
                     drained.covering(it) == null
             }
         val (leaving, staying) = serving.partition(target::matches)
--- a/src/main/kotlin/burlridge/balance/Evacuation.kt
+++ b/src/main/kotlin/burlridge/balance/GracefulEviction.kt
@@ -6,12 +6,12 @@
 import burlridge.allocation.AllocationPhase
 import burlridge.allocation.JobState
 import burlridge.core.StepContext
-import burlridge.placement.MoveTargets
+import burlridge.placement.MoveTargetFinder
 import burlridge.settings.BalanceSettings
 import burlridge.settings.MovePermission
 import burlridge.worker.DrainReason
 import burlridge.worker.Machine
-import burlridge.worker.Workers
+import burlridge.worker.WorkerManager
 
 /** Why a task is still on a machine that is drained. */
 internal enum class StayReason(
@@ -42,13 +42,13 @@
 }
 
 /** Empties the machines that operators drain: what surely ends soon finishes, and the rest is moved as far as its class permits. */
-internal class Evacuation(
+internal class GracefulEviction(
     private val context: StepContext,
     private val settings: BalanceSettings,
     private val registry: JobRegistry,
-    private val workers: Workers,
+    private val workers: WorkerManager,
     private val moves: Moves,
-    private val targets: () -> MoveTargets,
+    private val targets: () -> MoveTargetFinder,
 ) {
     private val finishS = settings.finishReports * context.settings.workers.reportS
     private val roomS = settings.roomLeases * context.settings.workers.leaseS
@@ -67,7 +67,7 @@
             val here = progress.getOrPut(drain) { DrainProgress() }
             here.machines++
             if (machine.drainReason != DrainReason.OPERATOR) continue
-            workers.withdrawUnsent(machine, "never sent, and its machine is drained")
+            workers.releaseUndispatched(machine, "never sent, and its machine is drained")
             for (allocation in registry.allocations.byMachine[machine.id]
                 ?.values
                 .orEmpty()) {
@@ -93,7 +93,7 @@
             when {
                 allocation.phase <= AllocationPhase.COMMITTED -> StayReason.NOT_YET
                 allocation.stopGraceS != null || allocation.phase == AllocationPhase.CHECKPOINTING || allocation.job in gangs -> StayReason.STOPPING
-                workers.silent(machine) || !machine.hears || machine.lapsed -> StayReason.UNHEARD
+                workers.isSilent(machine) || !machine.isResponsive || machine.leaseExpired -> StayReason.UNHEARD
                 endsSoon(job, allocation) -> StayReason.FINISHING
                 else -> tryMove(machine, job, allocation)
             }
--- a/src/main/kotlin/burlridge/balance/Relief.kt
+++ b/src/main/kotlin/burlridge/balance/HotspotMitigation.kt
@@ -5,11 +5,11 @@
 import burlridge.allocation.JobRegistry
 import burlridge.allocation.AllocationPhase
 import burlridge.core.StepContext
-import burlridge.placement.MoveTargets
+import burlridge.placement.MoveTargetFinder
 import burlridge.settings.BalanceSettings
 import burlridge.settings.MovePermission
 import burlridge.worker.Machine
-import burlridge.worker.Workers
+import burlridge.worker.WorkerManager
 
 /** What a move costs and gains, in seconds until the task's end. */
 internal data class MoveGain(
@@ -37,17 +37,17 @@
  * Keeps new work off hot machines, and empties part of their room where that surely gains: one task of a machine at a time, the one that
  * gains most, onto a machine that is not hot. Where much of the fleet looks hot, or is not heard, the picture is wrong and nothing is done.
  */
-internal class Relief(
+internal class HotspotMitigation(
     private val context: StepContext,
     private val settings: BalanceSettings,
     private val registry: JobRegistry,
-    private val workers: Workers,
+    private val workers: WorkerManager,
     private val moves: Moves,
     private val decisions: DecisionLog,
-    private val targets: () -> MoveTargets,
+    private val targets: () -> MoveTargetFinder,
 ) {
     private val times = context.settings.workers
-    val picture: LoadPicture = LoadPicture(settings, minOf(times.leaseS, LONGEST_HALF_LIFE_S))
+    val picture: LoadTracker = LoadTracker(settings, minOf(times.leaseS, LONGEST_HALF_LIFE_S))
     private var judgeAt = 0.0
 
     /** Machines that get nothing new, by name; empty where the picture is not to be relied on. */
@@ -66,7 +66,7 @@
             .orEmpty()) {
             val since = allocation.startedAt?.takeIf { allocation.phase == AllocationPhase.RUNNING } ?: continue
             val job = registry.jobs[allocation.job] ?: continue
-            picture.runs(machine.id, job, machine.lastReportAt - since, context.now)
+            picture.runs(machine.id, job, machine.lastMessageAt - since, context.now)
         }
     }
 
@@ -94,11 +94,11 @@
     }
 
     private fun judge(): Set<String> {
-        val up = workers.machines.values.filter { it.up && !it.lapsed && !it.draining }
-        val loads = up.associateWith { picture.load(it, workers.silent(it) || !it.hears, context.now) }
+        val up = workers.machines.values.filter { it.up && !it.leaseExpired && !it.draining }
+        val loads = up.associateWith { picture.load(it, workers.isSilent(it) || !it.isResponsive, context.now) }
         val hotOnes = loads.filterValues { it == Load.HOT }.keys
-        val unheard = up.count { workers.silent(it) || !it.hears }
-        val isWrong = hotOnes.size > maxOf(1.0, up.size * MOST_HOT) || unheard > up.size * MOST_UNHEARD
+        val zonesWithoutHeartbeats = up.count { workers.isSilent(it) || !it.isResponsive }
+        val isWrong = hotOnes.size > maxOf(1.0, up.size * MOST_HOT) || zonesWithoutHeartbeats > up.size * MOST_UNHEARD
         return if (isWrong) emptySet() else hotOnes.mapTo(HashSet()) { it.id }
     }
 
@@ -147,7 +147,7 @@
         job: Job,
         allocation: Allocation,
         from: Machine,
-        to: MoveTargets.Candidate,
+        to: MoveTargetFinder.Candidate,
     ): Boolean {
         if (to.machine.id in hot || picture.slowdown(to.machine.id, context.now) > settings.coolFactor) return false
         return (gain(job, allocation, from, to.fetchS)?.gainS ?: 0.0) > leastGainS
--- a/src/main/kotlin/burlridge/balance/LoadPicture.kt
+++ b/src/main/kotlin/burlridge/balance/LoadTracker.kt
@@ -20,7 +20,7 @@
  * weighted mean of the slowdown, which fades while nothing new is learned, with one threshold to become hot and a lower one to stop.
  * Each end of a task and each report costs a constant amount of work for each task on the machine.
  */
-internal class LoadPicture(
+internal class LoadTracker(
     private val settings: BalanceSettings,
     /** After this time without evidence half of what was learned of a machine still counts, in seconds. */
     private val halfLifeS: Double,
--- a/src/main/kotlin/burlridge/balance/MachineRequests.kt
+++ b/src/main/kotlin/burlridge/balance/MachineRequests.kt
@@ -4,7 +4,7 @@
 import burlridge.core.StepContext
 import burlridge.json.Json
 import burlridge.leadership.Leadership
-import burlridge.peer.Peers
+import burlridge.peer.PeerRequests
 import com.fasterxml.jackson.databind.JsonNode
 
 /**
@@ -15,7 +15,7 @@
     private val context: StepContext,
     private val leadership: Leadership,
     private val balance: Balance,
-    private val peers: Peers,
+    private val peers: PeerRequests,
     /** Whether this leader has read the rows. */
     private val isLoaded: () -> Boolean,
 ) {
@@ -30,7 +30,7 @@
         when {
             method != allowed -> onResult(HttpResponse.error(NOT_ALLOWED, "use $allowed"))
             leadership.holdsLease && isLoaded() -> lead(path, body, onceInTime(onResult))
-            passedOn || leadership.leading -> onResult(HttpResponse.unavailable("${context.settings.member} does not lead now; ask again"))
+            passedOn || leadership.isLeader -> onResult(HttpResponse.unavailable("${context.settings.member} does not lead now; ask again"))
             else -> passOn(method, path, body, onResult)
         }
     }
@@ -43,7 +43,7 @@
     ) {
         val leader = leadership.knownLeader?.takeIf { it != context.settings.member }
         if (leader == null) return onResult(HttpResponse.unavailable("no leader is known; ask again"))
-        peers.ask(leader, method, path, body, ANSWER_S) { answer ->
+        peers.forward(leader, method, path, body, ANSWER_S) { answer ->
             onResult(
                 when {
                     answer == null -> HttpResponse.unavailable("the leader $leader does not answer; ask again: asked twice it is one drain")
--- a/src/main/kotlin/burlridge/balance/Moves.kt
+++ b/src/main/kotlin/burlridge/balance/Moves.kt
@@ -8,7 +8,7 @@
 import burlridge.allocation.JobState
 import burlridge.core.StepContext
 import burlridge.leadership.Leadership
-import burlridge.placement.KeptRoom
+import burlridge.placement.CapacityReservation
 import burlridge.settings.BalanceSettings
 import burlridge.settings.MovePermission
 import burlridge.store.Change
@@ -18,7 +18,7 @@
 import burlridge.store.StoreClient
 import burlridge.store.Transaction
 import burlridge.store.TransactionResult
-import burlridge.worker.Workers
+import burlridge.worker.WorkerManager
 
 /**
  * Moves, each claimed in a row before its stop is sent: the task is stopped, proven gone by the ordinary rules, and placed anew under
@@ -30,7 +30,7 @@
     private val store: StoreClient,
     private val leadership: Leadership,
     private val registry: JobRegistry,
-    private val workers: Workers,
+    private val workers: WorkerManager,
     private val decisions: DecisionLog,
 ) {
     private class Open(
@@ -222,12 +222,12 @@
 
     private fun mayKeepRoom(open: Open): Boolean {
         val machine = open.move.to?.let { workers.machines[it] } ?: return false
-        return context.wallMs < open.batch.plannedMs + keepMs && machine.up && !machine.lapsed && !machine.draining &&
-            machine.recallAt == null
+        return context.wallMs < open.batch.plannedMs + keepMs && machine.up && !machine.leaseExpired && !machine.draining &&
+            machine.reclaimAt == null
     }
 
     /** Both places count for room, limits and zones while the task may be on the first. */
-    fun kept(): List<KeptRoom> =
+    fun kept(): List<CapacityReservation> =
         open.values.mapNotNull { open ->
             val job = registry.jobs[open.move.job]?.takeIf { it.ending == null && !open.move.isGang } ?: return@mapNotNull null
             val machine =
@@ -235,7 +235,7 @@
                     ?.let { workers.machines[it] }
                     ?.takeIf { mayKeepRoom(open) } ?: return@mapNotNull null
             val startedAnew = (job.allocations.get(open.move.task)?.attempt ?: 0) > open.move.attempt
-            if (startedAnew || job.done.get(open.move.task)) null else KeptRoom(job, open.move.task, machine)
+            if (startedAnew || job.done.get(open.move.task)) null else CapacityReservation(job, open.move.task, machine)
         }
 
     private fun isUnused(batch: MoveBatch): Boolean =
--- a/src/main/kotlin/burlridge/failover/Failover.kt
+++ b/src/main/kotlin/burlridge/failover/Failover.kt
@@ -9,7 +9,7 @@
 import burlridge.settings.FailoverSettings
 import burlridge.store.Listing
 import burlridge.store.StoreClient
-import burlridge.worker.AnsweredWorkers
+import burlridge.worker.WorkerResponseCount
 
 /**
  * Failure detection, the standby replica and planned handover of one member, behind the controller's `step`. Suspicion only
@@ -34,12 +34,12 @@
         val startsSent: Long
 
         /** How many workers have heard of this term; none are known before the rows are read. */
-        fun workersAnswered(): AnsweredWorkers
+        fun workerResponseCount(): WorkerResponseCount
     }
 
     private val member = context.settings.member
     private val others = context.settings.others.map { it.member }
-    private val detector = FailureDetector(others, Leadership.ANNOUNCE_S, settings.suspectLevel)
+    private val detector = FailureDetector(others, Leadership.STATUS_INTERVAL_S, settings.suspectLevel)
     private val replica =
         StandbyReplica(
             context,
@@ -69,7 +69,7 @@
     val resting: Boolean get() = outgoing.resting
 
     /** Whether this member can be stopped without anybody noticing. */
-    val drained: Boolean get() = draining && !leadership.leading && !outgoing.active
+    val drained: Boolean get() = draining && !leadership.isLeader && !outgoing.active
 
     /** What a new leader has reached since its election. */
     private class TakeoverProgress(
@@ -117,7 +117,7 @@
     }
 
     fun status(): FailoverStatus =
-        FailoverStatus(incarnation, ++sequence, draining, isSlow, if (leadership.leading) FailoverStatus.NO_REPLICA else replica.revision)
+        FailoverStatus(incarnation, ++sequence, draining, isSlow, if (leadership.isLeader) FailoverStatus.NO_REPLICA else replica.revision)
 
     private fun changed(change: LivenessChange) {
         context.info("member ${change.member} is ${change.now.name.lowercase()}: ${change.reason}")
@@ -127,13 +127,13 @@
             lastSuspectedLeader = change.member
             // Prepared now, so that nothing is left to read once the fence lets this member lead.
             replica.hurry()
-            leadership.lookSoon()
+            leadership.pollSoon()
         }
     }
 
     /** The first members in the order of their names that are alive, do not lead and are not leaving. */
     private fun isStandby(): Boolean {
-        if (leadership.leading || draining || leadership.knownLeader == null) return false
+        if (leadership.isLeader || draining || leadership.knownLeader == null) return false
         val fit = others.filter { it != leadership.knownLeader && detector.isAlive(it) && statuses[it]?.draining == false }
         return (fit + member).sorted().indexOf(member) < settings.standbys
     }
@@ -298,13 +298,13 @@
 
     private fun observe(takeover: TakeoverProgress) {
         if (context.now < takeover.lookAt) return
-        takeover.lookAt = context.now + Leadership.ANNOUNCE_S / 2
+        takeover.lookAt = context.now + Leadership.STATUS_INTERVAL_S / 2
         if (!takeover.started && controller.startsSent > takeover.startsBefore) {
             takeover.started = true
             trace(LeaderChangeEvent.FirstStart(takeover.term))
         }
         if (takeover.answered) return
-        val workers = controller.workersAnswered()
+        val workers = controller.workerResponseCount()
         if (workers.known > 0 && workers.answered == workers.known) {
             takeover.answered = true
             context.info(
@@ -326,7 +326,7 @@
         FailoverReport(
             member = member,
             role =
-                if (leadership.leading) {
+                if (leadership.isLeader) {
                     "leader"
                 } else if (isStandby()) {
                     "standby"
--- a/src/main/kotlin/burlridge/failover/IncomingHandover.kt
+++ b/src/main/kotlin/burlridge/failover/IncomingHandover.kt
@@ -55,7 +55,7 @@
         if (before?.attempt == offer.attempt) return accept(before)
         val problem =
             when {
-                leadership.leading -> "it leads itself"
+                leadership.isLeader -> "it leads itself"
                 leadership.knownLeader != from -> "it follows ${leadership.knownLeader ?: "nobody"}"
                 !store.isServing -> "the state service refuses it"
                 else -> port.unfit()
@@ -160,7 +160,7 @@
         if (!leadership.adopt(term, row, lease, ready.renewedAt)) {
             context.info("term $term was handed over too late: its lease may have ended")
             store.revokeLease(lease)
-            leadership.lookSoon()
+            leadership.pollSoon()
         }
     }
 
--- a/src/main/kotlin/burlridge/failover/MemberRequests.kt
+++ b/src/main/kotlin/burlridge/failover/MemberRequests.kt
@@ -3,13 +3,13 @@
 import burlridge.core.HttpResponse
 import burlridge.core.StepContext
 import burlridge.json.Json
-import burlridge.peer.Peers
+import burlridge.peer.PeerRequests
 
 /** The operators' requests about the members of the service: who leads, and which is to leave. */
 internal class MemberRequests(
     private val context: StepContext,
     private val failover: Failover,
-    private val peers: Peers,
+    private val peers: PeerRequests,
 ) {
     fun handle(
         method: String,
@@ -49,7 +49,7 @@
     ) {
         val problem = failover.refusalToDrain(target)
         if (problem != null) return onResult(HttpResponse.error(CONFLICT, "$target is not drained: $problem"))
-        peers.ask(target, "POST", DRAIN, "", ANSWER_S) { onResult(it ?: HttpResponse.unavailable("$target does not answer")) }
+        peers.forward(target, "POST", DRAIN, "", ANSWER_S) { onResult(it ?: HttpResponse.unavailable("$target does not answer")) }
     }
 
     internal companion object {
--- a/src/main/kotlin/burlridge/fleet/Demand.kt
+++ b/src/main/kotlin/burlridge/fleet/CapacityDemand.kt
@@ -7,7 +7,7 @@
 import burlridge.job.Priority
 
 /** How many tasks want room now, and how many more should find room at once. */
-internal class Demand(
+internal class CapacityDemand(
     private val context: StepContext,
     private val registry: JobRegistry,
 ) {
@@ -62,7 +62,7 @@
             val tightS = aim.withinS ?: Double.MAX_VALUE
             when {
                 list == null -> unseen(aim.jobClass.orEmpty(), cheapest).takeIf { tightS < cheapest.bootS }
-                !list.last().spec.gang || driedUp(list) -> null
+                !list.last().spec.gang || hasStoppedArriving(list) -> null
                 else -> Need(list.last().spec, gangTasks(list, held[aim.jobClass] ?: 0, cheapest.bootS), Double.MAX_VALUE, 0)
             }
         }
@@ -148,13 +148,13 @@
     /** For job classes with a wait aim, room for a job of the usual size, as long as jobs of it come. */
     private fun headroom(): List<Need> =
         waits.mapNotNull { aim ->
-            val list = recent[aim.jobClass]?.takeIf { !it.last().spec.gang && !driedUp(it) } ?: return@mapNotNull null
+            val list = recent[aim.jobClass]?.takeIf { !it.last().spec.gang && !hasStoppedArriving(it) } ?: return@mapNotNull null
             val usual = list.map { it.spec.tasks }.average()
             Need(list.last().spec, Math.ceil(usual * context.settings.operator.headroom).toInt(), Double.MAX_VALUE, 0)
         }
 
     /** Whether nothing has come for many times as long as usual: then what is kept free would be paid for nobody. */
-    private fun driedUp(list: List<Job>): Boolean {
+    private fun hasStoppedArriving(list: List<Job>): Boolean {
         if (list.size < REMEMBERED) return false
         val submitted = list.map { it.submittedMs }
         val gapMs = (submitted.max() - submitted.min()).toDouble() / (list.size - 1)
--- a/src/main/kotlin/burlridge/fleet/CatalogKeeper.kt
+++ b/src/main/kotlin/burlridge/fleet/CatalogCache.kt
@@ -14,7 +14,7 @@
 import com.fasterxml.jackson.databind.JsonNode
 
 /** Asks the cloud for its machine types, and keeps a copy in the state service for a start during an outage of the cloud. */
-internal class CatalogKeeper(
+internal class CatalogCache(
     private val context: StepContext,
     private val store: StoreClient,
     private val leadership: Leadership,
@@ -60,7 +60,7 @@
 
     /** Kept so that a start during a cloud outage still knows the machine types. */
     private fun keepCatalog(body: JsonNode) {
-        if (!leadership.leading || kept) return
+        if (!leadership.isLeader || kept) return
         kept = true
         store.commit(Transaction(listOf(registry.fenceCondition()), listOf(Change.Put("catalog", body))), RequestPriority.CLEANUP) {
             if (it !is TransactionResult.Committed) {
--- a/src/main/kotlin/burlridge/fleet/Fleet.kt
+++ b/src/main/kotlin/burlridge/fleet/Fleet.kt
@@ -8,7 +8,7 @@
 import burlridge.store.Row
 import burlridge.store.StoreClient
 import burlridge.worker.Machine
-import burlridge.worker.Workers
+import burlridge.worker.WorkerManager
 
 /** Machine types, rentals, boots and returns. */
 internal class Fleet(
@@ -16,16 +16,16 @@
     private val store: StoreClient,
     private val leadership: Leadership,
     private val registry: JobRegistry,
-    private val workers: Workers,
+    private val workers: WorkerManager,
 ) {
-    private val types = CatalogKeeper(context, store, leadership, registry)
+    private val types = CatalogCache(context, store, leadership, registry)
     val catalog: Catalog? get() = types.catalog
     private var listBusy = false
     private var listAt = -1e9
     private var everListed = false
     private var pages = 1
-    private val rentals = Rentals(context, store, leadership, workers)
-    private val returns = Returns(context, leadership, registry, workers, rentals)
+    private val rentals = ScaleOut(context, store, leadership, workers)
+    private val returns = ScaleIn(context, leadership, registry, workers, rentals)
 
     /** Whether operators want no machines in a zone: then none is rented there. */
     var isZoneDrained: (String) -> Boolean by rentals::isZoneDrained
@@ -34,7 +34,7 @@
     val isListed: Boolean get() = everListed && listAt > leadership.electedAt
     private val lag = context.settings.cloudLimits.listLagS
     private var planAt = 0.0
-    private val demand = Demand(context, registry)
+    private val demand = CapacityDemand(context, registry)
 
     init {
         workers.outcomes.cacheOf = { type -> catalog?.types?.get(type)?.cacheGb ?: 0.0 }
@@ -45,10 +45,10 @@
     val returnsIdle: Boolean get() = !demand.keepsAllMachines
 
     /** Room that is to be kept for gangs that surely come soon. */
-    fun expectedGangs(): List<Demand.Need> = catalog?.let { demand.expectedGangs(it) }.orEmpty()
+    fun expectedGangs(): List<CapacityDemand.Need> = catalog?.let { demand.expectedGangs(it) }.orEmpty()
 
     /** Asks for no more machines like [machine] for a while. */
-    fun holdOff(machine: Machine) = rentals.refuse(Offer(machine.type, machine.zone, machine.spot))
+    fun holdOff(machine: Machine) = rentals.refuse(InstanceOffering(machine.type, machine.zone, machine.spot))
 
     fun clear() {
         rentals.clear()
@@ -57,7 +57,7 @@
         types.clear()
     }
 
-    private fun mine(term: Long): Boolean = leadership.leading && leadership.term == term
+    private fun mine(term: Long): Boolean = leadership.isLeader && leadership.term == term
 
     fun load(row: Row) = rentals.load(row)
 
@@ -140,7 +140,7 @@
                     ?.values
                     ?.any { it.inherited } == true
             if (inherited || (machine.listed && machine.listedAgeS > lag * OLDEST_LIST)) {
-                workers.gone(machine, "the cloud no longer lists it")
+                workers.onMachineGone(machine, "the cloud no longer lists it")
             }
         }
     }
@@ -158,8 +158,8 @@
         for (type in types.types.values) {
             for (zone in type.zones) {
                 for (spot in listOf(true, false)) {
-                    val offer = Offer(type.name, zone, spot)
-                    if (rentals.isOpen(offer)) rentals.rent(offer, MOST_PER_CALL, "every machine counts for the aims")
+                    val offering = InstanceOffering(type.name, zone, spot)
+                    if (rentals.isOpen(offering)) rentals.rent(offering, MOST_PER_CALL, "every machine counts for the aims")
                 }
             }
         }
@@ -167,7 +167,7 @@
 
     private fun rentNeeded(types: Catalog) {
         val slots = coming(types)
-        val wanted = LinkedHashMap<Offer, Int>()
+        val wanted = LinkedHashMap<InstanceOffering, Int>()
         val needs = demand.wanted(types)
         val scarce = demand.indispensable(types)
         val behind = HashMap<String, Int>()
@@ -180,30 +180,30 @@
                 if (slot.allows(spec)) left -= slot.take(spec.size, left)
             }
             while (left > 0) {
-                val offer =
-                    Prices
+                val offering =
+                    PriceSelector
                         .cheapest(types, spec, scarce, { rentals.refused(it) }) {
                             !presses(need, left, behind[spec.jobClass] ?: 0, given[spec.jobClass] ?: 0)
-                        }?.takeIf { (wanted[it] ?: 0) < MOST_PER_CALL * (Rentals.MOST_STEPS - rentals.stepsOf(it)) && rentals.isOpen(it) }
+                        }?.takeIf { (wanted[it] ?: 0) < MOST_PER_CALL * (ScaleOut.MOST_STEPS - rentals.stepsOf(it)) && rentals.isOpen(it) }
                         ?: break
-                val whole = types.types.getValue(offer.type).size
-                wanted.merge(offer, 1, Int::plus)
-                val slot = FreeCapacity(offer.type, offer.zone, offer.spot, whole)
+                val whole = types.types.getValue(offering.type).size
+                wanted.merge(offering, 1, Int::plus)
+                val slot = FreeCapacity(offering.type, offering.zone, offering.spot, whole)
                 left -= slot.take(spec.size, left).coerceAtLeast(1)
                 slots += slot
             }
             behind.merge(spec.jobClass, left, Int::plus)
             given.merge(spec.jobClass, need.tasks - left, Int::plus)
         }
-        wanted.forEach { (offer, count) ->
-            for (rented in 0 until count step MOST_PER_CALL) rentals.rent(offer, count - rented, "waiting and expected tasks have no room")
+        wanted.forEach { (offering, count) ->
+            for (rented in 0 until count step MOST_PER_CALL) rentals.rent(offering, count - rented, "waiting and expected tasks have no room")
         }
         returns.returnIdle(slots, types)
     }
 
     /** A gang that must be in one zone finds its room, and what is rented for it, in the zone that has most of it already. */
     private fun together(
-        need: Demand.Need,
+        need: CapacityDemand.Need,
         slots: List<FreeCapacity>,
         types: Catalog,
     ): JobSpec {
@@ -217,7 +217,7 @@
 
     /** Whether [left] tasks would wait too long, [behind] others of their job class, for the room that others of it have or were [given]. */
     private fun presses(
-        need: Demand.Need,
+        need: CapacityDemand.Need,
         left: Int,
         behind: Int,
         given: Int,
@@ -231,14 +231,14 @@
     private fun coming(types: Catalog): MutableList<FreeCapacity> {
         val slots = ArrayList<FreeCapacity>()
         for (m in workers.machines.values) {
-            if (m.draining || m.recallAt != null || (m.up && (m.lapsed || !m.hears || workers.silent(m)))) continue
+            if (m.draining || m.reclaimAt != null || (m.up && (m.leaseExpired || !m.isResponsive || workers.isSilent(m)))) continue
             val whole = types.types[m.type]?.size ?: continue
             val free = whole - registry.allocations.usedOn(m.id)
             if (free.cpus > 0) slots += FreeCapacity(m.type, m.zone, m.spot, free)
         }
         for (r in rentals.open) {
-            val type = types.types[r.offer.type] ?: continue
-            repeat(r.expected) { slots += FreeCapacity(type.name, r.offer.zone, r.offer.spot, type.size) }
+            val type = types.types[r.offering.type] ?: continue
+            repeat(r.expected) { slots += FreeCapacity(type.name, r.offering.zone, r.offering.spot, type.size) }
         }
         slots.sortWith(compareBy({ it.free.cpus }, { it.free.memoryGb }))
         return slots
--- a/src/main/kotlin/burlridge/fleet/Prices.kt
+++ b/src/main/kotlin/burlridge/fleet/PriceSelector.kt
@@ -3,7 +3,7 @@
 import burlridge.job.JobSpec
 
 /** What an offer costs a task. */
-internal object Prices {
+internal object PriceSelector {
     const val DEAR_FACTOR = 2.0
 
     /** How much dearer a scarce type counts to jobs that can do without it. */
@@ -17,22 +17,22 @@
         types: Catalog,
         spec: JobSpec,
         scarce: Set<String>,
-        refused: (Offer) -> Boolean,
+        refused: (InstanceOffering) -> Boolean,
         canWait: () -> Boolean,
-    ): Offer? {
+    ): InstanceOffering? {
         val allowed = types.allowed(spec)
         val costs =
             allowed.flatMap { type ->
                 val dearer = if (type.name in scarce && allowed.size > 1) SCARCE_FACTOR else 1.0
                 type.zones.filter { spec.zone == null || it == spec.zone }.flatMap { zone ->
                     listOf(true, false).filter { !it || spec.spot }.map { spot ->
-                        Offer(type.name, zone, spot) to (if (spot) type.spotPrice else type.price) * dearer / fitting(type, spec)
+                        InstanceOffering(type.name, zone, spot) to (if (spot) type.spotPrice else type.price) * dearer / fitting(type, spec)
                     }
                 }
             }
         val least = costs.minOfOrNull { it.second } ?: return null
-        val (offer, cost) = costs.filterNot { refused(it.first) }.minByOrNull { it.second } ?: return null
-        return offer.takeIf { cost <= least * DEAR_FACTOR || !canWait() }
+        val (offering, cost) = costs.filterNot { refused(it.first) }.minByOrNull { it.second } ?: return null
+        return offering.takeIf { cost <= least * DEAR_FACTOR || !canWait() }
     }
 
     /** How many tasks of [spec] a machine of [type] holds. */
--- a/src/main/kotlin/burlridge/fleet/Returns.kt
+++ b/src/main/kotlin/burlridge/fleet/ScaleIn.kt
@@ -7,39 +7,39 @@
 import burlridge.leadership.Leadership
 import burlridge.worker.DrainReason
 import burlridge.worker.Machine
-import burlridge.worker.Workers
+import burlridge.worker.WorkerManager
 
 /** Machines that go back to the cloud: the failed, the overdue, the silent, the deaf and the idle. */
-internal class Returns(
+internal class ScaleIn(
     private val context: StepContext,
     private val leadership: Leadership,
     private val registry: JobRegistry,
-    private val workers: Workers,
-    private val rentals: Rentals,
+    private val workers: WorkerManager,
+    private val rentals: ScaleOut,
 ) {
     private val idleS = context.settings.workers.reportS * context.settings.operator.idleReports
 
     /** Machines that failed, or whose boot has taken far too long, go back. */
     fun discard(types: Catalog) {
-        val heard = heardZones()
+        val heard = zonesWithHeartbeats()
         for (machine in workers.machines.values) {
             val boot = types.types[machine.type]?.bootS ?: continue
             // To a new leader every machine is silent at first: only one that the cloud still calls starting is overdue.
             val overdue = machine.starting && !machine.up && machine.rentedAt > 0 && context.now > machine.rentedAt + boot * OVERDUE_BOOTS
-            if (machine.zone in heard && buried(machine)) {
+            if (machine.zone in heard && isConfirmedDead(machine)) {
                 context.infoRateLimited(
                     "silent machines returned",
                     "machine ${machine.id} is silent for ${(context.now - machine.silentSince).toInt()} s and cannot be reached; returning it to be certain",
                 )
                 machine.dead = true
             }
-            val deafSince = machine.deafSince
-            if (machine.zone in heard && !machine.dead && deafSince != null &&
-                context.now > deafSince + context.settings.workers.leaseS / 2
+            val unresponsiveSince = machine.unresponsiveSince
+            if (machine.zone in heard && !machine.dead && unresponsiveSince != null &&
+                context.now > unresponsiveSince + context.settings.workers.leaseS / 2
             ) {
                 context.infoRateLimited(
                     "deaf machines returned",
-                    "machine ${machine.id} reports but has heard nothing for ${(context.now - deafSince).toInt()} s; returning it",
+                    "machine ${machine.id} reports but has heard nothing for ${(context.now - unresponsiveSince).toInt()} s; returning it",
                 )
                 machine.dead = true
             }
@@ -59,26 +59,26 @@
     /** An operator's drain can wait until the ends that only its worker keeps are durable. */
     private fun isEmptied(machine: Machine): Boolean {
         if (!machine.draining || !registry.allocations.byMachine[machine.id].isNullOrEmpty()) return false
-        return machine.drainReason != DrainReason.OPERATOR || machine.reported.isEmpty() || machine.lapsed
+        return machine.drainReason != DrainReason.OPERATOR || machine.reported.isEmpty() || machine.leaseExpired
     }
 
     /**
      * A machine that reported to this leader and fell silent is dead or cut off. Returning it settles which, well before its
      * worker's lease would. Not where many are silent at once: then the fault is more likely ours or the network's.
      */
-    private fun buried(machine: Machine): Boolean {
+    private fun isConfirmedDead(machine: Machine): Boolean {
         val wanted = machine.up || !registry.allocations.byMachine[machine.id].isNullOrEmpty()
-        if (!wanted || machine.dead || machine.lapsed || machine.starting || machine.refusals < TRIES_TO_BURY) return false
-        return workers.hears(machine.zone) && context.now > machine.silentSince + context.settings.workers.reportS * DEAD_REPORTS
+        if (!wanted || machine.dead || machine.leaseExpired || machine.starting || machine.refusals < TRIES_TO_BURY) return false
+        return workers.hearsZone(machine.zone) && context.now > machine.silentSince + context.settings.workers.reportS * DEAD_REPORTS
     }
 
     /** The zones most of whose machines are heard from, so that the silence of one is its own. */
-    private fun heardZones(): Set<String> {
-        val up = workers.machines.values.filter { it.up && !it.lapsed }
+    private fun zonesWithHeartbeats(): Set<String> {
+        val up = workers.machines.values.filter { it.up && !it.leaseExpired }
         return up
             .groupBy { it.zone }
             .filterValues { there ->
-                there.count { it.hears && context.now < it.lastReportAt + context.settings.workers.reportS * 2 } >= there.size * MOST_HEARD
+                there.count { it.isResponsive && context.now < it.lastMessageAt + context.settings.workers.reportS * 2 } >= there.size * MOST_HEARD
             }.keys
     }
 
@@ -97,8 +97,8 @@
             if (!mine()) return@call
             if ((outcome as? CallOutcome.Responded)?.status == 200) {
                 list.forEach {
-                    workers.gone(it, "returned")
-                    if (it !in drained) rentals.returned(Offer(it.type, it.zone, it.spot))
+                    workers.onMachineGone(it, "returned")
+                    if (it !in drained) rentals.returned(InstanceOffering(it.type, it.zone, it.spot))
                 }
             } else {
                 list.forEach { m -> context.schedule(RETRY_S) { m.returning = false } }
@@ -120,7 +120,7 @@
         val patience = patienceS(up.size)
         val idle =
             up.filter { m ->
-                val dear = if (m.spot) 1.0 else Prices.DEAR_FACTOR
+                val dear = if (m.spot) 1.0 else PriceSelector.DEAR_FACTOR
                 m.idleSince > 0 && context.now > m.idleSince + patience / dear && registry.allocations.byMachine[m.id].isNullOrEmpty()
             }
         if (idle.isEmpty()) return
@@ -129,14 +129,14 @@
             after
                 .filter { s ->
                     types.types[s.type]?.size == s.free
-                }.groupingBy { Offer(it.type, it.zone, it.spot) }
+                }.groupingBy { InstanceOffering(it.type, it.zone, it.spot) }
                 .eachCount()
                 .toMutableMap()
         val back =
             idle.sortedWith(compareBy({ it.spot }, { it.idleSince })).filter { m ->
-                val offer = Offer(m.type, m.zone, m.spot)
-                val left = spare[offer] ?: 0
-                if (left > 0) spare[offer] = left - 1
+                val offering = InstanceOffering(m.type, m.zone, m.spot)
+                val left = spare[offering] ?: 0
+                if (left > 0) spare[offering] = left - 1
                 left > 0
             }
         giveBack(back.take(MOST_PER_RETURN))
--- a/src/main/kotlin/burlridge/fleet/Rentals.kt
+++ b/src/main/kotlin/burlridge/fleet/ScaleOut.kt
@@ -11,10 +11,10 @@
 import burlridge.store.Transaction
 import burlridge.store.TransactionResult
 import burlridge.store.RequestPriority
-import burlridge.worker.Workers
+import burlridge.worker.WorkerManager
 
 /** One step of the fleet plan: so many machines of a type, zone and kind. */
-internal data class Offer(
+internal data class InstanceOffering(
     val type: String,
     val zone: String,
     val spot: Boolean,
@@ -22,7 +22,7 @@
 
 internal class Rental(
     val step: String,
-    val offer: Offer,
+    val offering: InstanceOffering,
     val count: Int,
 ) {
     var modRevision: Long = 0
@@ -34,16 +34,16 @@
 }
 
 /** Rentals, each claimed in a row before the cloud is called; what has an unknown outcome waits for the cloud's list. */
-internal class Rentals(
+internal class ScaleOut(
     private val context: StepContext,
     private val store: StoreClient,
     private val leadership: Leadership,
-    private val workers: Workers,
+    private val workers: WorkerManager,
 ) {
     private var nextStep = 0L
     private val rentals = LinkedHashMap<String, Rental>()
-    private val refusedUntil = HashMap<Offer, Double>()
-    private val refusals = HashMap<Offer, Int>()
+    private val refusedUntil = HashMap<InstanceOffering, Double>()
+    private val refusals = HashMap<InstanceOffering, Int>()
 
     /** Those on their way, or of unknown outcome. */
     val open: Collection<Rental> get() = rentals.values
@@ -58,14 +58,14 @@
     /** Whether operators want no machines in a zone. */
     var isZoneDrained: (String) -> Boolean = { false }
 
-    fun refused(offer: Offer): Boolean = isHeldOff(offer) || isZoneDrained(offer.zone)
+    fun refused(offering: InstanceOffering): Boolean = isHeldOff(offering) || isZoneDrained(offering.zone)
 
-    private fun isHeldOff(offer: Offer): Boolean = context.now < (refusedUntil[offer] ?: 0.0)
+    private fun isHeldOff(offering: InstanceOffering): Boolean = context.now < (refusedUntil[offering] ?: 0.0)
 
     /** What has been returned can be had again. */
-    fun returned(offer: Offer) {
-        refusedUntil.remove(offer)
-        refusals.remove(offer)
+    fun returned(offering: InstanceOffering) {
+        refusedUntil.remove(offering)
+        refusals.remove(offering)
     }
 
     fun load(row: Row) {
@@ -73,7 +73,7 @@
         val rental =
             Rental(
                 row.key.substringAfter('/'),
-                Offer(v.path("type").asText(), v.path("zone").asText(), v.path("spot").asBoolean()),
+                InstanceOffering(v.path("type").asText(), v.path("zone").asText(), v.path("spot").asBoolean()),
                 v.path("n").asInt(),
             )
         rental.modRevision = row.modRevision
@@ -107,19 +107,19 @@
     }
 
     fun rent(
-        offer: Offer,
+        offering: InstanceOffering,
         count: Int,
         reason: String,
     ) {
-        val rental = Rental("${leadership.term}-${nextStep++}", offer, count.coerceAtMost(Fleet.MOST_PER_CALL))
+        val rental = Rental("${leadership.term}-${nextStep++}", offering, count.coerceAtMost(Fleet.MOST_PER_CALL))
         rentals[rental.step] = rental
-        context.info("rental ${rental.step}: ${rental.count} of ${offer.type} in ${offer.zone}${if (offer.spot) ", spot" else ""}: $reason")
+        context.info("rental ${rental.step}: ${rental.count} of ${offering.type} in ${offering.zone}${if (offering.spot) ", spot" else ""}: $reason")
         val row =
             Json.obj {
                 put("st", "claimed")
-                put("type", offer.type)
-                put("zone", offer.zone)
-                put("spot", offer.spot)
+                put("type", offering.type)
+                put("zone", offering.zone)
+                put("spot", offering.spot)
                 put("n", rental.count)
                 put("tok", leadership.term)
             }
@@ -158,13 +158,13 @@
         mine: () -> Boolean,
     ) {
         rental.calledAt = context.now
-        val offer = rental.offer
+        val offering = rental.offering
         val body =
             Json.obj {
                 put("hire", "r-${rental.step}")
-                put("breed", offer.type)
-                put("yard", offer.zone)
-                put("loaners", offer.spot)
+                put("breed", offering.type)
+                put("yard", offering.zone)
+                put("loaners", offering.spot)
                 put("number", rental.count)
             }
         context.call(
@@ -184,22 +184,22 @@
                     names.forEach { name ->
                         val machine = workers.machine(name.asText())
                         if (!machine.up && !machine.listed) {
-                            machine.type = offer.type
-                            machine.zone = offer.zone
-                            machine.spot = offer.spot
+                            machine.type = offering.type
+                            machine.zone = offering.zone
+                            machine.spot = offering.spot
                             machine.starting = true
                             machine.rentedAt = context.now
                         }
                     }
-                    refusals.remove(offer)
-                    if (names.size() < rental.count) refuse(offer)
+                    refusals.remove(offering)
+                    if (names.size() < rental.count) refuse(offering)
                     rental.settledAt = context.now
                     rental.expected = 0
                 }
 
                 outcome is CallOutcome.NotSent || answer?.status in REFUSALS -> {
                     context.info("rental ${rental.step}: refused: ${answer?.status ?: "no connection"} ${answer?.body.orEmpty()}")
-                    refuse(offer)
+                    refuse(offering)
                     rental.settledAt = context.now
                     rental.expected = 0
                 }
@@ -212,17 +212,17 @@
     }
 
     /** Nothing of [offer] is asked for until a while from now, the longer the more often that was so. */
-    fun refuse(offer: Offer) {
+    fun refuse(offering: InstanceOffering) {
         // Several steps asked at once are refused for one and the same reason.
-        if (isHeldOff(offer)) return
-        val times = refusals.merge(offer, 1, Int::plus) ?: 1
-        refusedUntil[offer] = context.now + minOf(REFUSED_S * times, REFUSED_S * 4)
+        if (isHeldOff(offering)) return
+        val times = refusals.merge(offering, 1, Int::plus) ?: 1
+        refusedUntil[offering] = context.now + minOf(REFUSED_S * times, REFUSED_S * 4)
     }
 
     /** A few steps of one kind may be on their way at once, so that a large need is met within a few calls. */
-    fun isOpen(offer: Offer): Boolean = !refused(offer) && stepsOf(offer) < MOST_STEPS
+    fun isOpen(offering: InstanceOffering): Boolean = !refused(offering) && stepsOf(offering) < MOST_STEPS
 
-    fun stepsOf(offer: Offer): Int = rentals.values.count { it.offer == offer && it.expected > 0 }
+    fun stepsOf(offering: InstanceOffering): Int = rentals.values.count { it.offering == offering && it.expected > 0 }
 
     internal companion object {
         private val REFUSALS = setOf(400, 429, 503)
--- a/src/main/kotlin/burlridge/leadership/Versions.kt
+++ b/src/main/kotlin/burlridge/leadership/GangFeatureGate.kt
@@ -14,7 +14,7 @@
  * would stop its tasks. The rows stand while members are down, so that an outage of one holds nothing up, and a member that
  * starts reads them again.
  */
-internal class Versions(
+internal class GangFeatureGate(
     private val context: StepContext,
     private val store: StoreClient,
 ) {
@@ -22,19 +22,19 @@
     private val wanted = context.settings.workers.gang != null
 
     /** Once all know gangs they always will. */
-    var allKnowGangs: Boolean = false
+    var allMembersSupportGangs: Boolean = false
         private set
     private var nextAt = 0.0
     private var busy = false
 
     fun tick() {
-        if (!wanted || allKnowGangs || busy || context.now < nextAt) return
+        if (!wanted || allMembersSupportGangs || busy || context.now < nextAt) return
         look(RequestPriority.CLEANUP) {}
     }
 
     /** Tells whether all members know gangs, reading their rows where that is not certain yet; null where they cannot be read. */
     fun ask(onResult: (Boolean?) -> Unit) {
-        if (allKnowGangs || !wanted) onResult(allKnowGangs) else look(RequestPriority.USER, onResult)
+        if (allMembersSupportGangs || !wanted) onResult(allMembersSupportGangs) else look(RequestPriority.USER, onResult)
     }
 
     private fun look(
@@ -46,18 +46,18 @@
         store.list(PREFIX, priority) { listing ->
             busy = false
             if (listing == null) return@list onResult(null)
-            val known = listing.rows.filter { it.value.path("v").asInt() >= KNOWS_GANGS }.map { it.key.removePrefix(PREFIX) }
+            val known = listing.rows.filter { it.value.path("v").asInt() >= SUPPORTS_GANGS }.map { it.key.removePrefix(PREFIX) }
             if (context.settings.member !in known) write()
-            if (!allKnowGangs && known.containsAll(members)) {
-                allKnowGangs = true
+            if (!allMembersSupportGangs && known.containsAll(members)) {
+                allMembersSupportGangs = true
                 context.info("every member knows gangs: they are taken from now on")
             }
-            onResult(allKnowGangs)
+            onResult(allMembersSupportGangs)
         }
     }
 
     private fun write() {
-        val row = Json.obj { put("v", KNOWS_GANGS) }
+        val row = Json.obj { put("v", SUPPORTS_GANGS) }
         val key = PREFIX + context.settings.member
         store.commit(Transaction(listOf(Condition(key, 0)), listOf(Change.Put(key, row))), RequestPriority.CLEANUP) {}
     }
@@ -66,6 +66,6 @@
         const val PREFIX = "version/"
 
         /** The version before left no row. */
-        const val KNOWS_GANGS = 2
+        const val SUPPORTS_GANGS = 2
     }
 }
--- a/src/main/kotlin/burlridge/leadership/Leadership.kt
+++ b/src/main/kotlin/burlridge/leadership/Leadership.kt
@@ -3,7 +3,6 @@
 import burlridge.core.Effect
 import burlridge.core.StepContext
 import burlridge.json.Json
-import burlridge.message.FailoverStatus
 import burlridge.message.PeerMessage
 import burlridge.store.Change
 import burlridge.store.Condition
@@ -19,41 +18,17 @@
 internal class Leadership(
     private val context: StepContext,
     private val store: StoreClient,
-    private val events: Events,
+    private val listener: LeadershipListener,
 ) {
-    internal interface Events {
-        fun onElected(cause: String)
-
-        fun onDeposed(
-            term: Long,
-            cause: String,
-        )
-
-        /** Another member is known to lead [term]. */
-        fun onLearned(
-            leader: String,
-            term: Long,
-        ) = Unit
-
-        /** This member's own name stands in the leader's row, under a term it does not lead; true where it takes that term over as it is. */
-        fun onNamed(term: Long): Boolean = false
-
-        /** Whether another member, better prepared, should have the first try at an election. */
-        fun defersElection(): Boolean = false
-
-        /** What a status says beside leadership. */
-        fun statusOfFailover(): FailoverStatus? = null
-    }
-
     private val settings = context.settings
-    private val usualTtlS = settings.workers.reportS * settings.operator.leaseReports
+    private val defaultTtlS = settings.workers.reportS * settings.operator.leaseReports
 
     /** The lease of this member's terms: longer after it was deposed alive, merely slow, so that two slow members do not take turns. */
-    private var ttlS = usualTtlS
+    private var ttlS = defaultTtlS
     private var lastTickAt = 0.0
 
     /** Whether this member stood still in this term for so long that its renewal may have been late. */
-    private var late = false
+    private var stalledInTerm = false
 
     /**
      * How long after its last good renewal was sent a leader may still answer workers. Together with a worker's lease and a
@@ -67,7 +42,7 @@
     /** The stamp of the term row, the fence of every write of this leader. */
     var fence: Long = 0
         private set
-    var leading: Boolean = false
+    var isLeader: Boolean = false
         private set
     var electedAt: Double = 0.0
         private set
@@ -90,10 +65,10 @@
     private val silentPeers = HashSet<String>()
 
     /** Who has led lately and may not know yet that it is over. */
-    private var former: Set<String> = emptySet()
+    private var formerLeaders: Set<String> = emptySet()
 
     /** Who led before this term, as its row says. */
-    private var history: Map<String, Long> = emptyMap()
+    private var previousLeaders: Map<String, Long> = emptyMap()
 
     private val transfer = LeadershipTransfer(context, store, this)
 
@@ -125,34 +100,34 @@
     val leaseS: Double get() = ttlS
 
     /** True while no other member can have been elected. */
-    val holdsLease: Boolean get() = leading && !transferring && context.now < leaseUntil
+    val holdsLease: Boolean get() = isLeader && !transferring && context.now < leaseUntil
 
     /**
      * True while this leader may answer workers, a while beyond [holdsLease]: through an outage that all members share. One that
      * hears neither the state service nor any member is cut off itself, and its workers are better off with whoever follows.
      */
-    val answering: Boolean
-        get() = leading && context.now < answersUntil && (holdsLease || settings.others.isEmpty() || !isolated)
+    val mayAnswerWorkers: Boolean
+        get() = isLeader && context.now < answersUntil && (holdsLease || settings.others.isEmpty() || !isolated)
     private val isolated: Boolean get() = context.now > peerHeardAt + ttlS
     private var peerHeardAt = 0.0
 
     /** No other member can be answering workers by an earlier term after this time. */
     val othersAnswerUntil: Double
-        get() = if (silentPeers.containsAll(former)) maxOf(silentSince, electedAt) else electedAt + answerBoundS
+        get() = if (silentPeers.containsAll(formerLeaders)) maxOf(silentSince, electedAt) else electedAt + answerBoundS
     private var silentSince = 0.0
 
     /** What fences every write of this leader. */
     fun fenceCondition(): Condition = Condition(TERM, fence)
 
     /** Whether this member still leads [term]. */
-    fun whileLeading(term: Long): () -> Boolean = { leading && this.term == term }
+    fun whileLeading(term: Long): () -> Boolean = { isLeader && this.term == term }
 
     fun tick() {
-        val stalled = leading && context.now > lastTickAt + ttlS / LATE_PART
+        val stalled = isLeader && context.now > lastTickAt + ttlS / STALL_FRACTION
         if (stalled) stalls++
-        late = late || stalled
+        stalledInTerm = stalledInTerm || stalled
         lastTickAt = context.now
-        if (leading) {
+        if (isLeader) {
             if (!renewing && !transferring && context.now >= nextRenewAt) renew()
         } else if (!campaigning && context.now >= nextPollAt) {
             poll()
@@ -165,7 +140,7 @@
         val mine = leaseId
         store.renewLease(mine, ttlS / 3) { status ->
             renewing = false
-            if (!leading || leaseId != mine) return@renewLease
+            if (!isLeader || leaseId != mine) return@renewLease
             when (status) {
                 200 -> {
                     renewedAt = sentAt
@@ -184,21 +159,21 @@
     }
 
     fun stepDown(reason: String) {
-        if (!leading) return
-        leading = false
+        if (!isLeader) return
+        isLeader = false
         transfer.cancel()
-        if (late) ttlS = minOf(ttlS * 2, usualTtlS * MOST_USUAL)
+        if (stalledInTerm) ttlS = minOf(ttlS * 2, defaultTtlS * MAX_TTL_FACTOR)
         context.info("leader change: term $term is over here: $reason")
         knownLeader = null
         nextPollAt = context.now
         store.setLeader(false)
-        events.onDeposed(term, reason)
+        listener.onDeposed(term, reason)
     }
 
     private fun poll() {
         nextPollAt = context.now + ttlS / 6 * (0.8 + 0.4 * context.random.nextDouble())
         store.get(LEADER, RequestPriority.LEADERSHIP) { read ->
-            if (leading || campaigning) return@get
+            if (isLeader || campaigning) return@get
             when (read) {
                 is ReadResult.Found -> {
                     absentSince = null
@@ -212,9 +187,9 @@
                             read.value.value
                                 .path("term")
                                 .asLong()
-                        if (!events.onNamed(namedTerm)) campaign(read.value.modRevision, "its former self led")
+                        if (!listener.onTermHandedOver(namedTerm)) campaign(read.value.modRevision, "its former self led")
                     } else {
-                        learn(
+                        observeLeader(
                             name,
                             read.value.value
                                 .path("term")
@@ -226,8 +201,8 @@
 
                 ReadResult.Absent -> {
                     val since = absentSince ?: context.now.also { absentSince = it }
-                    val first = events.defersElection() && context.now < since + ttlS / DEFER_PART
-                    if (first) nextPollAt = since + ttlS / DEFER_PART else campaign(0, "the leader's lease had ended")
+                    val first = listener.defersElection() && context.now < since + ttlS / DEFER_FRACTION
+                    if (first) nextPollAt = since + ttlS / DEFER_FRACTION else campaign(0, "the leader's lease had ended")
                 }
 
                 ReadResult.Failed -> {
@@ -249,13 +224,13 @@
             if (watched != modRevision) return@watch
             watched = 0
             val changed = status == OK && body != null && body.path("events").size() > 0
-            if (changed && !leading) nextPollAt = minOf(nextPollAt, context.now + ttlS / WATCH_SPREAD * context.random.nextDouble())
+            if (changed && !isLeader) nextPollAt = minOf(nextPollAt, context.now + ttlS / WATCH_SPREAD * context.random.nextDouble())
         }
     }
 
     /** Looks at the leader's row at the next tick, and not only at the next turn. */
-    fun lookSoon() {
-        if (!leading) nextPollAt = minOf(nextPollAt, context.now)
+    fun pollSoon() {
+        if (!isLeader) nextPollAt = minOf(nextPollAt, context.now)
     }
 
     private fun campaign(
@@ -310,8 +285,8 @@
             campaigning = false
             if (result is TransactionResult.Committed) {
                 // Our own former self is dead; where the row tells no history, anyone may have led.
-                former = (candidacy.led?.keys ?: settings.others.mapTo(HashSet()) { it.member }) - settings.member
-                history = candidacy.led.orEmpty()
+                formerLeaders = (candidacy.led?.keys ?: settings.others.mapTo(HashSet()) { it.member }) - settings.member
+                previousLeaders = candidacy.led.orEmpty()
                 elected(next, result.revision, candidacy.lease, candidacy.leaseSentAt, candidacy.cause)
             } else {
                 // Where the outcome is unknown the next poll finds our own name and takes over with a further term.
@@ -341,7 +316,7 @@
         onResult: (TransferOutcome) -> Unit,
     ) {
         val keptMs = (answerBoundS * HISTORY_BOUNDS * MS_A_S).toLong()
-        val led = (history + (settings.member to context.wallMs)).filterValues { context.wallMs - it < keptMs }
+        val led = (previousLeaders + (settings.member to context.wallMs)).filterValues { context.wallMs - it < keptMs }
         val transaction =
             Transaction(
                 listOf(Condition(LEADER, fence), Condition(TERM, fence)),
@@ -365,8 +340,8 @@
         newTerm: Long,
     ) {
         stepDown("handed over to $successor")
-        learn(successor, newTerm)
-        announce()
+        observeLeader(successor, newTerm)
+        broadcastStatus()
     }
 
     /**
@@ -379,10 +354,10 @@
         lease: Long,
         leaseSentAt: Double,
     ): Boolean {
-        if (leading || newTerm <= term || context.now >= leaseSentAt + ttlS * (1 - DRIFT) - MARGIN_S) return false
+        if (isLeader || newTerm <= term || context.now >= leaseSentAt + ttlS * (1 - DRIFT) - MARGIN_S) return false
         val led = ledBefore(termRow.value)
-        former = led.keys - settings.member
-        history = led
+        formerLeaders = led.keys - settings.member
+        previousLeaders = led
         elected(newTerm, termRow.modRevision, lease, leaseSentAt, "handed over by ${knownLeader ?: "its leader"}")
         return true
     }
@@ -421,8 +396,8 @@
         highestTerm = maxOf(highestTerm, newTerm)
         fence = revision
         leaseId = lease
-        leading = true
-        late = false
+        isLeader = true
+        stalledInTerm = false
         lastTickAt = context.now
         renewing = false
         renewedAt = sentAt
@@ -433,54 +408,54 @@
         knownLeader = settings.member
         store.setLeader(true)
         context.info("leader change: ${settings.member} leads term $term: $cause")
-        events.onElected(cause)
-        announce()
+        listener.onElected(cause)
+        broadcastStatus()
     }
 
-    fun learn(
+    fun observeLeader(
         leader: String,
         atTerm: Long,
     ) {
         if (atTerm < highestTerm) return
         highestTerm = atTerm
-        if (leading && atTerm > term) stepDown("$leader leads term $atTerm")
-        if (!leading) {
+        if (isLeader && atTerm > term) stepDown("$leader leads term $atTerm")
+        if (!isLeader) {
             if (knownLeader != leader) {
                 context.info("leader change: $leader leads term $atTerm")
-                events.onLearned(leader, atTerm)
+                listener.onLearned(leader, atTerm)
             }
             knownLeader = leader
             knownLeaderAt = context.now
         }
     }
 
-    fun heard(status: PeerMessage.Status) {
+    fun onPeerStatus(status: PeerMessage.Status) {
         peerHeardAt = context.now
         // A member that follows a later leader tells of it as well: that leader itself may be out of reach.
-        if (status.leading) {
-            learn(status.from, status.term)
+        if (status.isLeader) {
+            observeLeader(status.from, status.term)
         } else if (status.leader.isNotEmpty()) {
-            heardOf(status)
+            onLaterTermReported(status)
         }
-        val confirms = leading && status.from in former && !status.answering && status.term >= term
+        val confirms = isLeader && status.from in formerLeaders && !status.mayAnswerWorkers && status.term >= term
         if (confirms && silentPeers.add(status.from)) silentSince = context.now
     }
 
-    private fun heardOf(status: PeerMessage.Status) {
-        if (leading && status.term > term && status.leader != settings.member) learn(status.leader, status.term)
+    private fun onLaterTermReported(status: PeerMessage.Status) {
+        if (isLeader && status.term > term && status.leader != settings.member) observeLeader(status.leader, status.term)
     }
 
-    fun announce(unheard: List<String> = emptyList()) {
+    fun broadcastStatus(zonesWithoutHeartbeats: List<String> = emptyList()) {
         val message =
             PeerMessage.Status(
                 settings.member,
                 highestTerm,
                 knownLeader.orEmpty(),
-                leading,
-                answering,
+                isLeader,
+                mayAnswerWorkers,
                 store.isServing,
-                unheard,
-                events.statusOfFailover(),
+                zonesWithoutHeartbeats,
+                listener.statusOfFailover(),
             )
         settings.others.forEach { context.send(it.member, message) }
     }
@@ -490,7 +465,7 @@
         const val TERM = "term"
 
         /** Between two statuses of a member. */
-        const val ANNOUNCE_S = 0.5
+        const val STATUS_INTERVAL_S = 0.5
 
         /** Twice the drift that the protocol allows between two steady clocks. */
         const val DRIFT = 0.001
@@ -498,16 +473,16 @@
         private const val OK = 200
 
         /** A renewal is due every quarter of the lease and waits a third of it for its answer. */
-        private const val LATE_PART = 4
+        private const val STALL_FRACTION = 4
 
         /** A lease is never longer than so many usual ones, since that is how long a dead leader is missed. */
-        private const val MOST_USUAL = 4
+        private const val MAX_TTL_FACTOR = 4
 
         /** How long one watch of the leader's row stays open, and within which part of its lease all look after a change. */
         private const val WATCH_TTLS = 3
 
         /** A member that is less prepared than another waits this part of the lease before it stands for election. */
-        private const val DEFER_PART = 8
+        private const val DEFER_FRACTION = 8
         private const val WATCH_SPREAD = 24
 
         /** The times of day of two members differ by far less than the bound for which a leader that was is remembered. */
--- a/src/main/kotlin/burlridge/message/PeerMessage.kt
+++ b/src/main/kotlin/burlridge/message/PeerMessage.kt
@@ -12,18 +12,18 @@
 internal sealed interface PeerMessage {
     val from: String
 
-    /** Sent at a steady pace. [answering] is false once this member answers no worker and never will again below [term]. */
+    /** Sent at a steady pace. [mayAnswerWorkers] is false once this member answers no worker and never will again below [term]. */
     @Serializable
     @SerialName("s")
     data class Status(
         override val from: String,
         val term: Long,
         val leader: String,
-        val leading: Boolean,
-        val answering: Boolean,
-        val storeServed: Boolean,
+        val isLeader: Boolean,
+        val mayAnswerWorkers: Boolean,
+        val storeReachable: Boolean,
         /** Zones whose machines a leader knows and does not hear: what reports elsewhere is better passed on than sent to it. */
-        val unheard: List<String> = emptyList(),
+        val zonesWithoutHeartbeats: List<String> = emptyList(),
         /** Null from a member without failover, or of a version before it. */
         val failover: FailoverStatus? = null,
     ) : PeerMessage
@@ -31,9 +31,9 @@
     /** A request passed on to the leader. */
     @Serializable
     @SerialName("a")
-    data class Ask(
+    data class ForwardedRequest(
         override val from: String,
-        val ask: Long,
+        val requestId: Long,
         val method: String,
         val path: String,
         val body: String,
@@ -41,9 +41,9 @@
 
     @Serializable
     @SerialName("r")
-    data class Reply(
+    data class ForwardedResponse(
         override val from: String,
-        val ask: Long,
+        val requestId: Long,
         val status: Int,
         val body: String,
         val retryAfterS: Int,
@@ -52,7 +52,7 @@
     /** News of a job whose row [from] has just written. */
     @Serializable
     @SerialName("j")
-    data class Accepted(
+    data class JobAccepted(
         override val from: String,
         val job: String,
     ) : PeerMessage
--- a/src/main/kotlin/burlridge/peer/PeerLinks.kt
+++ b/src/main/kotlin/burlridge/peer/PeerTransport.kt
@@ -20,7 +20,7 @@
 import kotlinx.io.readByteArray
 
 /** One outgoing connection to each other member; frames are a length and a protobuf message. */
-internal class PeerLinks(
+internal class PeerTransport(
     private val settings: Settings,
     private val loop: EventLoop,
     private val unknown: () -> Unit,
--- a/src/main/kotlin/burlridge/placement/Fit.kt
+++ b/src/main/kotlin/burlridge/placement/BestFitSelector.kt
@@ -7,14 +7,14 @@
 import burlridge.worker.Machine
 
 /** Best fit over a few sampled machines. */
-internal class Fit(
+internal class BestFitSelector(
     private val context: StepContext,
     private val fleet: Fleet,
 ) {
     private val sampleSize = context.settings.operator.sample
 
     /** Null where nobody balances load. */
-    var advice: PlacementAdvice? = null
+    var advice: PlacementPolicy? = null
 
     fun overLimit(
         name: String,
@@ -27,7 +27,7 @@
     fun fits(
         spec: JobSpec,
         zones: Map<String, Int>,
-        room: Room,
+        room: MachineCapacity,
     ): Boolean = (room.startsLeft > 0 || spec.gang) && spec.size.fits(room.free) && zoneAllows(spec, zones, room.machine.zone)
 
     private fun zoneAllows(
@@ -41,11 +41,11 @@
 
     /** Best fit over a sample drawn from [rooms]; what is drawn and has no room any more is struck out. */
     fun sample(
-        rooms: MutableList<Room>,
+        rooms: MutableList<MachineCapacity>,
         spec: JobSpec,
         zones: Map<String, Int>,
-    ): Room? {
-        var best: Room? = null
+    ): MachineCapacity? {
+        var best: MachineCapacity? = null
         var least = Double.MAX_VALUE
         var drawn = 0
         // Drawn ones go to the end, so that none is drawn twice.
@@ -73,7 +73,7 @@
     }
 
     private fun leftover(
-        room: Room,
+        room: MachineCapacity,
         spec: JobSpec,
     ): Double {
         val left = room.free - spec.size
--- a/src/main/kotlin/burlridge/placement/GangPlacement.kt
+++ b/src/main/kotlin/burlridge/placement/GangPlacement.kt
@@ -8,7 +8,7 @@
 import burlridge.core.StepContext
 import burlridge.fleet.Fleet
 import burlridge.job.JobSpec
-import burlridge.worker.Workers
+import burlridge.worker.WorkerManager
 
 /**
  * Seats for a whole gang or for none of it: one plan decides zone, machines and the team's limit for all tasks at once, and one
@@ -16,9 +16,9 @@
  */
 internal class GangPlacement(
     private val context: StepContext,
-    private val workers: Workers,
+    private val workers: WorkerManager,
     private val fleet: Fleet,
-    private val fit: Fit,
+    private val fit: BestFitSelector,
 ) {
     /** Within which a job class's gangs are to start. */
     private val startWithin =
@@ -76,7 +76,7 @@
     }
 
     private fun seatsIn(
-        rooms: List<Room>,
+        rooms: List<MachineCapacity>,
         spec: JobSpec,
     ): Int = rooms.sumOf { it.seats(spec.size) }
 
@@ -84,7 +84,7 @@
     private fun wholeSeats(
         spec: JobSpec,
         plan: PlacementPlan,
-        rooms: List<Room>,
+        rooms: List<MachineCapacity>,
     ): Int {
         val zone = rooms.firstOrNull()?.machine?.zone ?: return 0
         return plan.poolsFor(spec).filter { !spec.oneZone || it.first.zone == zone }.sumOf { it.machines * it.whole.holds(spec.size) }
@@ -94,14 +94,14 @@
         spec: JobSpec,
         task: Int,
         attempt: Int,
-        room: Room,
-    ): Allocation = Allocation(spec.id, task, attempt, room.machine.id, room.machine.session, room.machine.zone, QuotaCharge(spec.team, spec.size))
+        room: MachineCapacity,
+    ): Allocation = Allocation(spec.id, task, attempt, room.machine.id, room.machine.agentEpoch, room.machine.zone, QuotaCharge(spec.team, spec.size))
 
     /** The rooms that may hold the gang together: those of a zone where it must be one, the zone that holds its image first. */
     private fun groups(
         spec: JobSpec,
         plan: PlacementPlan,
-    ): List<List<Room>> {
+    ): List<List<MachineCapacity>> {
         val rooms = plan.poolsFor(spec).flatMap { pool -> pool.rooms.filter { spec.size.fits(it.free) } }
         if (!spec.oneZone) return listOf(rooms)
 
@@ -109,7 +109,7 @@
             .groupBy { it.machine.zone }
             .values
             .sortedWith(
-                compareByDescending<List<Room>> { zone ->
+                compareByDescending<List<MachineCapacity>> { zone ->
                     minOf(spec.tasks, seatsIn(zone.filter { spec.image in it.machine.images }, spec))
                 }.thenByDescending { seatsIn(it, spec) },
             )
@@ -119,9 +119,9 @@
     private fun seat(
         spec: JobSpec,
         tasks: Int,
-        rooms: List<Room>,
-    ): List<Room> {
-        val seats = ArrayList<Room>()
+        rooms: List<MachineCapacity>,
+    ): List<MachineCapacity> {
+        val seats = ArrayList<MachineCapacity>()
         val zones = HashMap<String, Int>()
         for (group in preferred(spec, rooms)) {
             // Where idle machines are returned, those in use go first, so that others fall idle.
@@ -143,8 +143,8 @@
 
     private fun preferred(
         spec: JobSpec,
-        rooms: List<Room>,
-    ): List<List<Room>> {
+        rooms: List<MachineCapacity>,
+    ): List<List<MachineCapacity>> {
         val (holders, others) = rooms.partition { spec.image in it.machine.images }
         val limitS = startWithin[spec.jobClass] ?: Double.MAX_VALUE
         val byType = others.groupBy { it.machine.type }.values
--- a/src/main/kotlin/burlridge/placement/MoveTargets.kt
+++ b/src/main/kotlin/burlridge/placement/MoveTargetFinder.kt
@@ -5,9 +5,9 @@
 import burlridge.worker.Machine
 
 /** Where running tasks could go besides where they are; each one found takes its room from those asked for later. */
-internal class MoveTargets(
+internal class MoveTargetFinder(
     private val plan: PlacementPlan,
-    private val fit: Fit,
+    private val fit: BestFitSelector,
 ) {
     /** A machine with room, and how long it takes there to fetch the image. */
     class Candidate(
@@ -35,14 +35,14 @@
                     .flatMap { it.rooms }
                     .filterTo(ArrayList()) { isRoom(it, job, allocation) && suits(Candidate(it.machine, fit.expectedFetchS(it.machine, spec))) }
             val room = fit.sample(rooms, spec, zones) ?: continue
-            plan.keep(KeptRoom(job, allocation.task, room.machine))
+            plan.keep(CapacityReservation(job, allocation.task, room.machine))
             return room.machine
         }
         return null
     }
 
     private fun isRoom(
-        room: Room,
+        room: MachineCapacity,
         job: Job,
         allocation: Allocation,
     ): Boolean = !room.avoided && room.machine.id != allocation.machine && job.spec.size.fits(room.free)
--- a/src/main/kotlin/burlridge/placement/Placement.kt
+++ b/src/main/kotlin/burlridge/placement/Placement.kt
@@ -6,17 +6,17 @@
 import burlridge.allocation.JobRegistry
 import burlridge.core.StepContext
 import burlridge.fleet.Fleet
-import burlridge.fleet.Offer
+import burlridge.fleet.InstanceOffering
 import burlridge.job.JobSpec
 import burlridge.job.Resources
 import burlridge.worker.Machine
-import burlridge.worker.Workers
+import burlridge.worker.WorkerManager
 
 /** Team queues served in turn by shares, and best fit over a few sampled machines. */
 internal class Placement(
     private val context: StepContext,
     private val registry: JobRegistry,
-    private val workers: Workers,
+    private val workers: WorkerManager,
     private val fleet: Fleet,
 ) {
     /** Lanes whose tasks must start within a report interval: to them a fetch is most of the wait. */
@@ -37,11 +37,11 @@
         context.settings.objectives
             .filter { it.kind == "finished" && it.jobClass != null && it.withinS != null }
             .associate { it.jobClass to it.withinS }
-    private val fit = Fit(context, fleet)
+    private val fit = BestFitSelector(context, fleet)
     private val gangs = GangPlacement(context, workers, fleet, fit)
 
     /** Null where nobody balances load. */
-    var advice: PlacementAdvice? by fit::advice
+    var advice: PlacementPolicy? by fit::advice
 
     /** One round: as many waiting tasks as there is room for and one row holds. */
     fun schedule() {
@@ -80,11 +80,11 @@
     }
 
     /** Where running tasks could go now. */
-    fun moveTargets(): MoveTargets = MoveTargets(newPlan(), fit)
+    fun moveTargets(): MoveTargetFinder = MoveTargetFinder(newPlan(), fit)
 
     /** A task that is gone from where it was starts where room was kept for it, or waits like any other where that is not enough. */
     private fun placeWhereKept(
-        kept: KeptRoom,
+        kept: CapacityReservation,
         plan: PlacementPlan,
     ) {
         val job = kept.job
@@ -99,21 +99,21 @@
         plan.jobs += spec.id
         plan.allocations += newAllocation(job, kept.task, kept.machine)
         plan.placedWhereKept += "${spec.id}/${kept.task}"
-        advice?.placed("${spec.id}/${kept.task}", kept.machine.id, PlacementReason.KEPT_ROOM)
+        advice?.placed("${spec.id}/${kept.task}", kept.machine.id, PlacementReason.RESERVED_CAPACITY)
     }
 
     private fun full(plan: PlacementPlan): Boolean =
         plan.allocations.size >= registry.allocations.maxStartsPerBatch || plan.jobs.size >= registry.allocations.maxJobsPerBatch
 
     /** The smallest machines first: a task that fits one should not break up a larger one. */
-    private fun pools(): List<Pool> {
+    private fun pools(): List<MachinePool> {
         val catalog = fleet.catalog ?: return emptyList()
-        val pools = HashMap<Offer, Pool>()
+        val pools = HashMap<InstanceOffering, MachinePool>()
         for (machine in workers.machines.values) {
             if (!usable(machine)) continue
             val whole = catalog.types[machine.type]?.size ?: continue
             val free = free(machine, whole)
-            val pool = pools.getOrPut(Offer(machine.type, machine.zone, machine.spot)) { Pool(whole, machine) }
+            val pool = pools.getOrPut(InstanceOffering(machine.type, machine.zone, machine.spot)) { MachinePool(whole, machine) }
             pool.machines++
             if (free.cpus > 0 && free.memoryGb > 0) pool.rooms += room(machine, whole, free)
         }
@@ -124,17 +124,17 @@
         machine: Machine,
         whole: Resources,
         free: Resources,
-    ): Room {
-        val advice = advice ?: return Room(machine, whole, free)
-        return Room(machine, whole, free, advice.avoids(machine), advice.startsLeft(machine))
+    ): MachineCapacity {
+        val advice = advice ?: return MachineCapacity(machine, whole, free)
+        return MachineCapacity(machine, whole, free, advice.avoids(machine), advice.startsLeft(machine))
     }
 
     private fun usable(machine: Machine): Boolean =
         isUp(machine) && context.now >= machine.notBefore && context.now >= machine.nextCommandAt &&
-            !workers.silent(machine) && !workers.mute(machine) && workers.reaches(machine)
+            !workers.isSilent(machine) && !workers.isNotReporting(machine) && workers.reaches(machine)
 
     private fun isUp(machine: Machine): Boolean =
-        machine.up && machine.hears && !machine.lapsed && !machine.draining && machine.recallAt == null
+        machine.up && machine.isResponsive && !machine.leaseExpired && !machine.draining && machine.reclaimAt == null
 
     private fun free(
         machine: Machine,
@@ -145,7 +145,7 @@
         return free
     }
 
-    private class Turn(
+    private class QueuedJob(
         val job: Job,
         val late: Boolean,
         val load: Double,
@@ -159,15 +159,15 @@
      * the late ones the oldest has every fourth turn.
      */
     fun queue(): List<Job> {
-        val turns =
+        val queued =
             registry.jobs.values.filter { it.ending == null && it.waiting > 0 && (!it.spec.gang || gangs.mayBegin(it)) }.map {
-                Turn(it, tooLate(it), load(it.spec.team), rank(it), ageS(it))
+                QueuedJob(it, tooLate(it), load(it.spec.team), rank(it), ageS(it))
             }
-        if (turns.isEmpty()) return emptyList()
-        val (starved, others) = turns.partition { !it.job.begun && it.ageS > MUST_BEGIN_S / 2 }
+        if (queued.isEmpty()) return emptyList()
+        val (starved, others) = queued.partition { !it.job.begun && it.ageS > MUST_BEGIN_S / 2 }
         val (late, timely) = others.partition { it.late }
         val inTurn =
-            timely.sortedWith(compareBy<Turn> { it.job.spec.priority }.thenBy { it.load }.thenBy { it.rank }).toMutableList()
+            timely.sortedWith(compareBy<QueuedJob> { it.job.spec.priority }.thenBy { it.load }.thenBy { it.rank }).toMutableList()
         val oldest = ArrayDeque(late.sortedByDescending { it.ageS })
         val order = starved.sortedByDescending { it.ageS }.toMutableList()
         while (inTurn.isNotEmpty() || oldest.isNotEmpty()) {
@@ -231,14 +231,14 @@
     /** Where room was left aside for a while, another job that has waited longer may still take it. Only advice leaves any aside. */
     private fun tookAllRoom(
         job: Job,
-        pools: List<Pool>,
+        pools: List<MachinePool>,
     ): Boolean = advice == null || takesAvoided(job) || pools.none { pool -> pool.rooms.any { it.avoided || it.startsLeft <= 0 } }
 
     /** What a class's aim for starting wants at once goes to machines that have just joined as well, however much they have got. */
     private fun fillCold(
         job: Job,
         first: Int,
-        pools: List<Pool>,
+        pools: List<MachinePool>,
         zones: HashMap<String, Int>,
         plan: PlacementPlan,
     ): Int {
@@ -258,12 +258,12 @@
 
     private fun mayTake(
         job: Job,
-        room: Room,
+        room: MachineCapacity,
     ): Boolean = job.spec.size.fits(room.free) && (!room.avoided || takesAvoided(job))
 
     private fun presses(
         spec: JobSpec,
-        pools: List<Pool>,
+        pools: List<MachinePool>,
     ): Boolean {
         if (spec.jobClass in urgentClasses) return true
         val slowest = pools.minOfOrNull { fit.fetchGbPerS(it.first.type) } ?: return false
@@ -274,7 +274,7 @@
     private fun fill(
         job: Job,
         first: Int,
-        rooms: List<Room>,
+        rooms: List<MachineCapacity>,
         zones: HashMap<String, Int>,
         plan: PlacementPlan,
     ): Int {
@@ -324,7 +324,7 @@
         task,
         job.lastAttempt.get(task) + 1,
         machine.id,
-        machine.session,
+        machine.agentEpoch,
         machine.zone,
         QuotaCharge(job.spec.team, job.spec.size),
     )
--- a/src/main/kotlin/burlridge/placement/PlacementPlan.kt
+++ b/src/main/kotlin/burlridge/placement/PlacementPlan.kt
@@ -7,7 +7,7 @@
 import burlridge.worker.Machine
 
 /** A machine with room, and what of it is free. */
-internal class Room(
+internal class MachineCapacity(
     val machine: Machine,
     val whole: Resources,
     var free: Resources,
@@ -21,10 +21,10 @@
 }
 
 /** The machines with room of one type, zone and kind. */
-internal class Pool(
+internal class MachinePool(
     val whole: Resources,
     val first: Machine,
-    val rooms: ArrayList<Room> = ArrayList(),
+    val rooms: ArrayList<MachineCapacity> = ArrayList(),
 ) {
     /** Its machines, full ones as well. */
     var machines: Int = 0
@@ -40,7 +40,7 @@
 
 /** What one round has used up and found out. */
 internal class PlacementPlan(
-    val pools: List<Pool>,
+    val pools: List<MachinePool>,
     val used: HashMap<String, Resources>,
 ) {
     val allocations = ArrayList<Allocation>()
@@ -51,17 +51,17 @@
         unplaceable.any { it.types == spec.types && it.zone == spec.zone && (it.spot || !spec.spot) && it.size.fits(spec.size) }
 
     /** Room that is kept for single tasks, and taken from all others. */
-    val kept = ArrayList<KeptRoom>()
+    val kept = ArrayList<CapacityReservation>()
 
     /** Names of tasks that were placed where room was kept for them. */
     val placedWhereKept = HashSet<String>()
-    private val roomOf: Map<String, Room> by lazy(LazyThreadSafetyMode.NONE) {
+    private val roomOf: Map<String, MachineCapacity> by lazy(LazyThreadSafetyMode.NONE) {
         pools.flatMap { it.rooms }.associateBy { it.machine.id }
     }
 
-    fun roomOn(machine: String): Room? = roomOf[machine]
+    fun roomOn(machine: String): MachineCapacity? = roomOf[machine]
 
-    fun keep(room: KeptRoom) {
+    fun keep(room: CapacityReservation) {
         val spec = room.job.spec
         val there = roomOn(room.machine.id)?.takeIf { spec.size.fits(it.free) } ?: return
         there.free -= spec.size
@@ -82,7 +82,7 @@
     }
 
     /** The task that it was kept for is about to take it, or no longer wants it. */
-    fun giveBack(room: KeptRoom) {
+    fun giveBack(room: CapacityReservation) {
         val spec = room.job.spec
         roomOn(room.machine.id)?.let { it.free += spec.size }
         used.merge(spec.team, spec.size, Resources::minus)
@@ -92,6 +92,6 @@
     fun used(team: String): Resources = used[team] ?: Resources.NONE
 
     /** The pools whose machines [spec] may use and that are large enough. */
-    fun poolsFor(spec: JobSpec): List<Pool> =
+    fun poolsFor(spec: JobSpec): List<MachinePool> =
         pools.filter { spec.size.fits(it.whole) && spec.allows(it.first.type, it.first.zone, it.first.spot) }
 }
--- a/src/main/kotlin/burlridge/placement/PlacementAdvice.kt
+++ b/src/main/kotlin/burlridge/placement/PlacementPolicy.kt
@@ -5,16 +5,16 @@
 import burlridge.worker.Machine
 
 /** Room that is kept on a machine for a task that is to start there once it is gone from where it was. */
-internal class KeptRoom(
+internal class CapacityReservation(
     val job: Job,
     val task: Int,
     val machine: Machine,
 )
 
 /** What placement is told by those who balance load; where nobody does, nothing is kept and no machine avoided. */
-internal interface PlacementAdvice {
+internal interface PlacementPolicy {
     /** For which tasks room is kept; it is given to nobody else. */
-    fun kept(): List<KeptRoom>
+    fun kept(): List<CapacityReservation>
 
     /** Whether [machine] gets nothing new but what would else wait too long. */
     fun avoids(machine: Machine): Boolean
--- a/src/main/kotlin/burlridge/settings/BalanceSettings.kt
+++ b/src/main/kotlin/burlridge/settings/BalanceSettings.kt
@@ -56,11 +56,11 @@
 ) {
     fun permission(jobClass: String): MovePermission = classMoves[jobClass] ?: moves
 
-    /** Ends with a [SettingsError] where this names a class that the platform does not know. */
+    /** Ends with a [InvalidSettingsException] where this names a class that the platform does not know. */
     fun check(platform: Settings) {
         val known = platform.objectives.mapNotNullTo(sortedSetOf()) { it.jobClass }
         classMoves.keys.firstOrNull { it !in known }?.let {
-            throw SettingsError("class_moves in [$SECTION] names the unknown class $it; known are $known")
+            throw InvalidSettingsException("class_moves in [$SECTION] names the unknown class $it; known are $known")
         }
     }
 
@@ -88,27 +88,27 @@
         private val BUDGETS = 0..1_000_000
 
         fun read(section: IniSection): BalanceSettings {
-            val usual = BalanceSettings()
+            val default = BalanceSettings()
             return BalanceSettings(
-                finishReports = section.number("finish_reports", usual.finishReports, 0.0..10_000.0),
-                roomLeases = section.number("room_leases", usual.roomLeases, 0.0..1000.0),
-                keepLeases = section.number("keep_leases", usual.keepLeases, 0.1..100.0),
-                moves = section.text("moves")?.let { permission("moves", it) } ?: usual.moves,
+                finishReports = section.number("finish_reports", default.finishReports, 0.0..10_000.0),
+                roomLeases = section.number("room_leases", default.roomLeases, 0.0..1000.0),
+                keepLeases = section.number("keep_leases", default.keepLeases, 0.1..100.0),
+                moves = section.text("moves")?.let { permission("moves", it) } ?: default.moves,
                 classMoves = section.text("class_moves")?.let(::classMoves).orEmpty(),
-                movesPerMinute = section.whole("moves_per_minute", usual.movesPerMinute, BUDGETS),
-                classMovesPerMinute = section.whole("class_moves_per_minute", usual.classMovesPerMinute, BUDGETS),
-                teamMovesPerMinute = section.whole("team_moves_per_minute", usual.teamMovesPerMinute, BUDGETS),
-                movesPerTask = section.whole("moves_per_task", usual.movesPerTask, 0..1000),
-                hotFactor = section.number("hot_factor", usual.hotFactor, 0.0..100.0),
-                coolFactor = section.number("cool_factor", usual.coolFactor, 1.0..100.0),
-                relieveHot = section.flag("relieve_hot", usual.relieveHot),
-                gainReports = section.number("gain_reports", usual.gainReports, 0.0..1000.0),
-                coldReports = section.number("cold_reports", usual.coldReports, 0.0..1000.0),
-                coldStarts = section.whole("cold_starts", usual.coldStarts, 1..10_000),
-                decisions = section.whole("decisions", usual.decisions, 0..100_000),
+                movesPerMinute = section.whole("moves_per_minute", default.movesPerMinute, BUDGETS),
+                classMovesPerMinute = section.whole("class_moves_per_minute", default.classMovesPerMinute, BUDGETS),
+                teamMovesPerMinute = section.whole("team_moves_per_minute", default.teamMovesPerMinute, BUDGETS),
+                movesPerTask = section.whole("moves_per_task", default.movesPerTask, 0..1000),
+                hotFactor = section.number("hot_factor", default.hotFactor, 0.0..100.0),
+                coolFactor = section.number("cool_factor", default.coolFactor, 1.0..100.0),
+                relieveHot = section.flag("relieve_hot", default.relieveHot),
+                gainReports = section.number("gain_reports", default.gainReports, 0.0..1000.0),
+                coldReports = section.number("cold_reports", default.coldReports, 0.0..1000.0),
+                coldStarts = section.whole("cold_starts", default.coldStarts, 1..10_000),
+                decisions = section.whole("decisions", default.decisions, 0..100_000),
             ).also { read ->
                 if (read.hotFactor > 0 && read.hotFactor <= read.coolFactor) {
-                    throw SettingsError("hot_factor in [$SECTION] must be 0 or above cool_factor, not ${read.hotFactor}")
+                    throw InvalidSettingsException("hot_factor in [$SECTION] must be 0 or above cool_factor, not ${read.hotFactor}")
                 }
             }
         }
@@ -118,7 +118,7 @@
             val pairs = text.split(',').map { it.trim() }
             return pairs.associate { pair ->
                 val jobClass = pair.substringBeforeLast(':', "").trim()
-                if (jobClass.isEmpty()) throw SettingsError("class_moves in [$SECTION] must be like class:saved, not \"$pair\"")
+                if (jobClass.isEmpty()) throw InvalidSettingsException("class_moves in [$SECTION] must be like class:saved, not \"$pair\"")
                 jobClass to permission("class_moves", pair.substringAfterLast(':').trim())
             }
         }
@@ -127,7 +127,7 @@
             key: String,
             text: String,
         ): MovePermission =
-            MovePermission.of(text) ?: throw SettingsError(
+            MovePermission.of(text) ?: throw InvalidSettingsException(
                 "$key in [$SECTION] must be one of ${MovePermission.entries.joinToString { it.key }}, not \"$text\"",
             )
     }
--- a/src/main/kotlin/burlridge/settings/FailoverSettings.kt
+++ b/src/main/kotlin/burlridge/settings/FailoverSettings.kt
@@ -25,13 +25,13 @@
         val KEYS: Set<String> = setOf("suspect_level", "standbys", "refresh_reports", "replica_part", "slow_stalls", "trace_file")
 
         fun read(section: IniSection): FailoverSettings {
-            val usual = FailoverSettings()
+            val default = FailoverSettings()
             return FailoverSettings(
-                suspectLevel = section.number("suspect_level", usual.suspectLevel, 1.0..20.0),
-                standbys = section.whole("standbys", usual.standbys, 0..10),
-                refreshReports = section.number("refresh_reports", usual.refreshReports, 0.1..10.0),
-                replicaPart = section.number("replica_part", usual.replicaPart, 0.001..0.5),
-                slowStalls = section.whole("slow_stalls", usual.slowStalls, 0..100),
+                suspectLevel = section.number("suspect_level", default.suspectLevel, 1.0..20.0),
+                standbys = section.whole("standbys", default.standbys, 0..10),
+                refreshReports = section.number("refresh_reports", default.refreshReports, 0.1..10.0),
+                replicaPart = section.number("replica_part", default.replicaPart, 0.001..0.5),
+                slowStalls = section.whole("slow_stalls", default.slowStalls, 0..100),
                 traceFile = section.text("trace_file"),
             )
         }
--- a/src/main/kotlin/burlridge/settings/IniSection.kt
+++ b/src/main/kotlin/burlridge/settings/IniSection.kt
@@ -4,43 +4,43 @@
 import org.ini4j.InvalidFileFormatException
 import java.io.StringReader
 
-/** One section of the operators' settings; a value that cannot be used is a [SettingsError] that names it. */
+/** One section of the operators' settings; a value that cannot be used is a [InvalidSettingsException] that names it. */
 internal class IniSection(
     private val name: String,
     private val values: Map<String, String>,
 ) {
     fun text(key: String): String? =
         values[key]?.trim()?.also {
-            if (it.isEmpty()) throw SettingsError("$key in [$name] is empty")
+            if (it.isEmpty()) throw InvalidSettingsException("$key in [$name] is empty")
         }
 
     fun flag(
         key: String,
-        usual: Boolean,
+        default: Boolean,
     ): Boolean {
-        val text = text(key) ?: return usual
-        return text.toBooleanStrictOrNull() ?: throw SettingsError("$key in [$name] must be true or false, not \"$text\"")
+        val text = text(key) ?: return default
+        return text.toBooleanStrictOrNull() ?: throw InvalidSettingsException("$key in [$name] must be true or false, not \"$text\"")
     }
 
     fun whole(
         key: String,
-        usual: Int,
+        default: Int,
         range: IntRange,
     ): Int {
-        val value = number(key, usual.toDouble(), range.first.toDouble()..range.last.toDouble())
-        if (value != Math.rint(value)) throw SettingsError("$key in [$name] must be a whole number, not \"$value\"")
+        val value = number(key, default.toDouble(), range.first.toDouble()..range.last.toDouble())
+        if (value != Math.rint(value)) throw InvalidSettingsException("$key in [$name] must be a whole number, not \"$value\"")
         return value.toInt()
     }
 
     fun number(
         key: String,
-        usual: Double,
+        default: Double,
         range: ClosedFloatingPointRange<Double>,
     ): Double {
-        val text = values[key] ?: return usual
+        val text = values[key] ?: return default
         val value = text.trim().toDoubleOrNull()
         if (value == null || value !in range) {
-            throw SettingsError("$key in [$name] must be a number from ${range.start} to ${range.endInclusive}, not \"$text\"")
+            throw InvalidSettingsException("$key in [$name] must be a number from ${range.start} to ${range.endInclusive}, not \"$text\"")
         }
         return value
     }
@@ -55,11 +55,11 @@
                 try {
                     Ini(StringReader(text))
                 } catch (e: InvalidFileFormatException) {
-                    throw SettingsError("not an INI file: ${e.message}")
+                    throw InvalidSettingsException("not an INI file: ${e.message}")
                 }
             for ((name, section) in ini) {
-                val known = keys[name] ?: throw SettingsError("unknown section [$name]; known are ${keys.keys}")
-                section.keys.firstOrNull { it !in known }?.let { throw SettingsError("unknown key $it in [$name]; known are $known") }
+                val known = keys[name] ?: throw InvalidSettingsException("unknown section [$name]; known are ${keys.keys}")
+                section.keys.firstOrNull { it !in known }?.let { throw InvalidSettingsException("unknown key $it in [$name]; known are $known") }
             }
             return ini.mapValues { (name, section) -> IniSection(name, section) }
         }
--- a/src/main/kotlin/burlridge/settings/OperatorSettings.kt
+++ b/src/main/kotlin/burlridge/settings/OperatorSettings.kt
@@ -36,16 +36,16 @@
 
         fun parse(text: String): OperatorSettings {
             val sections = IniSection.parse(text, KEYS)
-            val usual = OperatorSettings()
+            val default = OperatorSettings()
             val placement = sections[PLACEMENT] ?: IniSection(PLACEMENT, emptyMap())
             val fleet = sections[FLEET] ?: IniSection(FLEET, emptyMap())
             val leadership = sections[LEADERSHIP] ?: IniSection(LEADERSHIP, emptyMap())
             return OperatorSettings(
-                sample = placement.whole("sample", usual.sample, 1..1000),
-                idleReports = fleet.number("idle_reports", usual.idleReports, 1.0..1000.0),
-                headroom = fleet.number("headroom", usual.headroom, 0.0..10.0),
-                gangDeviations = fleet.number("gang_deviations", usual.gangDeviations, 0.0..10.0),
-                leaseReports = leadership.number("lease_reports", usual.leaseReports, 0.4..3.0),
+                sample = placement.whole("sample", default.sample, 1..1000),
+                idleReports = fleet.number("idle_reports", default.idleReports, 1.0..1000.0),
+                headroom = fleet.number("headroom", default.headroom, 0.0..10.0),
+                gangDeviations = fleet.number("gang_deviations", default.gangDeviations, 0.0..10.0),
+                leaseReports = leadership.number("lease_reports", default.leaseReports, 0.4..3.0),
                 failover = sections[FAILOVER]?.let(FailoverSettings::read),
                 balance = sections[BalanceSettings.SECTION]?.let(BalanceSettings::read),
             )
--- a/src/main/kotlin/burlridge/settings/Settings.kt
+++ b/src/main/kotlin/burlridge/settings/Settings.kt
@@ -6,7 +6,7 @@
 import java.io.IOException
 
 /** A settings file that cannot be used; the message is one line meant for the operator. */
-internal class SettingsError(
+internal class InvalidSettingsException(
     message: String,
 ) : Exception(message)
 
@@ -39,22 +39,22 @@
     val gpusMax: Double,
 )
 
-internal data class Objective(
+internal data class ServiceLevelObjective(
     val kind: String,
     val jobClass: String?,
     val withinS: Double?,
     val share: Double?,
 )
 
-internal data class WorkerTimes(
+internal data class WorkerTimings(
     val reportS: Double,
     val leaseS: Double,
     val cancelS: Double,
     /** Null where the platform knows no gangs. */
-    val gang: GangTimes? = null,
+    val gang: GangTimings? = null,
 )
 
-internal data class GangTimes(
+internal data class GangTimings(
     /** How long a task waits for the others of its attempt. */
     val waitS: Double,
     /** Within which the tasks of a gang notice a loss, and must all be told of a stop. */
@@ -95,8 +95,8 @@
     val cloud: Endpoint,
     val state: Endpoint,
     val teams: Map<String, Team>,
-    val objectives: List<Objective>,
-    val workers: WorkerTimes,
+    val objectives: List<ServiceLevelObjective>,
+    val workers: WorkerTimings,
     val store: StoreLimits,
     val cloudLimits: CloudLimits,
     val limits: ProcessLimits,
@@ -117,13 +117,13 @@
             try {
                 read(Json.parse(text))
             } catch (e: JsonProcessingException) {
-                throw SettingsError("the settings are not JSON: ${e.originalMessage}")
+                throw InvalidSettingsException("the settings are not JSON: ${e.originalMessage}")
             } catch (e: IOException) {
-                throw SettingsError("the settings are not JSON: ${e.message}")
+                throw InvalidSettingsException("the settings are not JSON: ${e.message}")
             }
 
         private fun read(root: JsonNode): Settings {
-            if (!root.isObject) throw SettingsError("the settings are not a JSON object")
+            if (!root.isObject) throw InvalidSettingsException("the settings are not a JSON object")
             val params = root.need("params", "")
             val workers = params.need("workers", "params.")
             val state = params.need("state", "params.")
@@ -143,7 +143,7 @@
                 teams = params.items("teams").map { team(it) }.associateBy { it.name },
                 objectives = params.items("objectives").map { objective(it) },
                 workers =
-                    WorkerTimes(
+                    WorkerTimings(
                         workers.positive("report_s", "params.workers."),
                         workers.positive("lease_s", "params.workers."),
                         workers.positive("cancel_s", "params.workers."),
@@ -156,9 +156,9 @@
         }
 
         private fun limits(node: JsonNode): ProcessLimits {
-            if (!node.isObject) throw SettingsError("params.limits must be an object")
+            if (!node.isObject) throw InvalidSettingsException("params.limits must be an object")
             val connections = node.within("max_connections", "params.limits.", CONNECTIONS)
-            if (connections != Math.rint(connections)) throw SettingsError("params.limits.max_connections must be a whole number")
+            if (connections != Math.rint(connections)) throw InvalidSettingsException("params.limits.max_connections must be a whole number")
             return ProcessLimits(
                 node.within("cpu_share", "params.limits.", CPU_SHARES),
                 node.within("memory_mb", "params.limits.", MEMORY_MB),
@@ -166,24 +166,24 @@
             )
         }
 
-        private fun gangTimes(workers: JsonNode): GangTimes? {
+        private fun gangTimes(workers: JsonNode): GangTimings? {
             if (!workers.hasNonNull("gang_wait_s") && !workers.hasNonNull("gang_peer_s")) return null
-            return GangTimes(workers.positive("gang_wait_s", "params.workers."), workers.positive("gang_peer_s", "params.workers."))
+            return GangTimings(workers.positive("gang_wait_s", "params.workers."), workers.positive("gang_peer_s", "params.workers."))
         }
 
         private fun storeLimits(state: JsonNode): StoreLimits {
             val next = state.path("next")
-            if (!next.isMissingNode && !next.isNull && !next.isObject) throw SettingsError("params.state.next must be an object")
+            if (!next.isMissingNode && !next.isNull && !next.isObject) throw InvalidSettingsException("params.state.next must be an object")
 
-            fun least(name: String): Double {
+            fun lowerOf(name: String): Double {
                 val now = state.positive(name, "params.state.")
                 return if (next.hasNonNull(name)) minOf(now, next.positive(name, "params.state.next.")) else now
             }
             return StoreLimits(
-                least("rps"),
-                least("write_rps"),
-                (least("value_kb") * BYTES_A_KB).toInt(),
-                least("txn_ops").toInt().coerceAtLeast(1),
+                lowerOf("rps"),
+                lowerOf("write_rps"),
+                (lowerOf("value_kb") * BYTES_A_KB).toInt(),
+                lowerOf("txn_ops").toInt().coerceAtLeast(1),
             )
         }
 
@@ -197,7 +197,7 @@
             )
 
         private fun objective(node: JsonNode) =
-            Objective(
+            ServiceLevelObjective(
                 node.path("kind").asText(""),
                 node.path("class").takeIf { it.isTextual }?.asText(),
                 node.path("within_s").takeIf { it.isNumber }?.asDouble(),
@@ -209,20 +209,20 @@
 private fun JsonNode.need(
     name: String,
     at: String,
-): JsonNode = get(name)?.takeIf { !it.isNull } ?: throw SettingsError("$at$name is missing")
+): JsonNode = get(name)?.takeIf { !it.isNull } ?: throw InvalidSettingsException("$at$name is missing")
 
 private fun JsonNode.text(
     name: String,
     at: String,
 ): String =
-    need(name, at).takeIf { it.isTextual && it.asText().isNotEmpty() }?.asText() ?: throw SettingsError("$at$name must be a non-empty text")
+    need(name, at).takeIf { it.isTextual && it.asText().isNotEmpty() }?.asText() ?: throw InvalidSettingsException("$at$name must be a non-empty text")
 
 private fun JsonNode.positive(
     name: String,
     at: String,
 ): Double =
     need(name, at).takeIf { it.isNumber && it.asDouble().isFinite() && it.asDouble() > 0 }?.asDouble()
-        ?: throw SettingsError("$at$name must be a number above 0")
+        ?: throw InvalidSettingsException("$at$name must be a number above 0")
 
 private fun JsonNode.within(
     name: String,
@@ -230,12 +230,12 @@
     range: ClosedFloatingPointRange<Double>,
 ): Double =
     need(name, at).takeIf { it.isNumber && it.asDouble() in range }?.asDouble()
-        ?: throw SettingsError("$at$name must be a number from ${range.start} to ${range.endInclusive}")
+        ?: throw InvalidSettingsException("$at$name must be a number from ${range.start} to ${range.endInclusive}")
 
 private fun JsonNode.items(name: String): List<JsonNode> {
     val node = get(name) ?: return emptyList()
     if (node.isNull) return emptyList()
-    if (!node.isArray) throw SettingsError("$name must be a list")
+    if (!node.isArray) throw InvalidSettingsException("$name must be a list")
     return node.toList()
 }
 
@@ -246,6 +246,6 @@
     val text = text(name, at)
     val port = text.substringAfterLast(':', "").toIntOrNull()
     val host = text.substringBeforeLast(':')
-    if (port == null || port !in 1..65535 || host.isEmpty()) throw SettingsError("$at$name must be an address and a port, not \"$text\"")
+    if (port == null || port !in 1..65535 || host.isEmpty()) throw InvalidSettingsException("$at$name must be an address and a port, not \"$text\"")
     return Endpoint(host, port)
 }
--- a/src/main/kotlin/burlridge/worker/Commands.kt
+++ b/src/main/kotlin/burlridge/worker/CommandDispatcher.kt
@@ -7,26 +7,26 @@
 import burlridge.core.CallOutcome
 import burlridge.core.StepContext
 import burlridge.leadership.Leadership
-import burlridge.peer.Peers
+import burlridge.peer.PeerRequests
 import burlridge.settings.Endpoint
 
 /** Commands straight to the workers, and what becomes of them. */
-internal class Commands(
+internal class CommandDispatcher(
     private val context: StepContext,
     private val leadership: Leadership,
     private val registry: JobRegistry,
-    private val peers: Peers,
+    private val peers: PeerRequests,
     private val reachability: ZoneReachability,
-    private val reconciler: ReportReconciler,
-    private val events: Events,
+    private val reconciler: TaskReconciler,
+    private val listener: CommandListener,
 ) {
-    internal interface Events {
+    internal interface CommandListener {
         fun knows(machine: Machine): Boolean
 
         /** The answer to a command is a report. */
-        fun heard(
+        fun onHeartbeat(
             machine: Machine,
-            report: WorkerReport,
+            report: Heartbeat,
         )
 
         fun nextToken(): Long
@@ -36,7 +36,7 @@
             reason: String,
         )
 
-        fun withdrawUnsent(
+        fun releaseUndispatched(
             machine: Machine,
             reason: String,
         )
@@ -64,7 +64,7 @@
 
     /** While others may have been elected only what can never be wrong goes out: the stops of cancelled jobs. */
     private fun mayCommand(machine: Machine): Boolean =
-        !machine.commanding && context.now >= machine.nextCommandAt && !machine.lapsed && (leadership.holdsLease || leadership.answering)
+        !machine.commandInFlight && context.now >= machine.nextCommandAt && !machine.leaseExpired && (leadership.holdsLease || leadership.mayAnswerWorkers)
 
     private fun isPending(allocation: Allocation): Boolean =
         allocation.phase <= AllocationPhase.DISPATCHED || allocation.stopGraceS != null || reconciler.isCancelled(allocation)
@@ -89,7 +89,7 @@
         )
 
     private fun startsOf(machine: Machine): List<Allocation> =
-        if (machine.hears) {
+        if (machine.isResponsive) {
             registry.allocations.byMachine[machine.id]
                 ?.values
                 ?.filter { startable(it, machine) }
@@ -102,7 +102,7 @@
         allocation: Allocation,
         machine: Machine,
     ): Boolean =
-        allocation.phase == AllocationPhase.COMMITTED && allocation.session == machine.session && allocation.stopGraceS == null &&
+        allocation.phase == AllocationPhase.COMMITTED && allocation.agentEpoch == machine.agentEpoch && allocation.stopGraceS == null &&
             machine.drainReason != DrainReason.OPERATOR &&
             registry.jobs[allocation.job]?.let { it.ending != JobState.CANCELLED } == true
 
@@ -125,18 +125,18 @@
         starts: List<Allocation>,
         stops: List<Allocation> = emptyList(),
     ) {
-        machine.commanding = true
+        machine.commandInFlight = true
         context.count("worker.commands")
         val token = machine.token
-        val session = machine.session
-        val body = WorkerCommandCodec.request(token, session, commands)
+        val agentEpoch = machine.agentEpoch
+        val body = WorkerCommandCodec.request(token, agentEpoch, commands)
         val term = leadership.term
         if (starts.isNotEmpty()) context.count(STARTS, starts.size)
         deliver(machine, address, body, onlyStops = starts.isEmpty() && stops.isNotEmpty()) { outcome ->
-            if (!leadership.leading || leadership.term != term || !events.knows(machine)) return@deliver
-            machine.commanding = false
+            if (!leadership.isLeader || leadership.term != term || !listener.knows(machine)) return@deliver
+            machine.commandInFlight = false
             val answer = outcome as? CallOutcome.Responded
-            val report = answer?.let { WorkerReport.decode(it.body) }
+            val report = answer?.let { Heartbeat.decode(it.body) }
             when {
                 report != null && answer.status == EXECUTED -> {
                     stops.forEach { it.stopTold = true }
@@ -145,13 +145,13 @@
 
                 report != null && answer.status == FENCED -> {
                     // Nothing was executed: what was to start has still to be sent.
-                    unsend(starts)
+                    revertToCommitted(starts)
                     machine.nextCommandAt = context.now + RETRY_S
                     answered(machine, report)
                 }
 
                 outcome is CallOutcome.NotSent || answer?.status == MALFORMED -> {
-                    unsend(starts)
+                    revertToCommitted(starts)
                     unreached(machine)
                 }
 
@@ -164,14 +164,14 @@
 
     private fun answered(
         machine: Machine,
-        report: WorkerReport,
+        report: Heartbeat,
     ) {
         machine.refusals = 0
-        events.heard(machine, report)
-        if (machine.seenToken shr Workers.TERM_SHIFT > leadership.term) {
+        listener.onHeartbeat(machine, report)
+        if (machine.seenToken shr WorkerManager.TERM_SHIFT > leadership.term) {
             return leadership.stepDown("worker ${machine.id} has seen a higher token")
         }
-        events.changed()
+        listener.changed()
         // What was claimed while this was under way need not wait for the next sweep: a gang waits for its last task.
         if (startsOf(machine).isNotEmpty()) command(machine)
     }
@@ -181,9 +181,9 @@
         if (machine.refusals < REFUSALS_TO_LEAVE) return
         // It may report and still not hear: what has not left goes elsewhere, and nothing more comes here before
         // its worker has seen a token that only an answer of ours can have brought.
-        machine.token = events.nextToken()
+        machine.token = listener.nextToken()
         machine.requiredToken = machine.token
-        events.withdrawUnsent(machine, "never sent, and its machine cannot be reached")
+        listener.releaseUndispatched(machine, "never sent, and its machine cannot be reached")
     }
 
     /** Possibly executed, or held back to be executed later: only a higher token seen by the worker settles it. */
@@ -193,7 +193,7 @@
     ) {
         context.infoRateLimited("commands of unknown outcome", "command to ${machine.id} has an unknown outcome; fencing it")
         machine.unsettledToken = maxOf(machine.unsettledToken, sentUnder)
-        machine.token = events.nextToken()
+        machine.token = listener.nextToken()
         machine.requiredToken = machine.token
         retryLater(machine)
     }
@@ -216,12 +216,12 @@
                 onResult(outcome)
             }
         } else {
-            peers.ask(relayedBy, "POST", Relay.COMMAND + address, body, timeoutS * 2, sendDeadline) { answer ->
+            peers.forward(relayedBy, "POST", HeartbeatRelay.COMMAND + address, body, timeoutS * 2, sendDeadline) { answer ->
                 onResult(
                     when {
                         answer == null -> CallOutcome.Unknown
-                        answer.status == Relay.NOT_SENT -> CallOutcome.NotSent
-                        answer.status == Relay.UNKNOWN -> CallOutcome.Unknown
+                        answer.status == HeartbeatRelay.NOT_SENT -> CallOutcome.NotSent
+                        answer.status == HeartbeatRelay.UNKNOWN -> CallOutcome.Unknown
                         else -> CallOutcome.Responded(answer.status, answer.body)
                     },
                 )
@@ -233,7 +233,7 @@
     fun ask(machine: Machine) {
         val address = machine.address ?: return
         val wanted = machine.up || !registry.allocations.byMachine[machine.id].isNullOrEmpty()
-        if (!wanted || machine.commanding || machine.abandoned || context.now < machine.nextCommandAt || !leadership.holdsLease) return
+        if (!wanted || machine.commandInFlight || machine.abandoned || context.now < machine.nextCommandAt || !leadership.holdsLease) return
         if (context.now > machine.silentSince + times.reportS * OVERDUE_REPORTS) send(machine, address, emptyList(), emptyList())
     }
 
@@ -241,10 +241,10 @@
     fun probe(machines: Collection<Machine>) {
         if (context.now < probeAt) return
         probeAt = context.now + PROBE_S
-        for (zone in reachability.left()) {
+        for (zone in reachability.abandonedZones()) {
             val there =
                 machines.filter {
-                    it.zone == zone && it.up && !it.lapsed && it.relayedBy == null && it.address != null && !it.commanding && !it.abandoned
+                    it.zone == zone && it.up && !it.leaseExpired && it.relayedBy == null && it.address != null && !it.commandInFlight && !it.abandoned
                 }
             val machine = there.randomOrNull(context.random) ?: continue
             send(machine, machine.address ?: continue, emptyList(), emptyList())
@@ -256,12 +256,12 @@
         machine.nextCommandAt = context.now + RETRY_S * minOf(machine.refusals, 8)
     }
 
-    private fun unsend(starts: List<Allocation>) {
+    private fun revertToCommitted(starts: List<Allocation>) {
         for (allocation in starts) {
             if (allocation.phase != AllocationPhase.DISPATCHED) continue
             allocation.phase = AllocationPhase.COMMITTED
             // Its gang's attempt was over before it could begin.
-            if (allocation.stopGraceS != null) events.lose(allocation, "never sent, and its gang is gone")
+            if (allocation.stopGraceS != null) listener.lose(allocation, "never sent, and its gang is gone")
         }
     }
 
--- a/src/main/kotlin/burlridge/worker/WorkerReport.kt
+++ b/src/main/kotlin/burlridge/worker/Heartbeat.kt
@@ -11,7 +11,7 @@
 import com.fasterxml.jackson.core.JsonParser
 
 /** A task as a worker reports it. */
-internal data class ReportedTask(
+internal data class TaskStatus(
     /** The task's name, `<job>/<index>`. */
     val task: String,
     val attempt: Int,
@@ -35,42 +35,42 @@
 ): String = "$task@$attempt"
 
 /** What a worker says of its machine and of all tasks on it. Fields that are absent or of another type have their default. */
-internal data class WorkerReport(
+internal data class Heartbeat(
     val machine: String,
     val address: Endpoint? = null,
     val type: String? = null,
     val zone: String? = null,
     val spot: Boolean? = null,
-    val session: Long = 0,
+    val agentEpoch: Long = 0,
     /** The number of the message within its session; a larger one is newer. */
     val sequence: Long = 0,
     /** The highest fencing token that the worker has seen. */
     val token: Long = 0,
     /** Seconds until the cloud takes the machine back; null without such a notice. */
     val noticeS: Double? = null,
-    val tasks: Map<String, ReportedTask> = emptyMap(),
+    val tasks: Map<String, TaskStatus> = emptyMap(),
 ) {
     internal companion object {
         /**
          * Reads [body] as it is parsed, without a tree: reports are most of what a leader reads. Null for what is not one JSON object
          * that names a machine.
          */
-        fun decode(body: String): WorkerReport? = JsonStream.decodeObject(body, ::readReport)
+        fun decode(body: String): Heartbeat? = JsonStream.decodeObject(body, ::readReport)
     }
 }
 
 /** Of a field that stands twice the last one counts. */
-private fun readReport(parser: JsonParser): WorkerReport? {
+private fun readReport(parser: JsonParser): Heartbeat? {
     var machine = ""
     var address: Endpoint? = null
     var type: String? = null
     var zone: String? = null
     var spot: Boolean? = null
-    var session = 0L
+    var agentEpoch = 0L
     var sequence = 0L
     var token = 0L
     var noticeS: Double? = null
-    var tasks: Map<String, ReportedTask> = emptyMap()
+    var tasks: Map<String, TaskStatus> = emptyMap()
     parser.eachField {
         when (it) {
             "drover" -> machine = parser.textOrNull().orEmpty()
@@ -78,7 +78,7 @@
             "breed" -> type = parser.textOrNull()
             "yard" -> zone = parser.textOrNull()
             "loaners" -> spot = parser.flagOrNull()
-            "stint" -> session = parser.wholeOrNull() ?: 0L
+            "stint" -> agentEpoch = parser.wholeOrNull() ?: 0L
             "tally" -> sequence = parser.wholeOrNull() ?: 0L
             "baton" -> token = parser.wholeOrNull() ?: 0L
             "recallS" -> noticeS = parser.numberOrNull()
@@ -86,16 +86,16 @@
             else -> parser.skipChildren()
         }
     }
-    return WorkerReport(machine, address, type, zone, spot, session, sequence, token, noticeS, tasks).takeIf { machine.isNotEmpty() }
+    return Heartbeat(machine, address, type, zone, spot, agentEpoch, sequence, token, noticeS, tasks).takeIf { machine.isNotEmpty() }
 }
 
-private fun readTasks(parser: JsonParser): Map<String, ReportedTask> {
-    val found = LinkedHashMap<String, ReportedTask>()
+private fun readTasks(parser: JsonParser): Map<String, TaskStatus> {
+    val found = LinkedHashMap<String, TaskStatus>()
     parser.eachObject { readTask(parser).let { found[it.key] = it } }
     return found
 }
 
-private fun readTask(parser: JsonParser): ReportedTask {
+private fun readTask(parser: JsonParser): TaskStatus {
     var task = ""
     var attempt = 0
     var state = ""
@@ -111,5 +111,5 @@
             else -> parser.skipChildren()
         }
     }
-    return ReportedTask(task, attempt, state, exitReason, saved)
+    return TaskStatus(task, attempt, state, exitReason, saved)
 }
--- a/src/main/kotlin/burlridge/worker/Relay.kt
+++ b/src/main/kotlin/burlridge/worker/HeartbeatRelay.kt
@@ -4,7 +4,7 @@
 import burlridge.core.HttpResponse
 import burlridge.core.StepContext
 import burlridge.json.Json
-import burlridge.peer.Peers
+import burlridge.peer.PeerRequests
 import burlridge.settings.Endpoint
 
 /**
@@ -12,9 +12,9 @@
  * reach it, and would lose its lease and all its tasks on the way between us. Its reports are passed to the leader over the
  * peer link, and the leader's answers, token and all, back to it.
  */
-internal class Relay(
+internal class HeartbeatRelay(
     private val context: StepContext,
-    private val peers: Peers,
+    private val peers: PeerRequests,
 ) {
     private class Seen(
         val leader: String,
@@ -31,17 +31,17 @@
         onResult: (HttpResponse) -> Unit,
     ) {
         if (leader == null) return onResult(redirect(null))
-        val report = WorkerReport.decode(body) ?: return onResult(HttpResponse.error(400, "not a report"))
+        val report = Heartbeat.decode(body) ?: return onResult(HttpResponse.error(400, "not a report"))
         val worker = report.machine
         val known = seen[worker]?.takeIf { it.leader == leader }
         val stuck = known != null && (relaying(known) || context.now < known.sentAwayAt + times.leaseS / 2)
         // Where the leader itself says that it hears nobody there, no worker need find that out; but one that has been relayed
         // for a lease tries the way once.
-        val apart = known?.relayedSince == null && peers.unheard(leader, report.zone.orEmpty())
+        val apart = known?.relayedSince == null && peers.leaderMissesZone(leader, report.zone.orEmpty())
         val before = if (known != null && stuck) known else Seen(leader, context.now).also { seen[worker] = it }
         if (!stuck && !apart) return onResult(redirect(leader))
         before.relayedSince = before.relayedSince ?: context.now
-        peers.ask(leader, "POST", "/agent/beat", body, times.reportS / 2) { answer -> onResult(answer ?: redirect(leader)) }
+        peers.forward(leader, "POST", "/agent/beat", body, times.reportS / 2) { answer -> onResult(answer ?: redirect(leader)) }
     }
 
     /** A command of the leader for a worker that only this member reaches; fenced by the leader's token like any other. */
--- a/src/main/kotlin/burlridge/worker/LastReport.kt
+++ b/src/main/kotlin/burlridge/worker/LastHeartbeat.kt
@@ -4,7 +4,7 @@
  * A report that was read in full, by its words before and after the number of the message. One that differs in that number alone says
  * nothing new, and most do: it need not be read again.
  */
-internal class LastReport private constructor(
+internal class LastHeartbeat private constructor(
     private val text: String,
     private val numberAt: Int,
     private val numberEnd: Int,
@@ -26,10 +26,10 @@
         fun of(
             body: String,
             number: Long,
-        ): LastReport? {
+        ): LastHeartbeat? {
             val at = body.indexOf(KEY).takeIf { it >= 0 }?.plus(KEY.length) ?: return null
             val end = endOfNumber(body, at)
-            return LastReport(body, at, end).takeIf { body.substring(at, end) == number.toString() }
+            return LastHeartbeat(body, at, end).takeIf { body.substring(at, end) == number.toString() }
         }
 
         private fun endOfNumber(
--- a/src/main/kotlin/burlridge/worker/Machine.kt
+++ b/src/main/kotlin/burlridge/worker/Machine.kt
@@ -34,13 +34,13 @@
 
     // From the worker.
     var address: Endpoint? = null
-    var session: Long = 0
-    var tally: Long = -1
+    var agentEpoch: Long = 0
+    var sequence: Long = -1
     var seenToken: Long = 0
-    var reported: Map<String, ReportedTask> = emptyMap()
+    var reported: Map<String, TaskStatus> = emptyMap()
     var orphans: Set<String> = emptySet()
-    var lastReportAt: Double = -1e9
-    var recallAt: Double? = null
+    var lastMessageAt: Double = -1e9
+    var reclaimAt: Double? = null
 
     /** When this leader first heard its worker. */
     var upSince: Double = 0.0
@@ -52,7 +52,7 @@
     var answeredAt: Double = 0.0
 
     /** What it last reported by itself, to tell a report that says nothing new. */
-    var lastReport: LastReport? = null
+    var lastHeartbeat: LastHeartbeat? = null
 
     /** When it last reported by itself; answers to commands renew no lease. */
     var heartbeatAt: Double = -1e9
@@ -67,11 +67,11 @@
     var requiredToken: Long = 0
 
     /** Since when it has reported without having seen [requiredToken]; null while it hears. */
-    var deafSince: Double? = null
+    var unresponsiveSince: Double? = null
 
     /** The highest token under which a start was sent to it. */
     var lastStartToken: Long = 0
-    var commanding: Boolean = false
+    var commandInFlight: Boolean = false
     var nextCommandAt: Double = 0.0
     var refusals: Int = 0
     var notBefore: Double = 0.0
@@ -84,7 +84,7 @@
     /** Given up for dead: it goes back whatever was on it, and the cloud's answer makes that certain. */
     var dead: Boolean = false
     var returning: Boolean = false
-    var lapsed: Boolean = false
+    var leaseExpired: Boolean = false
 
     /** The member through which its last report came, where it cannot reach the leader itself; commands go the same way. */
     var relayedBy: String? = null
@@ -93,20 +93,20 @@
     val images: LinkedHashMap<String, Double> = LinkedHashMap()
 
     /** Since when nothing has been heard of it. */
-    val silentSince: Double get() = maxOf(lastReportAt, knownSince)
+    val silentSince: Double get() = maxOf(lastMessageAt, knownSince)
 
-    val up: Boolean get() = session > 0
+    val up: Boolean get() = agentEpoch > 0
 
     val draining: Boolean get() = drainReason != null
 
     /** Leaving for good, so that no word from it is waited for; one that operators drain is asked like any other. */
     val abandoned: Boolean get() = draining && drainReason != DrainReason.OPERATOR
 
-    val hears: Boolean get() = seenToken >= requiredToken
+    val isResponsive: Boolean get() = seenToken >= requiredToken
 
     /** Takes over what [report] says of the machine itself and of its tasks; its order among reports is the caller's to judge. */
     fun update(
-        report: WorkerReport,
+        report: Heartbeat,
         now: Double,
     ) {
         type = report.type ?: type
@@ -114,7 +114,7 @@
         spot = report.spot ?: spot
         address = report.address ?: address
         starting = false
-        recallAt = report.noticeS?.let { now + it }
+        reclaimAt = report.noticeS?.let { now + it }
         reported = report.tasks
     }
 }
--- a/src/main/kotlin/burlridge/worker/Slowness.kt
+++ b/src/main/kotlin/burlridge/worker/StragglerDetector.kt
@@ -5,7 +5,7 @@
 import burlridge.allocation.JobRegistry
 
 /** Compares how long tasks run on a machine with others of the same jobs. */
-internal class Slowness(
+internal class StragglerDetector(
     private val registry: JobRegistry,
 ) {
     fun running(machine: Machine): List<Allocation> =
@@ -19,7 +19,7 @@
         val times =
             running(machine).mapNotNull { allocation ->
                 val usual = registry.jobs[allocation.job]?.usualRunS ?: return@mapNotNull null
-                allocation.startedAt?.let { (machine.lastReportAt - it) / usual.coerceAtLeast(1.0) }
+                allocation.startedAt?.let { (machine.lastMessageAt - it) / usual.coerceAtLeast(1.0) }
             }
         val overdue = times.count { it > SLOW }
         return (overdue >= 2 && overdue * 2 > times.size) || (overdue > 0 && overdue == times.size && times.max() > VERY_SLOW)
--- a/src/main/kotlin/burlridge/worker/MachineDrain.kt
+++ b/src/main/kotlin/burlridge/worker/TaskEviction.kt
@@ -8,37 +8,37 @@
 import burlridge.core.StepContext
 
 /** Tasks are taken off machines that are slow or that the cloud takes back. */
-internal class MachineDrain(
+internal class TaskEviction(
     private val context: StepContext,
     private val registry: JobRegistry,
-    private val workers: Workers,
+    private val workers: WorkerManager,
 ) {
-    private val slowness = Slowness(registry)
+    private val stragglers = StragglerDetector(registry)
     private var slowAt = 0.0
 
     /**
      * A machine whose tasks take much longer than others of the same jobs is given up: what runs there starts again elsewhere
      * sooner than it would end. Not where many seem slow at once: then it is our measure that is wrong.
      */
-    fun leaveSlow(machines: Collection<Machine>) {
+    fun evictStragglers(machines: Collection<Machine>) {
         if (context.now < slowAt) return
         slowAt = context.now + context.settings.workers.reportS / 2
-        val up = machines.filter { it.up && !it.lapsed && !it.draining && !workers.silent(it) }
-        val slow = up.filter { slowness.isSlow(it) }
+        val up = machines.filter { it.up && !it.leaseExpired && !it.draining && !workers.isSilent(it) }
+        val slow = up.filter { stragglers.isSlow(it) }
         if (slow.size > up.size * MOST_SLOW) return
         for (machine in slow) {
             context.info(
-                "machine ${machine.id} is slow: its tasks take over ${Slowness.SLOW} times as long as others of their jobs; leaving it",
+                "machine ${machine.id} is slow: its tasks take over ${StragglerDetector.SLOW} times as long as others of their jobs; leaving it",
             )
-            leave(machine)
+            evict(machine)
             workers.onSlow(machine)
         }
     }
 
     /** Takes a slow [machine] out of service, and stops what is seen to run there. */
-    fun leave(machine: Machine) {
+    fun evict(machine: Machine) {
         machine.drainReason = DrainReason.SLOW
-        slowness.running(machine).forEach { allocation ->
+        stragglers.running(machine).forEach { allocation ->
             val job = registry.jobs[allocation.job] ?: return@forEach
             val spec = job.spec
             when {
@@ -85,7 +85,7 @@
                 .distinct()
         if (state == GangState.RUNNING) {
             if (mustSave && job.spec.checkpointS <= 0) return
-            if (!on.all { it.up && it.hears && !it.lapsed && it.refusals == 0 && !workers.silent(it) && workers.reaches(it) }) return
+            if (!on.all { it.up && it.isResponsive && !it.leaseExpired && it.refusals == 0 && !workers.isSilent(it) && workers.reaches(it) }) return
         }
         context.info("gang ${job.spec.id} run ${job.highestAttempt} is stopped: $reason")
         GangRules.stop(job).filter { it.phase == AllocationPhase.COMMITTED }.forEach { workers.lose(it, reason) }
--- a/src/main/kotlin/burlridge/worker/TaskOutcomes.kt
+++ b/src/main/kotlin/burlridge/worker/TaskOutcomes.kt
@@ -24,7 +24,7 @@
     fun seen(
         machine: Machine,
         allocation: Allocation,
-        report: ReportedTask,
+        report: TaskStatus,
     ) {
         val before = allocation.phase
         allocation.phase =
@@ -85,7 +85,7 @@
     fun exited(
         machine: Machine,
         allocation: Allocation,
-        report: ReportedTask,
+        report: TaskStatus,
     ) {
         val job = registry.jobs[allocation.job]
         registry.allocations.release(allocation, lost = report.exitReason != "done")
--- a/src/main/kotlin/burlridge/worker/ReportReconciler.kt
+++ b/src/main/kotlin/burlridge/worker/TaskReconciler.kt
@@ -5,7 +5,7 @@
 import burlridge.allocation.JobState
 
 /** Compares what a machine reports with what is claimed on it, and says what its worker has to be told. */
-internal class ReportReconciler(
+internal class TaskReconciler(
     private val registry: JobRegistry,
     private val nextToken: () -> Long,
 ) {
@@ -14,7 +14,7 @@
 
     private fun stop(
         machine: Machine,
-        report: ReportedTask,
+        report: TaskStatus,
     ): WorkerCommand? {
         val allocation = allocationOf(machine, report)
         if (allocation == null || isCancelled(allocation)) return WorkerCommand.Stop(report.task, report.attempt, graceS = 0.0)
@@ -26,7 +26,7 @@
 
     private fun allocationOf(
         machine: Machine,
-        report: ReportedTask,
+        report: TaskStatus,
     ): Allocation? =
         registry.allocations.byMachine[machine.id]
             ?.get(report.task)
@@ -34,13 +34,13 @@
 
     /** Removals of ended tasks whose end is durable, and of which no start can still be on its way. */
     fun removals(machine: Machine): List<WorkerCommand> {
-        if (machine.commanding || machine.seenToken <= machine.unsettledToken) return emptyList()
+        if (machine.commandInFlight || machine.seenToken <= machine.unsettledToken) return emptyList()
         return machine.reported.values.mapNotNull { if (it.exited) removal(machine, it) else null }
     }
 
     private fun removal(
         machine: Machine,
-        report: ReportedTask,
+        report: TaskStatus,
     ): WorkerCommand? {
         val jobId = report.task.substringBefore('/')
         val index = report.task.substringAfter('/').toIntOrNull() ?: return null
--- a/src/main/kotlin/burlridge/worker/WorkerCommand.kt
+++ b/src/main/kotlin/burlridge/worker/WorkerCommand.kt
@@ -48,15 +48,15 @@
             }
         }
 
-    /** A request to a worker, valid for [session] of it alone. */
+    /** A request to a worker, valid for [agentEpoch] of it alone. */
     fun request(
         token: Long,
-        session: Long,
+        agentEpoch: Long,
         commands: List<WorkerCommand>,
     ): String =
         write {
             it.writeNumberField("baton", token)
-            it.writeNumberField("stint", session)
+            it.writeNumberField("stint", agentEpoch)
             it.commands(commands)
         }
 
--- a/src/main/kotlin/burlridge/worker/Workers.kt
+++ b/src/main/kotlin/burlridge/worker/WorkerManager.kt
@@ -7,23 +7,23 @@
 import burlridge.core.HttpResponse
 import burlridge.core.StepContext
 import burlridge.leadership.Leadership
-import burlridge.peer.Peers
+import burlridge.peer.PeerRequests
 import it.unimi.dsi.fastutil.objects.Object2IntOpenHashMap
 
 /** Of the machines that may run something, how many are up and have heard of the leader's term. */
-internal data class AnsweredWorkers(
+internal data class WorkerResponseCount(
     val answered: Int,
     val known: Int,
 )
 
 /** Reports in, commands out; says when a claimed task is known to be gone from its machine. */
-internal class Workers(
+internal class WorkerManager(
     private val context: StepContext,
     private val leadership: Leadership,
     private val registry: JobRegistry,
-    private val peers: Peers,
+    private val peers: PeerRequests,
     private val onChange: () -> Unit,
-) : Commands.Events {
+) : CommandDispatcher.CommandListener {
     /** Told of each machine that is left for being slow. */
     var onSlow: (Machine) -> Unit = {}
 
@@ -36,15 +36,15 @@
     var loaded: Boolean = false
     private val reachability = ZoneReachability(context)
     val outcomes: TaskOutcomes = TaskOutcomes(context, registry)
-    private val reconciler = ReportReconciler(registry) { nextToken() }
-    private val commands = Commands(context, leadership, registry, peers, reachability, reconciler, this)
-    private val draining = MachineDrain(context, registry, this)
+    private val reconciler = TaskReconciler(registry) { nextToken() }
+    private val commands = CommandDispatcher(context, leadership, registry, peers, reachability, reconciler, this)
+    private val draining = TaskEviction(context, registry, this)
 
-    fun reaches(machine: Machine): Boolean = machine.relayedBy != null || !reachability.isLeft(machine.zone)
+    fun reaches(machine: Machine): Boolean = machine.relayedBy != null || !reachability.isAbandoned(machine.zone)
 
-    fun hears(zone: String): Boolean = reachability.hears(zone)
+    fun hearsZone(zone: String): Boolean = reachability.hearsZone(zone)
 
-    fun unheardZones(): List<String> = reachability.unheard(machines.values)
+    fun zonesWithoutHeartbeats(): List<String> = reachability.zonesWithoutHeartbeats(machines.values)
 
     /** How many machines run each task without a claim of ours; until it is halted such a task blocks any other start of it. */
     private val orphanCount = Object2IntOpenHashMap<String>()
@@ -93,9 +93,9 @@
             }
         }
 
-    fun answered(): AnsweredWorkers {
-        val known = machines.values.filter { !it.starting && !it.dead && !it.lapsed }
-        return AnsweredWorkers(known.count { it.up && it.hears }, known.size)
+    fun answered(): WorkerResponseCount {
+        val known = machines.values.filter { !it.starting && !it.dead && !it.leaseExpired }
+        return WorkerResponseCount(known.count { it.up && it.isResponsive }, known.size)
     }
 
     // --- reports
@@ -106,16 +106,16 @@
         relayedBy: String?,
     ): HttpResponse {
         context.count("worker.reports")
-        val known = LastReport.nameIn(body)?.let { machines[it] }
-        val again = known?.lastReport?.numberOf(body)
+        val known = LastHeartbeat.nameIn(body)?.let { machines[it] }
+        val again = known?.lastHeartbeat?.numberOf(body)
         if (known != null && again != null) return answer(known, relayedBy, takeAgain(known, again))
         context.count("worker.reports_read")
-        val report = WorkerReport.decode(body) ?: return HttpResponse.error(400, "not a report")
+        val report = Heartbeat.decode(body) ?: return HttpResponse.error(400, "not a report")
         val id = report.machine
         if (id in returned) return HttpResponse.unavailable("this machine has been returned")
         val machine = machine(id)
         val fresh = take(machine, report)
-        if (fresh) machine.lastReport = LastReport.of(body, machine.tally)
+        if (fresh) machine.lastHeartbeat = LastHeartbeat.of(body, machine.sequence)
         return answer(machine, relayedBy, fresh)
     }
 
@@ -124,10 +124,10 @@
         machine: Machine,
         number: Long,
     ): Boolean {
-        if (number <= machine.tally) return false
-        machine.tally = number
-        machine.lastReportAt = context.now
-        machine.deafSince = if (machine.hears) null else machine.deafSince ?: context.now
+        if (number <= machine.sequence) return false
+        machine.sequence = number
+        machine.lastMessageAt = context.now
+        machine.unresponsiveSince = if (machine.isResponsive) null else machine.unresponsiveSince ?: context.now
         return true
     }
 
@@ -138,7 +138,7 @@
     ): HttpResponse {
         if (fresh) {
             machine.relayedBy = relayedBy
-            if (relayedBy == null) reachability.heard(machine.zone)
+            if (relayedBy == null) reachability.onHeartbeat(machine.zone)
         }
         if (machine.seenToken shr TERM_SHIFT > leadership.term) {
             leadership.stepDown("worker ${machine.id} has seen a higher token")
@@ -148,7 +148,7 @@
         machine.answeredAt = context.now
         if (fresh) {
             machine.heartbeatAt = context.now
-            machine.lapsed = false
+            machine.leaseExpired = false
         }
         val due = if (fresh && loaded) reconcileAndAnswer(machine) else emptyList()
         return HttpResponse(200, WorkerCommandCodec.answer(machine.token, due), sendDeadline = leadership.responseDeadline)
@@ -165,34 +165,34 @@
     /** Takes over what a report says; false when it is older than what is known. */
     private fun take(
         machine: Machine,
-        report: WorkerReport,
+        report: Heartbeat,
     ): Boolean {
-        val session = report.session
-        val tally = report.sequence
-        if (session < machine.session || (session == machine.session && tally <= machine.tally)) return false
-        if (session != machine.session && machine.up && loaded) loseAll(machine, "its worker began session $session", session)
-        if (machine.tally < 0) {
+        val agentEpoch = report.agentEpoch
+        val sequence = report.sequence
+        if (agentEpoch < machine.agentEpoch || (agentEpoch == machine.agentEpoch && sequence <= machine.sequence)) return false
+        if (agentEpoch != machine.agentEpoch && machine.up && loaded) loseAll(machine, "its worker began session $agentEpoch", agentEpoch)
+        if (machine.sequence < 0) {
             machine.upSince = context.now
-        } else if (session != machine.session) {
+        } else if (agentEpoch != machine.agentEpoch) {
             machine.sessionBeganAt = context.now
         }
-        if (session != machine.session || machine.tally < 0) {
+        if (agentEpoch != machine.agentEpoch || machine.sequence < 0) {
             // Its lease began with the session, at the latest now. Only a new session ends the lapse of the one before: an answer to a
             // command renews no lease, and what started after it would be taken for gone while it runs.
-            machine.lapsed = false
+            machine.leaseExpired = false
             machine.answeredAt = maxOf(machine.answeredAt, context.now)
         }
-        machine.session = session
-        machine.tally = tally
+        machine.agentEpoch = agentEpoch
+        machine.sequence = sequence
         val fencedBefore = fenced(machine)
         machine.seenToken = maxOf(machine.seenToken, report.token)
         // Until it has seen our term an earlier leader's answer may have renewed its lease.
         if (!fencedBefore) machine.answeredAt = maxOf(machine.answeredAt, context.now)
-        machine.lastReportAt = context.now
-        machine.deafSince = if (machine.hears) null else machine.deafSince ?: context.now
-        val recalled = machine.recallAt
+        machine.lastMessageAt = context.now
+        machine.unresponsiveSince = if (machine.isResponsive) null else machine.unresponsiveSince ?: context.now
+        val recalled = machine.reclaimAt
         machine.update(report, context.now)
-        if (recalled == null && machine.recallAt != null) {
+        if (recalled == null && machine.reclaimAt != null) {
             context.info("machine ${machine.id}: the cloud takes it back in ${report.noticeS} s")
         }
         return true
@@ -205,7 +205,7 @@
                 ?.toList()
                 .orEmpty()
         for (allocation in allocations) {
-            if (allocation.session < machine.session) {
+            if (allocation.agentEpoch < machine.agentEpoch) {
                 lose(allocation, "its worker's session is over")
                 continue
             }
@@ -239,7 +239,7 @@
     ): Boolean =
         when (allocation.phase) {
             AllocationPhase.COMMITTING, AllocationPhase.COMMITTED, AllocationPhase.ENDED -> false
-            else -> !machine.commanding && machine.seenToken > machine.unsettledToken
+            else -> !machine.commandInFlight && machine.seenToken > machine.unsettledToken
         }
 
     override fun lose(
@@ -269,19 +269,19 @@
             ?.values
             ?.toList()
             .orEmpty()
-            .filter { it.session < below }
+            .filter { it.agentEpoch < below }
             .forEach { lose(it, reason) }
     }
 
     override fun knows(machine: Machine): Boolean = machines[machine.id] === machine
 
-    override fun heard(
+    override fun onHeartbeat(
         machine: Machine,
-        report: WorkerReport,
+        report: Heartbeat,
     ) {
         if (!take(machine, report)) return
         // What it says next may be what it said before this.
-        machine.lastReport = null
+        machine.lastHeartbeat = null
         if (loaded) reconcile(machine)
     }
 
@@ -303,19 +303,19 @@
         if (context.now < sweepAt) return
         sweepAt = context.now + times.reportS / SWEEPS_A_REPORT
         commands.probe(machines.values)
-        if (loaded) draining.leaveSlow(machines.values)
+        if (loaded) draining.evictStragglers(machines.values)
         for (machine in machines.values.toList()) {
-            if (!machine.lapsed && context.now > lapsesAt(machine)) lapse(machine)
-            if (loaded && (silent(machine) || mute(machine))) withdrawUnsent(machine, "never sent, and its machine is silent")
-            if (loaded && !machine.hears) withdrawUnsent(machine, "never sent, and its machine does not hear")
-            if (machine.recallAt != null) draining.drain(machine)
+            if (!machine.leaseExpired && context.now > leaseExpiresAt(machine)) expireLease(machine)
+            if (loaded && (isSilent(machine) || isNotReporting(machine))) releaseUndispatched(machine, "never sent, and its machine is silent")
+            if (loaded && !machine.isResponsive) releaseUndispatched(machine, "never sent, and its machine does not hear")
+            if (machine.reclaimAt != null) draining.drain(machine)
             command(machine)
-            if (loaded && !machine.lapsed) commands.ask(machine)
+            if (loaded && !machine.leaseExpired) commands.ask(machine)
         }
     }
 
     /** Leaves a machine that was found slow, here or by an earlier leader. */
-    fun leaveSlow(machine: Machine) = draining.leave(machine)
+    fun evictStraggler(machine: Machine) = draining.evict(machine)
 
     /** Stops all tasks of a gang in order, where that can be done now. */
     fun stopGang(
@@ -325,7 +325,7 @@
     ) = draining.stopGang(job, reason, mustSave)
 
     /** A claim that never left and whose machine has gone quiet is taken back and placed elsewhere. */
-    override fun withdrawUnsent(
+    override fun releaseUndispatched(
         machine: Machine,
         reason: String,
     ) {
@@ -337,27 +337,27 @@
             ?.forEach { lose(it, reason) }
     }
 
-    fun silent(machine: Machine): Boolean = context.now > machine.lastReportAt + times.reportS * SILENT_REPORTS
+    fun isSilent(machine: Machine): Boolean = context.now > machine.lastMessageAt + times.reportS * SILENT_REPORTS
 
     /** It answers commands and reaches no controller: its lease runs out with all that would be placed on it. */
-    fun mute(machine: Machine): Boolean = context.now > maxOf(machine.heartbeatAt, machine.knownSince) + times.leaseS / 2
+    fun isNotReporting(machine: Machine): Boolean = context.now > maxOf(machine.heartbeatAt, machine.knownSince) + times.leaseS / 2
 
     private fun fenced(machine: Machine): Boolean = machine.seenToken shr TERM_SHIFT == leadership.term
 
-    private fun lapsesAt(machine: Machine): Double {
+    private fun leaseExpiresAt(machine: Machine): Double {
         val answered = if (fenced(machine)) machine.answeredAt else maxOf(machine.answeredAt, leadership.othersAnswerUntil)
         return answered + times.leaseS * (1 + Leadership.DRIFT) + times.reportS / 4
     }
 
-    private fun lapse(machine: Machine) {
+    private fun expireLease(machine: Machine) {
         if (!loaded) return
-        machine.lapsed = true
+        machine.leaseExpired = true
         setOrphans(machine, emptySet())
         loseAll(machine, "its worker's lease has lapsed")
     }
 
     /** The cloud says that the machine is gone, with everything on it. */
-    fun gone(
+    fun onMachineGone(
         machine: Machine,
         reason: String,
     ) {
--- a/src/main/kotlin/burlridge/worker/ZoneReachability.kt
+++ b/src/main/kotlin/burlridge/worker/ZoneReachability.kt
@@ -21,7 +21,7 @@
         directAt.clear()
     }
 
-    fun heard(zone: String) {
+    fun onHeartbeat(zone: String) {
         directAt.put(zone, context.now)
     }
 
@@ -32,18 +32,18 @@
         if (answered) unreached.removeInt(zone) else unreached.addTo(zone, 1)
     }
 
-    fun isLeft(zone: String): Boolean = unreached.getInt(zone) >= UNREACHED_TO_LEAVE && !hears(zone)
+    fun isAbandoned(zone: String): Boolean = unreached.getInt(zone) >= UNREACHED_TO_LEAVE && !hearsZone(zone)
 
     /** Zones to which a command is tried only now and then. */
-    fun left(): List<String> = unreached.keys.filter { unreached.getInt(it) >= UNREACHED_TO_LEAVE }
+    fun abandonedZones(): List<String> = unreached.keys.filter { unreached.getInt(it) >= UNREACHED_TO_LEAVE }
 
     /** Whether reports come straight from [zone]: then what cannot be reached there is cut off or dead by itself. */
-    fun hears(zone: String): Boolean = context.now < directAt.getDouble(zone) + reportS / 2
+    fun hearsZone(zone: String): Boolean = context.now < directAt.getDouble(zone) + reportS / 2
 
     /** Zones with machines that have reported to this leader, of which none has lately come straight to it. */
-    fun unheard(machines: Collection<Machine>): List<String> {
+    fun zonesWithoutHeartbeats(machines: Collection<Machine>): List<String> {
         val up = Object2IntOpenHashMap<String>()
-        machines.forEach { if (it.up && !it.lapsed && !it.abandoned) up.addTo(it.zone, 1) }
+        machines.forEach { if (it.up && !it.leaseExpired && !it.abandoned) up.addTo(it.zone, 1) }
         return up.keys.filter { zone ->
             val quietS = reportS * if (up.getInt(zone) >= MANY) QUIET_OF_MANY else QUIET_OF_FEW
             context.now > directAt.getDouble(zone) + quietS
--- a/src/test/kotlin/burlridge/allocation/JobRegistryTest.kt
+++ b/src/test/kotlin/burlridge/allocation/JobRegistryTest.kt
@@ -1,9 +1,10 @@
 package burlridge.allocation
 
-import burlridge.app.Rehearsal
+import burlridge.app.ClassArchiveTraining
 import burlridge.core.StepContext
 import burlridge.json.Json
 import burlridge.leadership.Leadership
+import burlridge.leadership.LeadershipListener
 import burlridge.settings.Settings
 import burlridge.store.Row
 import burlridge.store.StoreClient
@@ -12,10 +13,10 @@
 
 /** What a new leader makes of the rows that it finds. */
 internal class JobRegistryTest {
-    private val context = StepContext(Settings.parse(Rehearsal.settings()), 1)
+    private val context = StepContext(Settings.parse(ClassArchiveTraining.settings()), 1)
     private val store = StoreClient(context)
     private val nobody =
-        object : Leadership.Events {
+        object : LeadershipListener {
             override fun onElected(cause: String) = Unit
 
             override fun onDeposed(
--- a/src/test/kotlin/burlridge/allocation/LimitsTest.kt
+++ b/src/test/kotlin/burlridge/allocation/LimitsTest.kt
@@ -1,6 +1,6 @@
 package burlridge.allocation
 
-import burlridge.app.Rehearsal
+import burlridge.app.ClassArchiveTraining
 import burlridge.core.CallOutcome
 import burlridge.core.Effect
 import burlridge.core.Input
@@ -9,6 +9,7 @@
 import burlridge.job.JobSpec
 import burlridge.json.Json
 import burlridge.leadership.Leadership
+import burlridge.leadership.LeadershipListener
 import burlridge.settings.Settings
 import burlridge.sim.Clock
 import burlridge.sim.StateService
@@ -26,12 +27,12 @@
     private val state = StateService(clock).also { it.lower(valueKb = 2.0, changesPerTransaction = 4) }
     private val settings =
         Settings.parse(
-            Rehearsal.settings().replace("\"txn_ops\":8", "\"txn_ops\":8,\"next\":{\"value_kb\":2,\"txn_ops\":4,\"write_rps\":18}"),
+            ClassArchiveTraining.settings().replace("\"txn_ops\":8", "\"txn_ops\":8,\"next\":{\"value_kb\":2,\"txn_ops\":4,\"write_rps\":18}"),
         )
     private val context = StepContext(settings, 1)
     private val store = StoreClient(context)
     private val nobody =
-        object : Leadership.Events {
+        object : LeadershipListener {
             override fun onElected(cause: String) = Unit
 
             override fun onDeposed(
@@ -50,7 +51,7 @@
             clock.runUntil(clock.now + 0.1)
             context.beginStep(clock.now, (clock.now * 1000).toLong())
             leadership.tick()
-            if (leadership.leading) registry.tick()
+            if (leadership.isLeader) registry.tick()
             context.runDue()
             store.pump()
             answer()
--- a/src/test/kotlin/burlridge/app/WarmUpTest.kt
+++ b/src/test/kotlin/burlridge/app/WarmUpTest.kt
@@ -7,7 +7,7 @@
 internal class WarmUpTest {
     @Test
     fun `it leads, claims, commands and finishes jobs`() {
-        val warmUp = WarmUp(Settings.parse(Rehearsal.settings()))
+        val warmUp = WarmUp(Settings.parse(ClassArchiveTraining.settings()))
         warmUp.run()
         assertTrue(warmUp.work.getValue("intent.starts") > 10, "${warmUp.work}")
         assertTrue(warmUp.work.getValue("worker.commands") > 5, "${warmUp.work}")
--- a/src/test/kotlin/burlridge/balance/BalanceInputTest.kt
+++ b/src/test/kotlin/burlridge/balance/BalanceInputTest.kt
@@ -1,6 +1,6 @@
 package burlridge.balance
 
-import burlridge.app.BalanceText
+import burlridge.app.BalanceReportFormatter
 import burlridge.app.CommandLine
 import burlridge.app.MachineTarget
 import burlridge.app.SettingsFiles
@@ -9,7 +9,7 @@
 import burlridge.settings.Endpoint
 import burlridge.settings.MovePermission
 import burlridge.settings.OperatorSettings
-import burlridge.settings.SettingsError
+import burlridge.settings.InvalidSettingsException
 import burlridge.sim.World
 import burlridge.store.Row
 import burlridge.worker.Machine
@@ -22,7 +22,7 @@
 /** What operators, other versions and damaged rows say wrongly. */
 internal class BalanceInputTest {
     private fun refusal(lines: String): String =
-        assertThrows(SettingsError::class.java, { OperatorSettings.parse("[balance]\n$lines\n") }, lines).message.orEmpty()
+        assertThrows(InvalidSettingsException::class.java, { OperatorSettings.parse("[balance]\n$lines\n") }, lines).message.orEmpty()
 
     @Test
     fun `the operators' section is read, and each wrong key named in one line`() {
@@ -62,7 +62,7 @@
         val platform = World(0).settings("drover-0")
         BalanceSettings(classMoves = mapOf("urgent" to MovePermission.NEVER)).check(platform)
         val wrong = BalanceSettings(classMoves = mapOf("urgnet" to MovePermission.NEVER))
-        val message = assertThrows(SettingsError::class.java) { wrong.check(platform) }.message.orEmpty()
+        val message = assertThrows(InvalidSettingsException::class.java) { wrong.check(platform) }.message.orEmpty()
         assertTrue("urgnet" in message && "urgent" in message, message)
     }
 
@@ -188,16 +188,16 @@
         val jobs = world.submitAll((0 until 6).map { world.savingJob(it, 4) }, 20.0)
         world.clock.after(40.0) { world.drainZone("a") }
         world.run(40.4)
-        val text = BalanceText.describe(world.report())
+        val text = BalanceReportFormatter.describe(world.report())
         assertTrue("drain of zone a (operator): draining" in text && "machines and" in text, text)
         assertTrue(Regex("move 1 of j-00000\\d/\\d run 1: m-0000\\d\\d to m-0000\\d\\d").containsMatchIn(text), text)
         val task = Regex("j-00000\\d/\\d").find(text)?.value.orEmpty()
         assertEquals(CommandLine.Explain(files, task), CommandLine.parse(listOf("explain", "--task", task) + args))
         world.run(60.0)
-        val why = BalanceText.explain(world.answerOf("drover-1", "GET", MachineRequests.EXPLAIN + task).second)
+        val why = BalanceReportFormatter.explain(world.answerOf("drover-1", "GET", MachineRequests.EXPLAIN + task).second)
         assertTrue("$task run 1 is moved from m-" in why && "room was kept there for it" in why, why)
         world.run(140.0)
         world.verdict(jobs)
-        assertTrue("drained, 0 machines and 0 tasks left" in BalanceText.describe(world.report()))
+        assertTrue("drained, 0 machines and 0 tasks left" in BalanceReportFormatter.describe(world.report()))
     }
 }
--- a/src/test/kotlin/burlridge/balance/ReliefTest.kt
+++ b/src/test/kotlin/burlridge/balance/HotspotMitigationTest.kt
@@ -12,13 +12,13 @@
 import org.junit.jupiter.api.Test
 
 /** The picture of load, and what is done about machines that run hot. */
-internal class ReliefTest {
+internal class HotspotMitigationTest {
     private val settings = BalanceSettings()
     private val machine = Machine("m-1", 0.0)
 
     private fun job(): Job = Job(World(0).job(1, 10, runS = 10.0), 1, 0).also { it.ranS = 40.0 }.also { it.ran = 4 }
 
-    private fun LoadPicture.at(
+    private fun LoadTracker.at(
         now: Double,
         silent: Boolean = false,
     ) = load(machine, silent, now)
@@ -26,7 +26,7 @@
     /** Guards the two thresholds: one that hovers between them keeps the mark it has. */
     @Test
     fun `a machine becomes hot above one threshold and stays so until below another`() {
-        val picture = LoadPicture(settings, halfLifeS = 20.0)
+        val picture = LoadTracker(settings, halfLifeS = 20.0)
         val job = job()
         assertEquals(Load.UNKNOWN, picture.at(0.0))
         repeat(2) { picture.ended("m-1", job, 20.0, 1.0) }
@@ -45,7 +45,7 @@
     /** Guards the end of a mark: nothing new may be learned of a machine that gets nothing new. */
     @Test
     fun `a mark fades within the time after which a job must get what room there is`() {
-        val picture = LoadPicture(settings, halfLifeS = 20.0)
+        val picture = LoadTracker(settings, halfLifeS = 20.0)
         repeat(50) { picture.ended("m-1", job(), 1000.0, 1.0) }
         assertEquals(Load.HOT, picture.at(2.0))
         assertEquals(Load.NORMAL, picture.at(90.0))
@@ -53,7 +53,7 @@
 
     @Test
     fun `absurd times teach nothing, and what is kept is bounded`() {
-        val picture = LoadPicture(settings, halfLifeS = 20.0)
+        val picture = LoadTracker(settings, halfLifeS = 20.0)
         listOf(Double.NaN, -5.0, 0.0, Double.POSITIVE_INFINITY, 1e9).forEach { wrong ->
             picture.ended("m-1", job(), wrong, 1.0)
             picture.runs("m-1", job(), wrong, 1.0)
--- a/src/test/kotlin/burlridge/failover/FailoverInputTest.kt
+++ b/src/test/kotlin/burlridge/failover/FailoverInputTest.kt
@@ -1,7 +1,7 @@
 package burlridge.failover
 
 import burlridge.app.CommandLine
-import burlridge.app.FailoverText
+import burlridge.app.FailoverReportFormatter
 import burlridge.app.SettingsFiles
 import burlridge.json.Json
 import burlridge.message.FailoverStatus
@@ -9,7 +9,7 @@
 import burlridge.message.PeerMessage
 import burlridge.settings.FailoverSettings
 import burlridge.settings.OperatorSettings
-import burlridge.settings.SettingsError
+import burlridge.settings.InvalidSettingsException
 import burlridge.sim.World
 import com.fasterxml.jackson.databind.JsonNode
 import org.junit.jupiter.api.Assertions.assertEquals
@@ -51,7 +51,7 @@
                 "trace_file =" to "trace_file in [failover] is empty",
             )
         for ((line, complaint) in wrong) {
-            val message = assertThrows(SettingsError::class.java, { OperatorSettings.parse("[failover]\n$line\n") }, line).message.orEmpty()
+            val message = assertThrows(InvalidSettingsException::class.java, { OperatorSettings.parse("[failover]\n$line\n") }, line).message.orEmpty()
             assertTrue(complaint in message && '\n' !in message, message)
         }
     }
@@ -120,7 +120,7 @@
         val (status, report) = world.ask(other, "GET", MemberRequests.STATUS)
         assertEquals(200, status)
         assertEquals(leader, report.path("leader").asText())
-        val text = FailoverText.describe(report)
+        val text = FailoverReportFormatter.describe(report)
         assertTrue("leader $leader, term 1" in text && "$third alive" in text, text)
         assertEquals(405, world.ask(other, "POST", MemberRequests.STATUS).first)
         assertEquals(405, world.ask(other, "GET", MemberRequests.DRAIN).first)
--- a/src/test/kotlin/burlridge/fleet/MachineListTest.kt
+++ b/src/test/kotlin/burlridge/fleet/CloudInventoryTest.kt
@@ -6,7 +6,7 @@
 import org.junit.jupiter.api.Test
 
 /** The cloud's list comes from outside: a page that is not one is no page at all, and odd fields have their default. */
-internal class MachineListTest {
+internal class CloudInventoryTest {
     @Test
     fun `a page is read, and unknown fields are ignored`() {
         val page =
--- a/src/test/kotlin/burlridge/settings/SettingsTest.kt
+++ b/src/test/kotlin/burlridge/settings/SettingsTest.kt
@@ -1,14 +1,14 @@
 package burlridge.settings
 
-import burlridge.app.Rehearsal
+import burlridge.app.ClassArchiveTraining
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Assertions.assertThrows
 import org.junit.jupiter.api.Test
 
 internal class SettingsTest {
-    private val good = Rehearsal.settings()
+    private val good = ClassArchiveTraining.settings()
 
-    private fun complaint(text: String): String = assertThrows(SettingsError::class.java) { Settings.parse(text) }.message.orEmpty()
+    private fun complaint(text: String): String = assertThrows(InvalidSettingsException::class.java) { Settings.parse(text) }.message.orEmpty()
 
     @Test
     fun `the platform's settings are read, and unknown fields ignored`() {
@@ -37,7 +37,7 @@
     @Test
     fun `gang times come together or not at all`() {
         val both = good.replace("\"lease_s\":24.0", "\"lease_s\":24.0,\"gang_wait_s\":50.0,\"gang_peer_s\":5.0")
-        assertEquals(GangTimes(50.0, 5.0), Settings.parse(both).workers.gang)
+        assertEquals(GangTimings(50.0, 5.0), Settings.parse(both).workers.gang)
         assertEquals(null, Settings.parse(good).workers.gang)
         assertEquals("params.workers.gang_peer_s is missing", complaint(both.replace(",\"gang_peer_s\":5.0", "")))
         assertEquals("params.workers.gang_wait_s must be a number above 0", complaint(both.replace("50.0", "0")))
@@ -73,8 +73,8 @@
     @Test
     fun `operators' settings refuse unknown keys and figures out of range`() {
         assertEquals(7, OperatorSettings.parse("[placement]\nsample = 7\n").sample)
-        assertThrows(SettingsError::class.java) { OperatorSettings.parse("[placement]\nsampel = 7\n") }
-        assertThrows(SettingsError::class.java) { OperatorSettings.parse("[fleets]\n") }
-        assertThrows(SettingsError::class.java) { OperatorSettings.parse("[leadership]\nlease_reports = 0\n") }
+        assertThrows(InvalidSettingsException::class.java) { OperatorSettings.parse("[placement]\nsampel = 7\n") }
+        assertThrows(InvalidSettingsException::class.java) { OperatorSettings.parse("[fleets]\n") }
+        assertThrows(InvalidSettingsException::class.java) { OperatorSettings.parse("[leadership]\nlease_reports = 0\n") }
     }
 }
--- a/src/test/kotlin/burlridge/sim/FailureTest.kt
+++ b/src/test/kotlin/burlridge/sim/FailureTest.kt
@@ -226,11 +226,11 @@
         world.clock.after(40.0) { world.leader()?.let { world.crash(it, 3.0) } }
         world.run(250.0)
         verdict("j-000001")
-        val lapsed =
+        val leaseExpired =
             world.log
                 .filter { "lease has lapsed" in it }
                 .map { it.take(8).trim().toDouble() }
-        assertTrue(lapsed.isNotEmpty() && lapsed.all { it < 45.0 + world.leaseS * 1.1 }, "lapsed at $lapsed")
+        assertTrue(leaseExpired.isNotEmpty() && leaseExpired.all { it < 45.0 + world.leaseS * 1.1 }, "lapsed at $leaseExpired")
     }
 
     /** Guards rentals by the hundred: one call of fifty a second kept hundreds of lost machines' tasks waiting for the last. */
--- a/src/test/kotlin/burlridge/sim/Worker.kt
+++ b/src/test/kotlin/burlridge/sim/Worker.kt
@@ -41,8 +41,8 @@
         }
     }
 
-    private var session = 1L
-    private var tally = 0L
+    private var agentEpoch = 1L
+    private var sequence = 0L
     private var token = 0L
     private val tasks = LinkedHashMap<String, Task>()
     private var node = world.random.nextInt(world.members.size)
@@ -69,7 +69,7 @@
     fun restart() {
         tasks.values.forEach { leave(it, false) }
         tasks.clear()
-        session++
+        agentEpoch++
         answeredSentAt = world.clock.now
         changed = true
     }
@@ -138,7 +138,7 @@
         if (world.clock.now <= answeredSentAt + world.leaseS) return
         tasks.values.forEach { leave(it, false) }
         tasks.clear()
-        session++
+        agentEpoch++
         answeredSentAt = world.clock.now
     }
 
@@ -159,8 +159,8 @@
             put("breed", type)
             put("yard", zone)
             put("loaners", spot)
-            put("stint", session)
-            put("tally", ++tally)
+            put("stint", agentEpoch)
+            put("tally", ++sequence)
             put("baton", token)
             recalledAt?.let { put("recallS", it - world.clock.now) }
             val list = putArray("pieces")
@@ -178,7 +178,7 @@
         inFlight = true
         changed = false
         val sentAt = world.clock.now
-        val sentSession = session
+        val sentSession = agentEpoch
         val name = world.members[node]
         world.request(id, name, "POST", "/agent/beat", report().toString(), 4.0) { status, body ->
             inFlight = false
@@ -187,7 +187,7 @@
             val answer = Json.parseOrNull(body)
             when (status) {
                 200 -> {
-                    if (sentSession == session && answer != null && answer.path("baton").asLong(-1) >= token) {
+                    if (sentSession == agentEpoch && answer != null && answer.path("baton").asLong(-1) >= token) {
                         token = answer.path("baton").asLong()
                         answeredSentAt = sentAt
                         answer.path("orders").forEach { execute(it) }
@@ -239,7 +239,7 @@
         if (path == "/inspect") return 200 to report().toString()
         val command = Json.parse(body)
         if (!command.has("baton") || !command.has("stint")) return 400 to "{}"
-        if (command.path("baton").asLong() < token || command.path("stint").asLong() != session) return 409 to report().toString()
+        if (command.path("baton").asLong() < token || command.path("stint").asLong() != agentEpoch) return 409 to report().toString()
         token = command.path("baton").asLong()
         command.path("orders").forEach { execute(it) }
         return 200 to report().toString()
--- a/src/test/kotlin/burlridge/sim/World.kt
+++ b/src/test/kotlin/burlridge/sim/World.kt
@@ -189,7 +189,7 @@
 
     fun work(name: String): Map<String, Long> = controllers[name]?.work.orEmpty()
 
-    fun leader(): String? = members.firstOrNull { name -> controllers[name]?.leads == true }
+    fun leader(): String? = members.firstOrNull { name -> controllers[name]?.isActiveLeader == true }
 
     private fun tick(
         name: String,
@@ -262,7 +262,7 @@
     val rivals = ArrayList<String>()
 
     private fun watchLeader() {
-        val leaders = members.filter { controllers[it]?.leads == true && it !in frozen }
+        val leaders = members.filter { controllers[it]?.isActiveLeader == true && it !in frozen }
         if (leaders.size > 1) rivals += "$leaders at ${clock.now}"
         val now = leader() ?: return
         if (now != ledBy) onLeader(now)
@@ -417,7 +417,7 @@
             }
 
             is Effect.SendToPeer -> {
-                (effect.message as? PeerMessage.Ask)?.let { onAsk(it.path) }
+                (effect.message as? PeerMessage.ForwardedRequest)?.let { onAsk(it.path) }
                 if (!isCut(name, effect.member)) clock.after(peerS()) { step(effect.member, Input.MessageReceived(effect.message)) }
             }
 
