--- a/src/test/kotlin/burlridge/transcript/Transcript.kt
+++ b/src/test/kotlin/burlridge/transcript/Transcript.kt
@@ -58,10 +58,10 @@
 
     private fun describe(message: PeerMessage): String =
         when (message) {
-            is PeerMessage.Status -> "status term=${message.term} leader=${message.leader} leading=${message.leading}"
-            is PeerMessage.Ask -> "forwarded request #${message.ask} ${message.method} ${message.path} ${message.body}"
-            is PeerMessage.Reply -> "forwarded answer #${message.ask} ${message.status} ${message.body}"
-            is PeerMessage.Accepted -> "job accepted ${message.job}"
+            is PeerMessage.Status -> "status term=${message.term} leader=${message.leader} leading=${message.isLeader}"
+            is PeerMessage.ForwardedRequest -> "forwarded request #${message.requestId} ${message.method} ${message.path} ${message.body}"
+            is PeerMessage.ForwardedResponse -> "forwarded answer #${message.requestId} ${message.status} ${message.body}"
+            is PeerMessage.JobAccepted -> "job accepted ${message.job}"
             is PeerMessage.Handover -> "handover ${describe(message.step)}"
         }
 
--- a/src/test/kotlin/burlridge/worker/WorkerReportTest.kt
+++ b/src/test/kotlin/burlridge/worker/HeartbeatTest.kt
@@ -6,7 +6,7 @@
 import org.junit.jupiter.api.Test
 
 /** Reports come from outside: what is malformed is refused, and what is missing or of another type has its default. */
-internal class WorkerReportTest {
+internal class HeartbeatTest {
     private val whole =
         """{"drover":"m-000231","addr":"10.1.0.232:9000","breed":"g8","yard":"a","loaners":true,"stint":2,"tally":88,"baton":41,
         "recallS":7.5,"pieces":[{"piece":"j-000412/3","try":2,"standing":"running"},
@@ -16,12 +16,12 @@
     fun `a whole report is read, and unknown fields are ignored`() {
         val tasks =
             listOf(
-                ReportedTask("j-000412/3", 2, "running", null, saved = false),
-                ReportedTask("j-000398/0", 1, "exited", "stopped", saved = true),
+                TaskStatus("j-000412/3", 2, "running", null, saved = false),
+                TaskStatus("j-000398/0", 1, "exited", "stopped", saved = true),
             )
         val expected =
-            WorkerReport("m-000231", Endpoint("10.1.0.232", 9000), "g8", "a", true, 2, 88, 41, 7.5, tasks.associateBy { it.key })
-        assertEquals(expected, WorkerReport.decode(whole))
+            Heartbeat("m-000231", Endpoint("10.1.0.232", 9000), "g8", "a", true, 2, 88, 41, 7.5, tasks.associateBy { it.key })
+        assertEquals(expected, Heartbeat.decode(whole))
     }
 
     @Test
@@ -45,7 +45,7 @@
                 "{\"drover\":\"m-1\",\"pieces\":[{\"piece\":\"j-1/0\"]}",
                 "{\"drover\":\"m-1\",\"later\":" + "[".repeat(5_000) + "]".repeat(5_000) + "}",
             )
-        malformed.forEach { assertNull(WorkerReport.decode(it), it.take(60)) }
+        malformed.forEach { assertNull(Heartbeat.decode(it), it.take(60)) }
     }
 
     @Test
@@ -53,18 +53,18 @@
         val odd =
             """{"drover":"m-1","addr":"nowhere","breed":[1],"yard":{"a":1},"loaners":"yes","stint":"2","tally":null,"baton":true,
             "recallS":"soon","pieces":{"piece":"j-1/0"}}"""
-        assertEquals(WorkerReport("m-1"), WorkerReport.decode(odd))
-        assertNull(WorkerReport.decode("""{"drover":"m-1","addr":"10.0.0.1:70000"}""")?.address)
-        assertEquals(emptyMap<String, ReportedTask>(), WorkerReport.decode("""{"drover":"m-1","pieces":[1,"x",[],null]}""")?.tasks)
-        val task = ReportedTask("j-1/0", 0, "", null, saved = false)
+        assertEquals(Heartbeat("m-1"), Heartbeat.decode(odd))
+        assertNull(Heartbeat.decode("""{"drover":"m-1","addr":"10.0.0.1:70000"}""")?.address)
+        assertEquals(emptyMap<String, TaskStatus>(), Heartbeat.decode("""{"drover":"m-1","pieces":[1,"x",[],null]}""")?.tasks)
+        val task = TaskStatus("j-1/0", 0, "", null, saved = false)
         assertEquals(
             mapOf(task.key to task),
-            WorkerReport.decode("""{"drover":"m-1","pieces":[{"piece":"j-1/0","try":"1","standing":[],"cause":5,"kept":1}]}""")?.tasks,
+            Heartbeat.decode("""{"drover":"m-1","pieces":[{"piece":"j-1/0","try":"1","standing":[],"cause":5,"kept":1}]}""")?.tasks,
         )
     }
 
     @Test
     fun `of a field that stands twice the last one counts`() {
-        assertEquals(WorkerReport("m-2", sequence = 9), WorkerReport.decode("""{"drover":"m-1","tally":8,"drover":"m-2","tally":9}"""))
+        assertEquals(Heartbeat("m-2", sequence = 9), Heartbeat.decode("""{"drover":"m-1","tally":8,"drover":"m-2","tally":9}"""))
     }
 }
--- a/src/test/kotlin/burlridge/worker/LastReportTest.kt
+++ b/src/test/kotlin/burlridge/worker/LastHeartbeatTest.kt
@@ -6,14 +6,14 @@
 import org.junit.jupiter.api.Test
 
 /** A report is taken for the last one only where nothing but its number differs. */
-internal class LastReportTest {
+internal class LastHeartbeatTest {
     private fun report(
-        tally: String,
+        sequence: String,
         baton: Int = 41,
         pieces: String = """[{"piece":"j-1/0","try":1,"standing":"running"}]""",
-    ) = """{"drover":"m-1","stint":1,"tally":$tally,"baton":$baton,"recallS":null,"pieces":$pieces}"""
+    ) = """{"drover":"m-1","stint":1,"tally":$sequence,"baton":$baton,"recallS":null,"pieces":$pieces}"""
 
-    private val last = LastReport.of(report("99"), 99)
+    private val last = LastHeartbeat.of(report("99"), 99)
 
     @Test
     fun `the same under a later number says nothing new`() {
@@ -43,15 +43,15 @@
     /** Guards the place of the number: another field of that name must not be taken for it. */
     @Test
     fun `only a number that was read as the message's own counts`() {
-        assertNull(LastReport.of("""{"drover":"m-1","other":{"tally":5},"tally":99}""", 99))
-        assertNull(LastReport.of("""{"drover":"m-1","tally" : 99}""", 99))
-        assertNotNull(LastReport.of(report("99"), 99))
+        assertNull(LastHeartbeat.of("""{"drover":"m-1","other":{"tally":5},"tally":99}""", 99))
+        assertNull(LastHeartbeat.of("""{"drover":"m-1","tally" : 99}""", 99))
+        assertNotNull(LastHeartbeat.of(report("99"), 99))
     }
 
     @Test
     fun `a name is found only at its usual place`() {
-        assertEquals("m-1", LastReport.nameIn(report("1")))
-        assertNull(LastReport.nameIn("""{"stint":1,"drover":"m-1"}"""))
-        assertNull(LastReport.nameIn("""{"drover":"m-1"""))
+        assertEquals("m-1", LastHeartbeat.nameIn(report("1")))
+        assertNull(LastHeartbeat.nameIn("""{"stint":1,"drover":"m-1"}"""))
+        assertNull(LastHeartbeat.nameIn("""{"drover":"m-1"""))
     }
 }
