--- a/src/main/kotlin/burlridge/allocation/AllocationBatchCodec.kt
+++ b/src/main/kotlin/burlridge/allocation/AllocationBatchCodec.kt
@@ -10,7 +10,7 @@
 internal fun encode(
     batch: AllocationBatch,
     token: Long,
-    untilMs: Long,
+    untilMillis: Long,
     all: List<Allocation> = batch.allocations,
 ): JsonNode =
     Json.obj {
@@ -18,7 +18,7 @@
         put("st", "claimed")
         put("n", batch.number)
         put("tok", token)
-        put("until", untilMs)
+        put("until", untilMillis)
         putArray("zones").also { array -> zones.forEach(array::add) }
         val jobs = putObject("jobs")
         all.groupBy { it.job }.forEach { (id, allocations) ->
@@ -59,7 +59,16 @@
             val charge = QuotaCharge(v.path(0).asText(), Resources(v.path(1).asDouble(), v.path(2).asDouble(), v.path(3).asDouble()))
             v.path(4).map { s ->
                 val zone = zones.getOrElse(s.path(4).asInt()) { "" }
-                Allocation(id, s.path(0).asInt(), s.path(1).asInt(), s.path(2).asText(), s.path(3).asLong(), zone, charge, AllocationPhase.DISPATCHED).also {
+                Allocation(
+                    id,
+                    s.path(0).asInt(),
+                    s.path(1).asInt(),
+                    s.path(2).asText(),
+                    s.path(3).asLong(),
+                    zone,
+                    charge,
+                    AllocationPhase.DISPATCHED,
+                ).also {
                     it.lost = s.path(5).asInt() == 1
                     it.inherited = true
                 }
--- a/src/main/kotlin/burlridge/allocation/AllocationTable.kt
+++ b/src/main/kotlin/burlridge/allocation/AllocationTable.kt
@@ -56,12 +56,14 @@
         nextBatch = 0
         pendingBatches = 0
         val limits = context.settings.store
-        maxStartsPerBatch = (limits.valueBytes / BYTES_A_START).coerceAtLeast(1)
-        maxJobsPerBatch = minOf(limits.changesPerTransaction * StoreClient.CONDITIONS_AN_OP - 2, limits.valueBytes / BYTES_A_JOB).coerceAtLeast(1)
+        maxStartsPerBatch = (limits.valueBytes / BYTES_PER_START).coerceAtLeast(1)
+        maxJobsPerBatch =
+            minOf(limits.changesPerTransaction * StoreClient.CONDITIONS_PER_OP - 2, limits.valueBytes / BYTES_PER_JOB).coerceAtLeast(1)
     }
 
     /**
-     * Reserves [allocations] and writes their row; [onResult] is told which may now be sent. Those of a gang may once all of its attempt are
+     * Reserves [allocations] and writes their row; [onResult] is told which may now be sent. Those of a gang may once all of its
+     * attempt are
      * durable, in however many rows.
      */
     fun allocate(
@@ -82,7 +84,7 @@
         val transaction =
             Transaction(
                 listOf(leadership.fenceCondition(), Condition(key, before?.modRevision ?: 0)) + conditions,
-                listOf(Change.Put(key, encode(batch, leadership.term, allocatedUntilMs()))),
+                listOf(Change.Put(key, encode(batch, leadership.term, allocatedUntilMillis()))),
             )
         batch.writing = true
         pendingBatches++
@@ -239,7 +241,7 @@
         usedOn.merge(allocation.machine, allocation.charge.size, Resources::minus)
     }
 
-    private fun allocatedUntilMs(): Long = context.wallMs + (context.settings.workers.leaseS * MS_A_S).toLong()
+    private fun allocatedUntilMillis(): Long = context.wallMillis + (context.settings.workers.leaseSeconds * MILLIS_PER_SECOND).toLong()
 
     fun loadBatch(row: Row) {
         val batch = decode(row)
@@ -321,7 +323,7 @@
         val unused =
             spare
                 .takeWhile {
-                    context.now > (it.settledAt ?: context.now) + context.settings.workers.reportS
+                    context.now > (it.settledAt ?: context.now) + context.settings.workers.reportSeconds
                 }.take(context.settings.store.changesPerTransaction)
         if (unused.isNotEmpty()) remove(unused)
         batches.values
@@ -364,7 +366,16 @@
      */
     private fun rewrite(batch: AllocationBatch) {
         batch.stale = false
-        val row = encode(batch, leadership.term, allocatedUntilMs(), batch.allocations.filter { jobs[it.job]?.spec?.gang == true || !settled(it) })
+        val row =
+            encode(
+                batch,
+                leadership.term,
+                allocatedUntilMillis(),
+                batch.allocations.filter {
+                    jobs[it.job]?.spec?.gang == true ||
+                        !settled(it)
+                },
+            )
         if (!store.fitsValueLimit(row)) {
             context.debug("row round/${batch.slot} is left as it is: it was written under larger limits")
             return
@@ -401,10 +412,10 @@
     }
 
     private companion object {
-        const val MS_A_S = 1000
+        const val MILLIS_PER_SECOND = 1000
 
         /** What a start and a job's charge take of a row, with room to spare. */
-        const val BYTES_A_START = 54
-        const val BYTES_A_JOB = 250
+        const val BYTES_PER_START = 54
+        const val BYTES_PER_JOB = 250
     }
 }
--- a/src/main/kotlin/burlridge/allocation/GangRules.kt
+++ b/src/main/kotlin/burlridge/allocation/GangRules.kt
@@ -33,8 +33,8 @@
         return when {
             allocations.isEmpty() -> GangState.IDLE
             allocations.any { it.phase == AllocationPhase.COMMITTING } -> GangState.COMMITTING
-            allocations.size < job.spec.tasks || allocations.any { it.stopGraceS == 0.0 } -> GangState.BROKEN
-            allocations.any { it.stopGraceS != null } -> GangState.STOPPING
+            allocations.size < job.spec.tasks || allocations.any { it.stopGraceSeconds == 0.0 } -> GangState.BROKEN
+            allocations.any { it.stopGraceSeconds != null } -> GangState.STOPPING
             allocations.any { it.phase == AllocationPhase.RUNNING || it.phase == AllocationPhase.CHECKPOINTING } -> GangState.RUNNING
             else -> GangState.AWAITING_GANG
         }
@@ -46,7 +46,7 @@
      */
     fun broken(job: Job): List<Allocation> {
         val left = job.allocations.values.filter { !it.ended }
-        left.filter { it.phase >= AllocationPhase.DISPATCHED && it.stopGraceS == null }.forEach { it.stopGraceS = 0.0 }
+        left.filter { it.phase >= AllocationPhase.DISPATCHED && it.stopGraceSeconds == null }.forEach { it.stopGraceSeconds = 0.0 }
         return left.filter { it.phase == AllocationPhase.COMMITTED || (it.phase == AllocationPhase.COMMITTING && it.durable) }
     }
 
@@ -55,9 +55,9 @@
      * must hear of it straight away: they all have to within a short time.
      */
     fun stop(job: Job): List<Allocation> {
-        val saves = state(job) == GangState.RUNNING && job.spec.checkpointS > 0
-        val told = job.allocations.values.filter { !it.ended && it.stopGraceS == null }
-        told.forEach { it.stopGraceS = if (saves) job.spec.saveS * GRACE else 0.0 }
+        val saves = state(job) == GangState.RUNNING && job.spec.checkpointSeconds > 0
+        val told = job.allocations.values.filter { !it.ended && it.stopGraceSeconds == null }
+        told.forEach { it.stopGraceSeconds = if (saves) job.spec.saveSeconds * GRACE else 0.0 }
         return told
     }
 
--- a/src/main/kotlin/burlridge/allocation/Job.kt
+++ b/src/main/kotlin/burlridge/allocation/Job.kt
@@ -20,7 +20,7 @@
 internal class Job(
     val spec: JobSpec,
     val modRevision: Long,
-    val submittedMs: Long,
+    val submittedMillis: Long,
 ) {
     val done: BitSet = BitSet()
     val durable: BitSet = BitSet()
@@ -67,11 +67,11 @@
     val waiting: Int get() = spec.tasks - taken.cardinality()
 
     /** How long its done tasks ran, of those seen to start and to end. */
-    var ranS: Double = 0.0
+    var ranSeconds: Double = 0.0
     var ran: Int = 0
 
     /** A usual run of its tasks; null until a few have ended. */
-    val usualRunS: Double? get() = if (ran >= minOf(FEW, (spec.tasks + 1) / 2)) ranS / ran else null
+    val usualRunSeconds: Double? get() = if (ran >= minOf(FEW, (spec.tasks + 1) / 2)) ranSeconds / ran else null
 
     /** Whether any of its tasks has ever been claimed. */
     val begun: Boolean get() = !done.isEmpty || lastAttempt.isNotEmpty()
@@ -146,7 +146,7 @@
     var startedAt: Double? = null
 
     /** Set once the task is to be stopped, with the time it is given. */
-    var stopGraceS: Double? = null
+    var stopGraceSeconds: Double? = null
     var stopSentAt: Double = -1e9
 
     /** Its worker has answered the command to stop. */
--- a/src/main/kotlin/burlridge/allocation/JobRegistry.kt
+++ b/src/main/kotlin/burlridge/allocation/JobRegistry.kt
@@ -86,7 +86,8 @@
                 return null
             }
         context.debug(
-            "job $job: ${spec.tasks} of ${spec.jobClass}, ${spec.size.cpus} CPUs, ${spec.estimateS} s, due in ${spec.deadlineS} s",
+            "job $job: ${spec.tasks} of ${spec.jobClass}, ${spec.size.cpus} CPUs, ${spec.estimateSeconds} " +
+                "s, due in ${spec.deadlineSeconds} s",
         )
         return Job(spec, modRevision, row.path("at").asLong()).also { jobs[job] = it }
     }
@@ -185,7 +186,7 @@
         job.allocations.values
             .filter { it.phase == AllocationPhase.COMMITTED }
             .forEach { allocations.release(it, lost = true) }
-        context.info("job ${job.spec.id} is ${jobState.wire} after ${(context.wallMs - job.submittedMs) / 1000} s")
+        context.info("job ${job.spec.id} is ${jobState.wire} after ${(context.wallMillis - job.submittedMillis) / 1000} s")
         job.endListeners.forEach { it(jobState) }
         job.endListeners.clear()
     }
@@ -193,7 +194,7 @@
     // --- lazy writes
 
     fun tick() {
-        if (context.now - lastCleanAt < CLEAN_S) return
+        if (context.now - lastCleanAt < CLEAN_SECONDS) return
         lastCleanAt = context.now
         jobs.values.forEach { flush(it) }
         if (orphanedProgressKeys.isNotEmpty()) removeLeftovers()
@@ -224,7 +225,7 @@
     private fun flush(job: Job) {
         if (job.flushing || job.ending != null || flushing >= MOST_FLUSHES) return
         if (job.done.cardinality() == job.durable.cardinality() ||
-            context.now < job.unwrittenSince + context.settings.workers.leaseS
+            context.now < job.unwrittenSince + context.settings.workers.leaseSeconds
         ) {
             return
         }
@@ -279,7 +280,7 @@
 
     internal companion object {
         private const val ENDS_KEPT = 20_000
-        private const val CLEAN_S = 1.0
+        private const val CLEAN_SECONDS = 1.0
         private const val MOST_FLUSHES = 4
     }
 }
--- a/src/main/kotlin/burlridge/allocation/Progress.kt
+++ b/src/main/kotlin/burlridge/allocation/Progress.kt
@@ -14,7 +14,7 @@
 internal class Progress(
     valueBytes: Int,
 ) {
-    private val span: Int = minOf(CHUNK, (valueBytes - ENVELOPE_BYTES) / BASE64_GROUP * BITS_A_GROUP / BITS_A_BYTE * BITS_A_BYTE)
+    private val span: Int = minOf(CHUNK, (valueBytes - ENVELOPE_BYTES) / BASE64_GROUP * BITS_PER_GROUP / BITS_PER_BYTE * BITS_PER_BYTE)
 
     /** One row of a job's progress: its key, and the tasks from [first] on that it covers. */
     data class Part(
@@ -56,8 +56,8 @@
         private const val SMALL = "b"
         private const val ENVELOPE_BYTES = 32
         private const val BASE64_GROUP = 4
-        private const val BITS_A_GROUP = 24
-        private const val BITS_A_BYTE = 8
+        private const val BITS_PER_GROUP = 24
+        private const val BITS_PER_BYTE = 8
 
         fun jobOf(row: Row): String = row.key.substringAfter('/').substringBefore('/')
 
--- a/src/main/kotlin/burlridge/api/JobApi.kt
+++ b/src/main/kotlin/burlridge/api/JobApi.kt
@@ -10,8 +10,8 @@
 import burlridge.job.InvalidJobException
 import burlridge.job.JobSpec
 import burlridge.json.Json
-import burlridge.leadership.Leadership
 import burlridge.leadership.GangFeatureGate
+import burlridge.leadership.Leadership
 import burlridge.peer.PeerRequests
 import burlridge.store.Change
 import burlridge.store.Condition
@@ -85,16 +85,24 @@
             else -> {
                 gangGate.ask { all ->
                     when (all) {
-                        true -> go()
-                        false -> refuseUnlessKnown(node, HttpResponse.unavailable("not every member knows gangs yet", waitS), onResult)
-                        null -> onResult(HttpResponse.unavailable("the state service does not answer"))
+                        true -> {
+                            go()
+                        }
+
+                        false -> {
+                            refuseUnlessKnown(node, HttpResponse.unavailable("not every member knows gangs yet", waitSeconds), onResult)
+                        }
+
+                        null -> {
+                            onResult(HttpResponse.unavailable("the state service does not answer"))
+                        }
                     }
                 }
             }
         }
     }
 
-    private val waitS = Math.ceil(context.settings.workers.reportS).toInt()
+    private val waitSeconds = Math.ceil(context.settings.workers.reportSeconds).toInt()
 
     private fun route(
         body: String,
@@ -108,7 +116,7 @@
             }
 
             !store.isServing -> {
-                peers.forward(helper, "POST", "/api/jobs", body, PASS_S) {
+                peers.forward(helper, "POST", "/api/jobs", body, PASS_SECONDS) {
                     onResult(it ?: HttpResponse.unavailable("no member can reach the state service"))
                 }
             }
@@ -118,7 +126,7 @@
                     if (first.status != 503) {
                         onResult(first)
                     } else {
-                        peers.forward(helper, "POST", "/api/jobs", body, PASS_S) { onResult(it ?: first) }
+                        peers.forward(helper, "POST", "/api/jobs", body, PASS_SECONDS) { onResult(it ?: first) }
                     }
                 }
             }
@@ -163,7 +171,7 @@
     ) {
         val leader = leadership.knownLeader?.takeIf { it != context.settings.member }
         if (leader == null || body == null) return lookUpOrCreate(spec, onResult)
-        peers.forward(leader, "POST", "/api/jobs", body, ASK_S) {
+        peers.forward(leader, "POST", "/api/jobs", body, ASK_SECONDS) {
             if (it == null ||
                 it.status == 503
             ) {
@@ -237,7 +245,7 @@
                 listOf(Condition("live/${spec.id}", 0), Condition("over/${spec.id}", 0)),
                 listOf(Change.Put("live/${spec.id}", row)),
             )
-        store.commit(transaction, RequestPriority.USER, PATIENCE_S) { result ->
+        store.commit(transaction, RequestPriority.USER, PATIENCE_SECONDS) { result ->
             when (result) {
                 is TransactionResult.Committed -> {
                     accepted(spec, row, result.revision)
@@ -283,7 +291,7 @@
         local(id)?.let { return onResult(it) }
         val leader = if (leadership.isLeader) peers.memberWithStore() else leadership.knownLeader ?: peers.memberWithStore()
         if (passedOn || leader == null || leader == context.settings.member || (decides && undecided(id))) return queryRows(id, onResult)
-        peers.forward(leader, "GET", "/api/jobs/$id", "", ASK_S) { answer ->
+        peers.forward(leader, "GET", "/api/jobs/$id", "", ASK_SECONDS) { answer ->
             if (answer != null && answer.status != 503) {
                 noteEnd(id, answer)
                 onResult(answer)
@@ -362,7 +370,7 @@
             }
 
             else -> {
-                peers.forward(leader, "POST", "/api/jobs/$id/abort", "", ABORT_S) { answer ->
+                peers.forward(leader, "POST", "/api/jobs/$id/abort", "", ABORT_SECONDS) { answer ->
                     answer?.let { noteEnd(id, it) }
                     onResult(answer ?: HttpResponse.unavailable("the leader does not answer"))
                 }
@@ -419,7 +427,7 @@
                 onResult(told(job.spec.id, jobState))
             }
         }
-        context.schedule(ABORT_S * 0.8) {
+        context.schedule(ABORT_SECONDS * 0.8) {
             if (!told) {
                 told = true
                 onResult(HttpResponse.unavailable("the state service has not answered"))
@@ -474,9 +482,9 @@
 
     private companion object {
         const val RECENT_KEPT = 5_000
-        const val PATIENCE_S = 0.8
-        const val ASK_S = 0.6
-        const val PASS_S = 1.0
-        const val ABORT_S = 1.5
+        const val PATIENCE_SECONDS = 0.8
+        const val ASK_SECONDS = 0.6
+        const val PASS_SECONDS = 1.0
+        const val ABORT_SECONDS = 1.5
     }
 }
--- a/src/main/kotlin/burlridge/api/JobValidation.kt
+++ b/src/main/kotlin/burlridge/api/JobValidation.kt
@@ -51,6 +51,6 @@
         Json.obj {
             set<JsonNode>("job", spec.encode())
             put("fp", spec.fingerprint)
-            put("at", context.wallMs)
+            put("at", context.wallMillis)
         }
 }
--- a/src/main/kotlin/burlridge/app/AdminCommand.kt
+++ b/src/main/kotlin/burlridge/app/AdminCommand.kt
@@ -71,16 +71,16 @@
     /** Takes [member], or the controller itself, out of service and waits until it is. */
     fun drain(
         member: String?,
-        waitS: Long,
+        waitSeconds: Long,
     ): String {
         val answer = ask("POST", MemberRequests.DRAIN + member?.let { "/$it" }.orEmpty())
         val name = answer.path("member").asText()
         // Only the controller at this address can be watched from here.
         if (member != null && member != selfName()) return "$name is draining"
-        val until = System.nanoTime() + Duration.ofSeconds(waitS).toNanos()
+        val until = System.nanoTime() + Duration.ofSeconds(waitSeconds).toNanos()
         while (!ask("GET", MemberRequests.STATUS).path("drained").asBoolean()) {
-            if (System.nanoTime() > until) throw Failure("$name is draining, and not drained after $waitS s")
-            Thread.sleep(POLL_MS)
+            if (System.nanoTime() > until) throw Failure("$name is draining, and not drained after $waitSeconds s")
+            Thread.sleep(POLL_MILLIS)
         }
         return "$name is drained: it can be stopped"
     }
@@ -119,7 +119,7 @@
 
     private companion object {
         val PATIENCE: Duration = Duration.ofSeconds(5)
-        const val POLL_MS = 200L
+        const val POLL_MILLIS = 200L
         const val OK = 200
         const val NOT_FOUND = 404
     }
--- a/src/main/kotlin/burlridge/app/CommandLine.kt
+++ b/src/main/kotlin/burlridge/app/CommandLine.kt
@@ -63,7 +63,7 @@
     data class Drain(
         val files: SettingsFiles,
         val member: String?,
-        val waitS: Long,
+        val waitSeconds: Long,
     ) : CommandLine
 
     data class DrainMachines(
@@ -148,8 +148,9 @@
             targets.firstOrNull()?.let { return DrainMachines(files, it, line.hasOption(FORCE)) }
             if (line.hasOption(FORCE)) return Mistaken("--$FORCE goes with one of ${named()}")
             val wait = line.getOptionValue(WAIT, USUAL_WAIT)
-            val waitS = wait.toLongOrNull()?.takeIf { it in WAITS } ?: return Mistaken("--$WAIT must be whole seconds in $WAITS, not $wait")
-            return Drain(files, line.getOptionValue(MEMBER), waitS)
+            val waitSeconds =
+                wait.toLongOrNull()?.takeIf { it in WAITS } ?: return Mistaken("--$WAIT must be whole seconds in $WAITS, not $wait")
+            return Drain(files, line.getOptionValue(MEMBER), waitSeconds)
         }
 
         private fun undrain(
--- a/src/main/kotlin/burlridge/app/Controller.kt
+++ b/src/main/kotlin/burlridge/app/Controller.kt
@@ -14,9 +14,9 @@
 import burlridge.failover.Failover
 import burlridge.failover.MemberRequests
 import burlridge.fleet.Fleet
+import burlridge.leadership.GangFeatureGate
 import burlridge.leadership.Leadership
 import burlridge.leadership.LeadershipListener
-import burlridge.leadership.GangFeatureGate
 import burlridge.message.FailoverStatus
 import burlridge.message.PeerMessage
 import burlridge.peer.PeerRequests
@@ -25,10 +25,10 @@
 import burlridge.store.ReadResult
 import burlridge.store.RequestPriority
 import burlridge.store.StoreClient
-import burlridge.worker.WorkerResponseCount
 import burlridge.worker.CommandDispatcher
 import burlridge.worker.HeartbeatRelay
 import burlridge.worker.WorkerManager
+import burlridge.worker.WorkerResponseCount
 
 /** The state machine of one controller: an input and the time go in, what to send, write and answer comes out. */
 internal class Controller(
@@ -74,14 +74,14 @@
     private var placedAt = -1e9
 
     /** Between two placement rounds: what comes up meanwhile shares a row, and the core has time for everything else. */
-    private val roundS = settings.workers.reportS / ROUNDS_A_REPORT
+    private val roundSeconds = settings.workers.reportSeconds / ROUNDS_PER_REPORT
 
     fun step(
         input: Input,
         now: Double,
-        wallMs: Long,
+        wallMillis: Long,
     ): List<Effect> {
-        context.beginStep(now, wallMs)
+        context.beginStep(now, wallMillis)
         when (input) {
             Input.Tick -> tick()
             Input.DrainRequested -> failover?.drain()?.let { context.info("not drained: $it") }
@@ -90,7 +90,7 @@
             is Input.MessageReceived -> fromPeer(input.message)
         }
         context.runDue()
-        if (placing && context.now >= placedAt + roundS) place()
+        if (placing && context.now >= placedAt + roundSeconds) place()
         store.pump()
         return context.finishStep()
     }
@@ -101,7 +101,7 @@
         gangGate.tick()
         failover?.tick()
         if (context.now >= announceAt) {
-            announceAt = context.now + Leadership.STATUS_INTERVAL_S
+            announceAt = context.now + Leadership.STATUS_INTERVAL_SECONDS
             leadership.broadcastStatus(if (leadership.isLeader) workers.zonesWithoutHeartbeats() else emptyList())
         }
         if (leadership.isLeader && jobApi.loaded) {
@@ -111,7 +111,7 @@
                 balance?.tick()
                 fleet.tick()
             }
-            if (context.now > placedAt + PLACE_S) placeSoon()
+            if (context.now > placedAt + PLACE_SECONDS) placeSoon()
         }
     }
 
@@ -253,7 +253,16 @@
         to: PeerMessage.ForwardedRequest,
         answer: HttpResponse,
     ) {
-        context.send(to.from, PeerMessage.ForwardedResponse(settings.member, to.requestId, answer.status, answer.body, answer.retryAfterS ?: 0))
+        context.send(
+            to.from,
+            PeerMessage.ForwardedResponse(
+                settings.member,
+                to.requestId,
+                answer.status,
+                answer.body,
+                answer.retryAfterSeconds ?: 0,
+            ),
+        )
     }
 
     // --- leadership
@@ -319,7 +328,7 @@
     override fun workerResponseCount(): WorkerResponseCount = if (workers.loaded) workers.answered() else WorkerResponseCount(0, 0)
 
     private companion object {
-        const val PLACE_S = 1.0
-        const val ROUNDS_A_REPORT = 25
+        const val PLACE_SECONDS = 1.0
+        const val ROUNDS_PER_REPORT = 25
     }
 }
--- a/src/main/kotlin/burlridge/app/LeaderChangeTracer.kt
+++ b/src/main/kotlin/burlridge/app/LeaderChangeTracer.kt
@@ -39,7 +39,7 @@
     private var handover: Span? = null
 
     fun record(trace: Effect.Trace) {
-        val at = trace.wallMs
+        val at = trace.wallMillis
         when (val event = trace.event) {
             is LeaderChangeEvent.LivenessChanged -> livenessChanged(event, at)
             is LeaderChangeEvent.HandoverBegan -> handoverBegan(event, at)
@@ -170,13 +170,13 @@
             put("span", span.spanId)
             if (span.parentSpanContext.isValid) put("parent", span.parentSpanId)
             put("name", span.name)
-            put("start_ms", span.startEpochNanos / NS_A_MS)
-            put("ms", (span.endEpochNanos - span.startEpochNanos) / NS_A_MS)
+            put("start_ms", span.startEpochNanos / NANOS_PER_MILLI)
+            put("ms", (span.endEpochNanos - span.startEpochNanos) / NANOS_PER_MILLI)
             val attributes = putObject("attributes")
             span.attributes.forEach { key, value -> attributes.put(key.key, value.toString()) }
             val events = putArray("events")
             span.events.forEach { event ->
-                val entry = events.addObject().put("at_ms", event.epochNanos / NS_A_MS).put("name", event.name)
+                val entry = events.addObject().put("at_ms", event.epochNanos / NANOS_PER_MILLI).put("name", event.name)
                 event.attributes.forEach { key, value -> entry.put(key.key, value.toString()) }
             }
         }
@@ -186,6 +186,6 @@
     override fun shutdown(): CompletableResultCode = CompletableResultCode.ofSuccess()
 
     private companion object {
-        const val NS_A_MS = 1_000_000L
+        const val NANOS_PER_MILLI = 1_000_000L
     }
 }
--- a/src/main/kotlin/burlridge/app/LeaderStateLoader.kt
+++ b/src/main/kotlin/burlridge/app/LeaderStateLoader.kt
@@ -62,7 +62,7 @@
                 }
 
                 listing == null -> {
-                    context.schedule(RELOAD_S) { if (mine(term)) readAll(term, onResult) }
+                    context.schedule(RELOAD_SECONDS) { if (mine(term)) readAll(term, onResult) }
                 }
 
                 else -> {
@@ -95,7 +95,7 @@
     /** Other members' submissions, should their message be lost. */
     private fun follow(term: Long) {
         if (!mine(term)) return
-        store.watch("live/", followAt, FOLLOW_S) { status, body ->
+        store.watch("live/", followAt, FOLLOW_SECONDS) { status, body ->
             if (mine(term)) {
                 when {
                     status == OK && body != null -> {
@@ -111,7 +111,7 @@
                         relist(term)
                     }
                 }
-                context.schedule(FOLLOW_PAUSE_S) { follow(term) }
+                context.schedule(FOLLOW_PAUSE_SECONDS) { follow(term) }
             }
         }
     }
@@ -132,8 +132,8 @@
 
         private const val OK = 200
         private const val GONE = 410
-        private const val RELOAD_S = 0.5
-        private const val FOLLOW_S = 10.0
-        private const val FOLLOW_PAUSE_S = 0.5
+        private const val RELOAD_SECONDS = 0.5
+        private const val FOLLOW_SECONDS = 10.0
+        private const val FOLLOW_PAUSE_SECONDS = 0.5
     }
 }
--- a/src/main/kotlin/burlridge/app/Main.kt
+++ b/src/main/kotlin/burlridge/app/Main.kt
@@ -56,7 +56,7 @@
     when (val command = CommandLine.parse(args.toList())) {
         is CommandLine.Serve -> Service(command.files.read()).run()
         is CommandLine.Status -> administer(command.files) { status() }
-        is CommandLine.Drain -> administer(command.files) { drain(command.member, command.waitS) }
+        is CommandLine.Drain -> administer(command.files) { drain(command.member, command.waitSeconds) }
         is CommandLine.DrainMachines -> administer(command.files) { drainMachines(command.target, command.forced) }
         is CommandLine.Explain -> administer(command.files) { explain(command.subject) }
         is CommandLine.UndrainMachines -> administer(command.files) { undrainMachines(command.target) }
--- a/src/main/kotlin/burlridge/app/OrderlyShutdown.kt
+++ b/src/main/kotlin/burlridge/app/OrderlyShutdown.kt
@@ -4,11 +4,11 @@
 import java.util.concurrent.TimeUnit
 
 /**
- * Holds up the end of a process that is asked to stop (SIGTERM) until its leadership has been handed over, at most [patienceS]. The
+ * Holds up the end of a process that is asked to stop (SIGTERM) until its leadership has been handed over, at most [patienceSeconds]. The
  * signal arrives on a thread of its own; the event loop looks at [requested] at its next tick.
  */
 internal class OrderlyShutdown(
-    private val patienceS: Double,
+    private val patienceSeconds: Double,
 ) {
     private val done = CountDownLatch(1)
 
@@ -22,7 +22,7 @@
 
     private fun await() {
         requested = true
-        done.await((patienceS * MS_A_S).toLong(), TimeUnit.MILLISECONDS)
+        done.await((patienceSeconds * MILLIS_PER_SECOND).toLong(), TimeUnit.MILLISECONDS)
     }
 
     /** Nothing is left to hand over. */
@@ -31,6 +31,6 @@
     }
 
     private companion object {
-        const val MS_A_S = 1000
+        const val MILLIS_PER_SECOND = 1000
     }
 }
--- a/src/main/kotlin/burlridge/app/Service.kt
+++ b/src/main/kotlin/burlridge/app/Service.kt
@@ -33,14 +33,14 @@
     private val scope = CoroutineScope(loop + SupervisorJob() + CoroutineExceptionHandler { _, e -> log.error("unexpected", e) })
     private val budget = ConnectionBudget(settings.limits.maxConnections)
     private val client = HttpClient(loop, scope, budget.commands, budget.kept, setOf(settings.state, settings.cloud), settings.state)
-    private val server = HttpServer(loop, budget, settings.workers.reportS * QUIET_REPORTS) { step(it) }
+    private val server = HttpServer(loop, budget, settings.workers.reportSeconds * QUIET_REPORTS) { step(it) }
     private val metrics = Metrics()
     private val peers = PeerTransport(settings, loop, metrics::unknownPeerMessage) { step(Input.MessageReceived(it)) }
     private val serveOn = settings.serveOn
     private var metricsAt = 0L
     private val failover = settings.operator.failover
     private val tracer = failover?.traceFile?.let { LeaderChangeTracer(File(it), settings.member) }
-    private val shutdown = if (failover == null) null else OrderlyShutdown(failover.drainPatienceS(settings))
+    private val shutdown = if (failover == null) null else OrderlyShutdown(failover.drainPatienceSeconds(settings))
 
     fun run() {
         shutdown?.install()
@@ -65,14 +65,14 @@
         scope.launch {
             while (true) {
                 tick()
-                delay(TICK_MS)
+                delay(TICK_MILLIS)
             }
         }
         loop.run()
     }
 
     private fun logMetrics() {
-        if (!log.isDebugEnabled || System.nanoTime() - metricsAt < METRICS_NS) return
+        if (!log.isDebugEnabled || System.nanoTime() - metricsAt < METRICS_NANOS) return
         metricsAt = System.nanoTime()
         log.debug("metrics: {} net.open={}", metrics.line(controller.work), server.open)
     }
@@ -80,11 +80,11 @@
     /** A short life with itself as state service, cloud and worker, so that every path of I/O is walked once. */
     fun rehearse() {
         // A deployment without guarantees rents in another way, and gangs take ways of their own.
-        val gang = GangTimings(settings.workers.reportS, settings.workers.reportS)
+        val gang = GangTimings(settings.workers.reportSeconds, settings.workers.reportSeconds)
         val unguaranteed = settings.teams.mapValues { it.value.copy(cpus = 0.0) }
         WarmUp(settings.copy(teams = unguaranteed, workers = settings.workers.copy(gang = gang))).run()
         scope.launch {
-            delay(REHEARSAL_MS)
+            delay(REHEARSAL_MILLIS)
             loop.stop()
         }
         start {
@@ -141,9 +141,9 @@
     }
 
     private companion object {
-        const val TICK_MS = 100L
-        const val METRICS_NS = 60_000_000_000L
-        const val REHEARSAL_MS = 2_000L
+        const val TICK_MILLIS = 100L
+        const val METRICS_NANOS = 60_000_000_000L
+        const val REHEARSAL_MILLIS = 2_000L
         const val STATUS_FAILED = 70
 
         /** A worker reports at the latest after one and a quarter report intervals. */
--- a/src/main/kotlin/burlridge/app/SettingsFiles.kt
+++ b/src/main/kotlin/burlridge/app/SettingsFiles.kt
@@ -1,8 +1,8 @@
 package burlridge.app
 
+import burlridge.settings.InvalidSettingsException
 import burlridge.settings.OperatorSettings
 import burlridge.settings.Settings
-import burlridge.settings.InvalidSettingsException
 import java.io.File
 import java.io.IOException
 
--- a/src/main/kotlin/burlridge/app/WarmUp.kt
+++ b/src/main/kotlin/burlridge/app/WarmUp.kt
@@ -26,9 +26,9 @@
     fun run() {
         var now = 0.0
         repeat(STEPS) { step ->
-            now += STEP_S
+            now += STEP_SECONDS
             inputs += Input.Tick
-            if (step % STEPS_A_JOB == 0) {
+            if (step % STEPS_PER_JOB == 0) {
                 val job = "j-${step.toString().padStart(ID_DIGITS, '0')}"
                 inputs +=
                     Input.Request(nextId++, "POST", "/api/jobs", "", JOB.replace("ID", job).replace("TEAM", settings.teams.keys.first()))
@@ -36,7 +36,7 @@
                 inputs += Input.Request(nextId++, "POST", "/agent/beat", "", Json.write(report()))
             }
             while (inputs.isNotEmpty()) {
-                core.step(inputs.removeFirst(), now, (now * MS_A_S).toLong()).forEach { if (it is Effect.HttpCall) reply(it) }
+                core.step(inputs.removeFirst(), now, (now * MILLIS_PER_SECOND).toLong()).forEach { if (it is Effect.HttpCall) reply(it) }
             }
         }
     }
@@ -98,9 +98,9 @@
     private companion object {
         const val STEPS = 32
         const val ID_DIGITS = 6
-        const val STEP_S = 0.1
-        const val STEPS_A_JOB = 4
-        const val MS_A_S = 1000
+        const val STEP_SECONDS = 0.1
+        const val STEPS_PER_JOB = 4
+        const val MILLIS_PER_SECOND = 1000
         const val OK = 200
         const val NOT_FOUND = 404
         const val FIRST_TOKEN = 1L shl 20
--- a/src/main/kotlin/burlridge/balance/Balance.kt
+++ b/src/main/kotlin/burlridge/balance/Balance.kt
@@ -46,11 +46,11 @@
             ports.fleet.catalog
                 ?.types
                 ?.get(type)
-                ?.bootS ?: 0.0
+                ?.bootSeconds ?: 0.0
         }
     private val safety = DrainSafety(context.settings, ports.registry, workers, ports.fleet)
     private val times = context.settings.workers
-    private val retentionMs = (times.leaseS * RETENTION_LEASES * MS_A_S).toLong()
+    private val retentionMillis = (times.leaseSeconds * RETENTION_LEASES * MILLIS_PER_SECOND).toLong()
     private var sweepAt = 0.0
     private var progress: Map<Drain, DrainProgress> = emptyMap()
 
@@ -85,11 +85,11 @@
 
     override fun startsLeft(machine: Machine): Int = slowStart.startsLeft(machine)
 
-    override fun fetchS(
+    override fun fetchSeconds(
         machine: Machine,
         spec: JobSpec,
-        aloneS: Double,
-    ): Double = if (settings.coldReports > 0) slowStart.fetchS(machine, spec, aloneS) else aloneS
+        aloneSeconds: Double,
+    ): Double = if (settings.coldReports > 0) slowStart.fetchSeconds(machine, spec, aloneSeconds) else aloneSeconds
 
     private fun rebuildIndex() {
         index.rebuild(drains.all)
@@ -143,7 +143,7 @@
 
     fun tick() {
         if (context.now < sweepAt) return
-        sweepAt = context.now + times.reportS / SWEEPS_A_REPORT
+        sweepAt = context.now + times.reportSeconds / SWEEPS_PER_REPORT
         moves.tick()
         relief.tick()
         if (moves.openMoves.isNotEmpty()) placeSoon()
@@ -175,7 +175,7 @@
         return withTasks.none { it.type.isEmpty() || (drain.target is DrainTarget.InNetwork && it.address == null) }
     }
 
-    private fun isOld(drain: Drain): Boolean = context.wallMs - drain.changedMs > retentionMs
+    private fun isOld(drain: Drain): Boolean = context.wallMillis - drain.changedMillis > retentionMillis
 
     // --- what operators ask
 
@@ -224,8 +224,8 @@
     internal companion object {
         /** Rows that a new leader reads beside its others. */
         val PREFIXES: List<String> = listOf(Drain.PREFIX, MoveBatch.PREFIX)
-        private const val SWEEPS_A_REPORT = 10
-        private const val MS_A_S = 1000
+        private const val SWEEPS_PER_REPORT = 10
+        private const val MILLIS_PER_SECOND = 1000
 
         /** How long the row of a drain that is over can still be looked at, in worker leases. */
         private const val RETENTION_LEASES = 10
--- a/src/main/kotlin/burlridge/balance/BalanceReport.kt
+++ b/src/main/kotlin/burlridge/balance/BalanceReport.kt
@@ -14,8 +14,8 @@
             .encode(to)
             .put("state", drain.state.wire)
             .put("cause", drain.cause.wire)
-            .put("requested_ms", drain.requestedMs)
-            .put("changed_ms", drain.changedMs)
+            .put("requested_ms", drain.requestedMillis)
+            .put("changed_ms", drain.changedMillis)
         if (progress == null) return
         to
             .put("machines_left", progress.machines)
--- a/src/main/kotlin/burlridge/balance/DecisionLog.kt
+++ b/src/main/kotlin/burlridge/balance/DecisionLog.kt
@@ -10,7 +10,7 @@
     private val most: Int,
 ) {
     private class Entry(
-        val atMs: Long,
+        val atMillis: Long,
         val decision: Decision,
     )
 
@@ -18,18 +18,18 @@
 
     /** Decisions of this term, those that were dropped included. */
     private var count = 0L
-    private var sinceMs = 0L
+    private var sinceMillis = 0L
 
     fun clear() {
         entries.clear()
         count = 0
-        sinceMs = context.wallMs
+        sinceMillis = context.wallMillis
     }
 
     fun add(decision: Decision) {
         context.count(COUNTER + decision::class.java.simpleName)
         count++
-        entries.addLast(Entry(context.wallMs, decision))
+        entries.addLast(Entry(context.wallMillis, decision))
         if (entries.size > most) entries.removeFirst()
     }
 
@@ -38,13 +38,13 @@
         Json.obj {
             put("member", context.settings.member)
             put("subject", subject)
-            put("since_ms", sinceMs)
+            put("since_ms", sinceMillis)
             put("dropped", count - entries.size)
             putArray("decisions").also { list ->
                 entries.filter { subject in it.decision.subjects }.forEach { entry ->
                     list
                         .addObject()
-                        .put("at_ms", entry.atMs)
+                        .put("at_ms", entry.atMillis)
                         .put("kind", entry.decision::class.java.simpleName)
                         .put("text", entry.decision.text)
                 }
--- a/src/main/kotlin/burlridge/balance/Drain.kt
+++ b/src/main/kotlin/burlridge/balance/Drain.kt
@@ -46,8 +46,8 @@
     val target: DrainTarget,
     val cause: DrainCause,
     val state: DrainState,
-    val requestedMs: Long,
-    val changedMs: Long,
+    val requestedMillis: Long,
+    val changedMillis: Long,
     /** Revision of the row; 0 where there is none yet. */
     val modRevision: Long = 0,
 ) {
@@ -58,8 +58,8 @@
         Json.obj {
             put("st", state.wire)
             put("cause", cause.wire)
-            put("at", requestedMs)
-            put("changed", changedMs)
+            put("at", requestedMillis)
+            put("changed", changedMillis)
             target.encode(putObject("target"))
         }
 
--- a/src/main/kotlin/burlridge/balance/Drains.kt
+++ b/src/main/kotlin/burlridge/balance/Drains.kt
@@ -78,7 +78,7 @@
         val entry = entries.getOrPut(key) { Entry(null) }
         val now = entry.drain
         if (entry.writing == null && now?.active == true) return onResult(DrainChange.Written(now))
-        val next = Drain(target, cause, DrainState.REQUESTED, context.wallMs, context.wallMs, now?.modRevision ?: 0)
+        val next = Drain(target, cause, DrainState.REQUESTED, context.wallMillis, context.wallMillis, now?.modRevision ?: 0)
         change(entry, next, onResult)
     }
 
@@ -94,7 +94,7 @@
         }
         if (now == null) return onResult(DrainChange.Busy)
         if (entry.writing == null && !now.active) return onResult(DrainChange.Written(now))
-        change(entry, now.copy(state = DrainState.CANCELLED, changedMs = context.wallMs), onResult)
+        change(entry, now.copy(state = DrainState.CANCELLED, changedMillis = context.wallMillis), onResult)
     }
 
     /** Moves [drain] on; nothing happens while another change of it is being written, since the next sweep asks again. */
@@ -103,7 +103,7 @@
         state: DrainState,
     ) {
         val entry = entries[drain.rowKey] ?: return
-        if (entry.writing == null && entry.drain == drain) change(entry, drain.copy(state = state, changedMs = context.wallMs)) {}
+        if (entry.writing == null && entry.drain == drain) change(entry, drain.copy(state = state, changedMillis = context.wallMillis)) {}
     }
 
     private fun change(
@@ -158,7 +158,7 @@
             val row = (read as? ReadResult.Found)?.value
             when {
                 !mine() -> Unit
-                read is ReadResult.Failed -> context.schedule(RETRY_S) { if (mine()) readBack(entry, next) }
+                read is ReadResult.Failed -> context.schedule(RETRY_SECONDS) { if (mine()) readBack(entry, next) }
                 row != null && next.isWrittenIn(row) -> written(entry, next.copy(modRevision = row.modRevision))
                 else -> given(entry, row?.let(Drain::decode), DrainChange.Refused("its row was changed by someone else"))
             }
@@ -208,7 +208,7 @@
     }
 
     private companion object {
-        const val RETRY_S = 1.0
+        const val RETRY_SECONDS = 1.0
         const val TERM_PASSED = "its term has been passed"
     }
 }
--- a/src/main/kotlin/burlridge/balance/GracefulEviction.kt
+++ b/src/main/kotlin/burlridge/balance/GracefulEviction.kt
@@ -1,9 +1,9 @@
 package burlridge.balance
 
 import burlridge.allocation.Allocation
+import burlridge.allocation.AllocationPhase
 import burlridge.allocation.Job
 import burlridge.allocation.JobRegistry
-import burlridge.allocation.AllocationPhase
 import burlridge.allocation.JobState
 import burlridge.core.StepContext
 import burlridge.placement.MoveTargetFinder
@@ -50,8 +50,8 @@
     private val moves: Moves,
     private val targets: () -> MoveTargetFinder,
 ) {
-    private val finishS = settings.finishReports * context.settings.workers.reportS
-    private val roomS = settings.roomLeases * context.settings.workers.leaseS
+    private val finishSeconds = settings.finishReports * context.settings.workers.reportSeconds
+    private val roomSeconds = settings.roomLeases * context.settings.workers.leaseSeconds
 
     /** Since when a task has found no room elsewhere. */
     private var roomlessSince = HashMap<String, Double>()
@@ -92,9 +92,14 @@
         ): StayReason =
             when {
                 allocation.phase <= AllocationPhase.COMMITTED -> StayReason.NOT_YET
-                allocation.stopGraceS != null || allocation.phase == AllocationPhase.CHECKPOINTING || allocation.job in gangs -> StayReason.STOPPING
+
+                allocation.stopGraceSeconds != null || allocation.phase == AllocationPhase.CHECKPOINTING ||
+                    allocation.job in gangs -> StayReason.STOPPING
+
                 workers.isSilent(machine) || !machine.isResponsive || machine.leaseExpired -> StayReason.UNHEARD
+
                 endsSoon(job, allocation) -> StayReason.FINISHING
+
                 else -> tryMove(machine, job, allocation)
             }
 
@@ -110,7 +115,7 @@
             return when {
                 moves.isOpen(taskName) -> StayReason.STOPPING
                 permission == MovePermission.NEVER -> StayReason.NOT_PERMITTED
-                permission == MovePermission.SAVED && job.spec.checkpointS <= 0 -> StayReason.DOES_NOT_SAVE
+                permission == MovePermission.SAVED && job.spec.checkpointSeconds <= 0 -> StayReason.DOES_NOT_SAVE
                 count > settings.movesPerTask -> StayReason.MOVED_OFTEN
                 moves.writing || planned.size >= moves.mostPerRow -> StayReason.OVER_BUDGET
                 else -> plan(machine, job, allocation, task, count)
@@ -140,7 +145,7 @@
         private fun waitedLong(taskName: String): Boolean {
             val since = roomlessSince[taskName] ?: context.now
             roomless[taskName] = since
-            return context.now >= since + roomS
+            return context.now >= since + roomSeconds
         }
 
         fun finish() {
@@ -155,10 +160,14 @@
         allocation: Allocation,
     ): Boolean {
         // Of a task that an earlier leader started, what is known is that it has run since this one knows of it.
-        val since = allocation.startedAt ?: allocation.allocatedAt.takeIf { allocation.inherited && allocation.phase == AllocationPhase.RUNNING }
-        val ranS = since?.let { context.now - it } ?: 0.0
-        val leftS = (job.usualRunS ?: job.spec.estimateS) * UNSURE - ranS
-        return leftS in 0.0..finishS
+        val since =
+            allocation.startedAt ?: allocation.allocatedAt.takeIf {
+                allocation.inherited &&
+                    allocation.phase == AllocationPhase.RUNNING
+            }
+        val ranSeconds = since?.let { context.now - it } ?: 0.0
+        val leftSeconds = (job.usualRunSeconds ?: job.spec.estimateSeconds) * UNSURE - ranSeconds
+        return leftSeconds in 0.0..finishSeconds
     }
 
     private companion object {
--- a/src/main/kotlin/burlridge/balance/HotspotMitigation.kt
+++ b/src/main/kotlin/burlridge/balance/HotspotMitigation.kt
@@ -1,9 +1,9 @@
 package burlridge.balance
 
 import burlridge.allocation.Allocation
+import burlridge.allocation.AllocationPhase
 import burlridge.allocation.Job
 import burlridge.allocation.JobRegistry
-import burlridge.allocation.AllocationPhase
 import burlridge.core.StepContext
 import burlridge.placement.MoveTargetFinder
 import burlridge.settings.BalanceSettings
@@ -14,19 +14,19 @@
 /** What a move costs and gains, in seconds until the task's end. */
 internal data class MoveGain(
     /** Work that is left, in seconds on a machine of the usual pace. */
-    val leftS: Double,
+    val leftSeconds: Double,
     /** How many times as long it takes where it is. */
     val slowdown: Double,
     /** Work that is done again. */
-    val lostS: Double,
-    val saveS: Double,
-    val fetchS: Double,
+    val lostSeconds: Double,
+    val saveSeconds: Double,
+    val fetchSeconds: Double,
     /** Until the stop is proven and the start has arrived. */
-    val changeS: Double,
+    val changeSeconds: Double,
 ) {
     /** The slowdown is an estimate: only a part of it is sure. */
-    val gainS: Double get() = leftS * (slowdown - 1.0) * SURE_PART - costS
-    val costS: Double get() = lostS + saveS + fetchS + changeS
+    val gainSeconds: Double get() = leftSeconds * (slowdown - 1.0) * SURE_PART - costSeconds
+    val costSeconds: Double get() = lostSeconds + saveSeconds + fetchSeconds + changeSeconds
 
     private companion object {
         const val SURE_PART = 0.7
@@ -47,7 +47,7 @@
     private val targets: () -> MoveTargetFinder,
 ) {
     private val times = context.settings.workers
-    val picture: LoadTracker = LoadTracker(settings, minOf(times.leaseS, LONGEST_HALF_LIFE_S))
+    val picture: LoadTracker = LoadTracker(settings, minOf(times.leaseSeconds, LONGEST_HALF_LIFE_SECONDS))
     private var judgeAt = 0.0
 
     /** Machines that get nothing new, by name; empty where the picture is not to be relied on. */
@@ -73,12 +73,12 @@
     fun ended(
         machine: Machine,
         job: Job,
-        ranS: Double,
-    ) = picture.ended(machine.id, job, ranS, context.now)
+        ranSeconds: Double,
+    ) = picture.ended(machine.id, job, ranSeconds, context.now)
 
     fun tick() {
         if (settings.hotFactor <= 0.0 || context.now < judgeAt) return
-        judgeAt = context.now + times.reportS / 2
+        judgeAt = context.now + times.reportSeconds / 2
         picture.keepOnly(workers.machines.keys)
         val before = hot
         hot = judge()
@@ -111,7 +111,8 @@
             val (job, allocation) = mostGaining(machine) ?: continue
             val spec = job.spec
             val count = moves.countOf(allocation.taskName) + 1
-            val move = Move(allocation.job, allocation.task, allocation.attempt, spec.team, spec.jobClass, id, null, count, 1, MoveReason.HOT)
+            val move =
+                Move(allocation.job, allocation.task, allocation.attempt, spec.team, spec.jobClass, id, null, count, 1, MoveReason.HOT)
             if (count > settings.movesPerTask || !moves.permits(move)) continue
             val target = room.take(job, allocation) { candidate -> isWorth(job, allocation, machine, candidate) } ?: continue
             moves.spend(move)
@@ -125,20 +126,28 @@
             ?.values
             .orEmpty()
             .mapNotNull { allocation -> registry.jobs[allocation.job]?.takeIf { mayMove(it, allocation) }?.let { it to allocation } }
-            .maxByOrNull { (job, allocation) -> gain(job, allocation, machine, fetchS = 0.0)?.gainS ?: Double.NEGATIVE_INFINITY }
-            ?.takeIf { (job, allocation) -> (gain(job, allocation, machine, fetchS = 0.0)?.gainS ?: 0.0) > leastGainS }
+            .maxByOrNull { (job, allocation) ->
+                gain(job, allocation, machine, fetchSeconds = 0.0)?.gainSeconds
+                    ?: Double.NEGATIVE_INFINITY
+            }?.takeIf { (job, allocation) ->
+                (gain(job, allocation, machine, fetchSeconds = 0.0)?.gainSeconds ?: 0.0) > leastGainSeconds
+            }
 
-    private val leastGainS = settings.gainReports * times.reportS
+    private val leastGainSeconds = settings.gainReports * times.reportSeconds
 
     private fun mayMove(
         job: Job,
         allocation: Allocation,
     ): Boolean {
-        if (job.spec.gang || job.ending != null || allocation.phase != AllocationPhase.RUNNING || allocation.stopGraceS != null) return false
+        if (job.spec.gang || job.ending != null || allocation.phase != AllocationPhase.RUNNING ||
+            allocation.stopGraceSeconds != null
+        ) {
+            return false
+        }
         if (moves.isOpen(allocation.taskName)) return false
         return when (settings.permission(job.spec.jobClass)) {
             MovePermission.NEVER -> false
-            MovePermission.SAVED -> job.spec.checkpointS > 0
+            MovePermission.SAVED -> job.spec.checkpointSeconds > 0
             MovePermission.REPEAT -> true
         }
     }
@@ -150,22 +159,29 @@
         to: MoveTargetFinder.Candidate,
     ): Boolean {
         if (to.machine.id in hot || picture.slowdown(to.machine.id, context.now) > settings.coolFactor) return false
-        return (gain(job, allocation, from, to.fetchS)?.gainS ?: 0.0) > leastGainS
+        return (gain(job, allocation, from, to.fetchSeconds)?.gainSeconds ?: 0.0) > leastGainSeconds
     }
 
     private fun gain(
         job: Job,
         allocation: Allocation,
         machine: Machine,
-        fetchS: Double,
+        fetchSeconds: Double,
     ): MoveGain? {
-        val expectedS = picture.expectedRunS(job) ?: return null
-        val ranS = context.now - (allocation.startedAt ?: return null)
+        val expectedSeconds = picture.expectedRunSeconds(job) ?: return null
+        val ranSeconds = context.now - (allocation.startedAt ?: return null)
         val slowdown = picture.slowdown(machine.id, context.now)
         // One that should be over by now may end at any moment: nothing is sure to be gained.
-        val leftS = (expectedS - ranS / slowdown).takeIf { it > 0.0 } ?: return null
-        val saves = job.spec.checkpointS > 0
-        return MoveGain(leftS, slowdown, if (saves) 0.0 else ranS, if (saves) job.spec.saveS else 0.0, fetchS, times.reportS / 2)
+        val leftSeconds = (expectedSeconds - ranSeconds / slowdown).takeIf { it > 0.0 } ?: return null
+        val saves = job.spec.checkpointSeconds > 0
+        return MoveGain(
+            leftSeconds,
+            slowdown,
+            if (saves) 0.0 else ranSeconds,
+            if (saves) job.spec.saveSeconds else 0.0,
+            fetchSeconds,
+            times.reportSeconds / 2,
+        )
     }
 
     private companion object {
@@ -174,6 +190,6 @@
         const val MOST_UNHEARD = 0.5
 
         /** A mark must fade well before the 90 s within which a job gets what room there is. */
-        const val LONGEST_HALF_LIFE_S = 20.0
+        const val LONGEST_HALF_LIFE_SECONDS = 20.0
     }
 }
--- a/src/main/kotlin/burlridge/balance/LoadTracker.kt
+++ b/src/main/kotlin/burlridge/balance/LoadTracker.kt
@@ -23,7 +23,7 @@
 internal class LoadTracker(
     private val settings: BalanceSettings,
     /** After this time without evidence half of what was learned of a machine still counts, in seconds. */
-    private val halfLifeS: Double,
+    private val halfLifeSeconds: Double,
 ) {
     private class MachineLoad {
         var slowdown = 1.0
@@ -46,7 +46,7 @@
         private set
 
     /** What the picture takes at the most, in bytes. */
-    val sizeBytes: Long get() = machines.size * BYTES_A_MACHINE + classes.size * BYTES_A_MACHINE
+    val sizeBytes: Long get() = machines.size * BYTES_PER_MACHINE + classes.size * BYTES_PER_MACHINE
 
     fun clear() {
         machines.clear()
@@ -58,41 +58,41 @@
         if (machines.size > known.size * 2 + FEW) machines.keys.retainAll(known)
     }
 
-    /** A task of [job] has run to its end on [machine] in [ranS]. */
+    /** A task of [job] has run to its end on [machine] in [ranSeconds]. */
     fun ended(
         machine: String,
         job: Job,
-        ranS: Double,
+        ranSeconds: Double,
         now: Double,
     ) {
-        if (!isPlausible(ranS)) return
-        expectedRunS(job)?.let { learn(machine, ranS / it, END_WEIGHT, now) }
+        if (!isPlausible(ranSeconds)) return
+        expectedRunSeconds(job)?.let { learn(machine, ranSeconds / it, END_WEIGHT, now) }
         val pace = classes.getOrPut(job.spec.jobClass) { ClassPace() }
-        val ratio = ranS / job.spec.estimateS.coerceAtLeast(1.0)
+        val ratio = ranSeconds / job.spec.estimateSeconds.coerceAtLeast(1.0)
         pace.samples++
         pace.ratio += (ratio - pace.ratio) * maxOf(END_WEIGHT, 1.0 / pace.samples)
     }
 
-    /** A task of [job] still runs on [machine] after [ranS]; news only once it is overdue. */
+    /** A task of [job] still runs on [machine] after [ranSeconds]; news only once it is overdue. */
     fun runs(
         machine: String,
         job: Job,
-        ranS: Double,
+        ranSeconds: Double,
         now: Double,
     ) {
-        if (!isPlausible(ranS)) return
-        val ratio = ranS / (expectedRunS(job) ?: return)
+        if (!isPlausible(ranSeconds)) return
+        val ratio = ranSeconds / (expectedRunSeconds(job) ?: return)
         if (ratio > 1.0) learn(machine, ratio, OVERDUE_WEIGHT, now)
     }
 
     /** A clock that jumped, or a start that was never seen, teaches nothing. */
-    private fun isPlausible(ranS: Double): Boolean = ranS.isFinite() && ranS > 0.0 && ranS < LONGEST_RUN_S
+    private fun isPlausible(ranSeconds: Double): Boolean = ranSeconds.isFinite() && ranSeconds > 0.0 && ranSeconds < LONGEST_RUN_SECONDS
 
     /** By others of the same job, else by its class; null where neither is known yet. */
-    fun expectedRunS(job: Job): Double? {
-        job.usualRunS?.let { return it.coerceAtLeast(1.0) }
+    fun expectedRunSeconds(job: Job): Double? {
+        job.usualRunSeconds?.let { return it.coerceAtLeast(1.0) }
         val pace = classes[job.spec.jobClass]?.takeIf { it.samples >= FEW } ?: return null
-        return (job.spec.estimateS * pace.ratio).coerceAtLeast(1.0)
+        return (job.spec.estimateSeconds * pace.ratio).coerceAtLeast(1.0)
     }
 
     private fun learn(
@@ -113,7 +113,7 @@
     private fun faded(
         load: MachineLoad,
         now: Double,
-    ): Double = 1.0 + (load.slowdown - 1.0) * Math.pow(0.5, (now - load.learnedAt) / halfLifeS)
+    ): Double = 1.0 + (load.slowdown - 1.0) * Math.pow(0.5, (now - load.learnedAt) / halfLifeSeconds)
 
     /** How many times as long as elsewhere tasks take on [machine], as far as is known. */
     fun slowdown(
@@ -144,9 +144,9 @@
 
         /** More than this is one and the same: such a machine is left for being slow. */
         private const val MOST_SLOWDOWN = 4.0
-        private const val LONGEST_RUN_S = 1e6
+        private const val LONGEST_RUN_SECONDS = 1e6
 
         /** An entry with its key, object and place in the table, generously. */
-        private const val BYTES_A_MACHINE = 200L
+        private const val BYTES_PER_MACHINE = 200L
     }
 }
--- a/src/main/kotlin/burlridge/balance/MachineRequests.kt
+++ b/src/main/kotlin/burlridge/balance/MachineRequests.kt
@@ -43,7 +43,7 @@
     ) {
         val leader = leadership.knownLeader?.takeIf { it != context.settings.member }
         if (leader == null) return onResult(HttpResponse.unavailable("no leader is known; ask again"))
-        peers.forward(leader, method, path, body, ANSWER_S) { answer ->
+        peers.forward(leader, method, path, body, ANSWER_SECONDS) { answer ->
             onResult(
                 when {
                     answer == null -> HttpResponse.unavailable("the leader $leader does not answer; ask again: asked twice it is one drain")
@@ -78,8 +78,8 @@
 
     /** What was held up on its way must not undo what was asked since: whoever asked has given it up. */
     private fun isStale(request: JsonNode?): Boolean {
-        val askedMs = request?.path(ASKED)?.takeIf { it.isIntegralNumber } ?: return false
-        return context.wallMs - askedMs.asLong() > MOST_AGE_MS
+        val askedMillis = request?.path(ASKED)?.takeIf { it.isIntegralNumber } ?: return false
+        return context.wallMillis - askedMillis.asLong() > MOST_AGE_MILLIS
     }
 
     private fun isForced(request: JsonNode?): Boolean = request?.path("force")?.asBoolean(false) ?: false
@@ -101,7 +101,7 @@
             onResult(answer)
         }
         context.schedule(
-            WRITE_S,
+            WRITE_SECONDS,
         ) { answer(HttpResponse.unavailable("not known to be durable yet; ask again: asked twice it is one drain")) }
         return ::answer
     }
@@ -120,13 +120,13 @@
         const val ASKED: String = "asked_ms"
 
         /** How long whoever asks waits for the answer, and what times of day may differ by. */
-        private const val MOST_AGE_MS = 7_000
+        private const val MOST_AGE_MILLIS = 7_000
         private const val OK = 200
         private const val MALFORMED = 400
         private const val NOT_FOUND = 404
         private const val NOT_ALLOWED = 405
         private const val CONFLICT = 409
-        private const val WRITE_S = 3.0
-        private const val ANSWER_S = 4.0
+        private const val WRITE_SECONDS = 3.0
+        private const val ANSWER_SECONDS = 4.0
     }
 }
--- a/src/main/kotlin/burlridge/balance/Move.kt
+++ b/src/main/kotlin/burlridge/balance/Move.kt
@@ -47,7 +47,7 @@
 /** Moves planned at one time, in one row; it stays until all of their jobs are over, so that no leader moves a task too often. */
 internal class MoveBatch(
     val key: String,
-    val plannedMs: Long,
+    val plannedMillis: Long,
     val moves: List<Move>,
 ) {
     var durable: Boolean = false
@@ -56,7 +56,7 @@
     fun encode(): JsonNode =
         Json.obj {
             put("st", "planned")
-            put("at", plannedMs)
+            put("at", plannedMillis)
             val jobs = putObject("jobs")
             moves.groupBy { it.job }.forEach { (id, ofJob) ->
                 val row = jobs.putArray(id)
@@ -80,7 +80,7 @@
         const val PREFIX: String = "move/"
 
         /** What a move and its job's charge take of a row, with room to spare. */
-        const val BYTES_A_MOVE: Int = 330
+        const val BYTES_PER_MOVE: Int = 330
 
         /** Null for a row that is damaged, or of another version. */
         fun decode(row: Row): MoveBatch? {
--- a/src/main/kotlin/burlridge/balance/MoveBudget.kt
+++ b/src/main/kotlin/burlridge/balance/MoveBudget.kt
@@ -7,7 +7,7 @@
     private val settings: BalanceSettings,
 ) {
     private class Spent(
-        val atMs: Long,
+        val atMillis: Long,
         val move: Move,
     )
 
@@ -18,17 +18,17 @@
     /** Moves come in the order of time but for those of rows, which come in no order. */
     fun spend(
         move: Move,
-        atMs: Long,
+        atMillis: Long,
     ) {
-        window.addLast(Spent(atMs, move))
+        window.addLast(Spent(atMillis, move))
     }
 
     /** Whether [move] keeps to every budget; a gang that is larger than one is never moved. */
     fun permits(
         move: Move,
-        nowMs: Long,
+        nowMillis: Long,
     ): Boolean {
-        window.removeIf { nowMs - it.atMs > WINDOW_MS }
+        window.removeIf { nowMillis - it.atMillis > WINDOW_MILLIS }
         return within(settings.movesPerMinute, move) { true } &&
             within(settings.classMovesPerMinute, move) { it.jobClass == move.jobClass } &&
             within(settings.teamMovesPerMinute, move) { it.team == move.team }
@@ -41,10 +41,10 @@
     ): Boolean = move.tasks <= most - window.sumOf { if (counts(it.move)) it.move.tasks else 0 }
 
     /** Tasks moved within the last minute or so. */
-    fun spent(nowMs: Long): Int = window.sumOf { if (nowMs - it.atMs > WINDOW_MS) 0 else it.move.tasks }
+    fun spent(nowMillis: Long): Int = window.sumOf { if (nowMillis - it.atMillis > WINDOW_MILLIS) 0 else it.move.tasks }
 
     internal companion object {
         /** A minute, and with it what the times of day of two leaders may differ by. */
-        const val WINDOW_MS: Long = 65_000
+        const val WINDOW_MILLIS: Long = 65_000
     }
 }
--- a/src/main/kotlin/burlridge/balance/Moves.kt
+++ b/src/main/kotlin/burlridge/balance/Moves.kt
@@ -1,8 +1,8 @@
 package burlridge.balance
 
-import burlridge.allocation.GangState
 import burlridge.allocation.Allocation
 import burlridge.allocation.GangRules
+import burlridge.allocation.GangState
 import burlridge.allocation.Job
 import burlridge.allocation.JobRegistry
 import burlridge.allocation.JobState
@@ -45,7 +45,7 @@
     private val open = LinkedHashMap<String, Open>()
     private val counts = HashMap<String, Int>()
     private var nextBatch = 0L
-    private val keepMs = (settings.keepLeases * context.settings.workers.leaseS * MS_A_S).toLong()
+    private val keepMillis = (settings.keepLeases * context.settings.workers.leaseSeconds * MILLIS_PER_SECOND).toLong()
 
     /** Keys of rows that cannot be read; they are left as they are. */
     val damaged: LinkedHashSet<String> = LinkedHashSet()
@@ -54,10 +54,10 @@
     var writing: Boolean = false
         private set
     val openMoves: List<Move> get() = open.values.map { it.move }
-    val spentLately: Int get() = budget.spent(context.wallMs)
+    val spentLately: Int get() = budget.spent(context.wallMillis)
 
     /** How many moves one row holds. */
-    val mostPerRow: Int = (context.settings.store.valueBytes / MoveBatch.BYTES_A_MOVE).coerceAtLeast(1)
+    val mostPerRow: Int = (context.settings.store.valueBytes / MoveBatch.BYTES_PER_MOVE).coerceAtLeast(1)
 
     fun clear() {
         budget.clear()
@@ -81,7 +81,7 @@
     private fun remember(batch: MoveBatch) {
         batches[batch.key] = batch
         for (move in batch.moves) {
-            budget.spend(move, batch.plannedMs)
+            budget.spend(move, batch.plannedMillis)
             counts.merge(move.taskName, move.count, ::maxOf)
             val before = open[move.taskName]
             if (before == null || before.move.attempt < move.attempt) open[move.taskName] = Open(move, batch)
@@ -93,14 +93,14 @@
     /** How often the task has been moved, by any leader. */
     fun countOf(taskName: String): Int = counts[taskName] ?: 0
 
-    fun permits(move: Move): Boolean = budget.permits(move, context.wallMs)
+    fun permits(move: Move): Boolean = budget.permits(move, context.wallMillis)
 
     /** Counts [move] before its row is written, so that the next one asked about sees it. */
-    fun spend(move: Move) = budget.spend(move, context.wallMs)
+    fun spend(move: Move) = budget.spend(move, context.wallMillis)
 
     /** Writes the row of [moves], which have been spent, and then stops their tasks. */
     fun plan(moves: List<Move>) {
-        val batch = MoveBatch("${MoveBatch.PREFIX}${leadership.term}-${nextBatch++}", context.wallMs, moves)
+        val batch = MoveBatch("${MoveBatch.PREFIX}${leadership.term}-${nextBatch++}", context.wallMillis, moves)
         batches[batch.key] = batch
         for (move in moves) {
             counts[move.taskName] = move.count
@@ -179,7 +179,7 @@
         return when {
             allocation == null -> job.done.get(move.task) || givesUpRoom(open)
             allocation.attempt != move.attempt -> true
-            open.stopped || allocation.stopGraceS != null -> false
+            open.stopped || allocation.stopGraceSeconds != null -> false
             isPutBack(move) -> putBack(move)
             else -> !stop(open, job, allocation)
         }
@@ -202,7 +202,7 @@
         allocation: Allocation,
     ): Boolean {
         open.stopped = true
-        allocation.stopGraceS = if (job.spec.checkpointS > 0) job.spec.saveS * GangRules.GRACE else 0.0
+        allocation.stopGraceSeconds = if (job.spec.checkpointSeconds > 0) job.spec.saveSeconds * GangRules.GRACE else 0.0
         workers.machines[allocation.machine]?.let(workers::command)
         return true
     }
@@ -222,7 +222,7 @@
 
     private fun mayKeepRoom(open: Open): Boolean {
         val machine = open.move.to?.let { workers.machines[it] } ?: return false
-        return context.wallMs < open.batch.plannedMs + keepMs && machine.up && !machine.leaseExpired && !machine.draining &&
+        return context.wallMillis < open.batch.plannedMillis + keepMillis && machine.up && !machine.leaseExpired && !machine.draining &&
             machine.reclaimAt == null
     }
 
@@ -239,7 +239,7 @@
         }
 
     private fun isUnused(batch: MoveBatch): Boolean =
-        batch.durable && !batch.removing && context.wallMs - batch.plannedMs > MoveBudget.WINDOW_MS &&
+        batch.durable && !batch.removing && context.wallMillis - batch.plannedMillis > MoveBudget.WINDOW_MILLIS &&
             batch.moves.none { it.job in registry.jobs }
 
     private fun remove(unused: List<MoveBatch>) {
@@ -260,6 +260,6 @@
     }
 
     private companion object {
-        const val MS_A_S = 1000
+        const val MILLIS_PER_SECOND = 1000
     }
 }
--- a/src/main/kotlin/burlridge/balance/SlowStart.kt
+++ b/src/main/kotlin/burlridge/balance/SlowStart.kt
@@ -17,9 +17,9 @@
     private val settings: BalanceSettings,
     private val registry: JobRegistry,
     /** Seconds that machines of a type usually take to come up. */
-    private val bootS: (type: String) -> Double,
+    private val bootSeconds: (type: String) -> Double,
 ) {
-    private val coldS = settings.coldReports * context.settings.workers.reportS
+    private val coldSeconds = settings.coldReports * context.settings.workers.reportSeconds
 
     /** How many more starts [machine] may get now; [UNLIMITED] once it has been there for a while. */
     fun startsLeft(machine: Machine): Int {
@@ -29,10 +29,10 @@
     }
 
     private fun isCold(machine: Machine): Boolean {
-        if (coldS <= 0.0) return false
+        if (coldSeconds <= 0.0) return false
         // To a new leader each machine is new: how long it can have been up is told by the time of its rental.
-        val upSince = if (machine.rentedAt > 0) minOf(machine.upSince, machine.rentedAt + bootS(machine.type) * LONG_BOOT) else NEVER
-        return context.now < maxOf(upSince, machine.sessionBeganAt) + coldS
+        val upSince = if (machine.rentedAt > 0) minOf(machine.upSince, machine.rentedAt + bootSeconds(machine.type) * LONG_BOOT) else NEVER
+        return context.now < maxOf(upSince, machine.sessionBeganAt) + coldSeconds
     }
 
     private fun starting(machine: Machine): List<Allocation> =
@@ -41,16 +41,19 @@
             ?.filter { it.phase < AllocationPhase.AWAITING_GANG }
             .orEmpty()
 
-    /** How long [spec]'s image takes to be there, which takes [aloneS] if nothing else is fetched: images share the machine's rate. */
-    fun fetchS(
+    /**
+     * How long [spec]'s image takes to be there, which takes [aloneSeconds] if nothing else is fetched: images share the machine's
+     * rate.
+     */
+    fun fetchSeconds(
         machine: Machine,
         spec: JobSpec,
-        aloneS: Double,
+        aloneSeconds: Double,
     ): Double {
-        if (aloneS <= 0.0) return 0.0
+        if (aloneSeconds <= 0.0) return 0.0
         val images = starting(machine).mapNotNullTo(HashSet()) { registry.jobs[it.job]?.spec?.image }
         images.removeAll(machine.images.keys)
-        return if (images.remove(spec.image)) aloneS * HALF_DONE * (1 + images.size) else aloneS * (1 + images.size)
+        return if (images.remove(spec.image)) aloneSeconds * HALF_DONE * (1 + images.size) else aloneSeconds * (1 + images.size)
     }
 
     internal companion object {
--- a/src/main/kotlin/burlridge/core/Effects.kt
+++ b/src/main/kotlin/burlridge/core/Effects.kt
@@ -59,7 +59,7 @@
         val id: Long,
         val status: Int,
         val body: String,
-        val retryAfterS: Int?,
+        val retryAfterSeconds: Int?,
         override val sendDeadline: Double = NO_DEADLINE,
     ) : Effect
 
@@ -69,7 +69,7 @@
         val method: String,
         val path: String,
         val body: String?,
-        val timeoutS: Double,
+        val timeoutSeconds: Double,
         override val sendDeadline: Double = NO_DEADLINE,
     ) : Effect
 
@@ -82,7 +82,7 @@
     /** For whoever keeps traces; sent only where an operator switched them on. */
     data class Trace(
         val event: TraceEvent,
-        val wallMs: Long,
+        val wallMillis: Long,
     ) : Effect
 
     data class Log(
--- a/src/main/kotlin/burlridge/core/LogRateLimiter.kt
+++ b/src/main/kotlin/burlridge/core/LogRateLimiter.kt
@@ -12,7 +12,7 @@
         kind: String,
         now: Double,
     ): Boolean {
-        if (seen.isEmpty()) endsAt = now + WINDOW_S
+        if (seen.isEmpty()) endsAt = now + WINDOW_SECONDS
         return seen.addTo(kind, 1) < MOST_ALIKE
     }
 
@@ -29,7 +29,7 @@
     }
 
     private companion object {
-        const val WINDOW_S = 1.0
+        const val WINDOW_SECONDS = 1.0
         const val MOST_ALIKE = 20
     }
 }
--- a/src/main/kotlin/burlridge/core/StepContext.kt
+++ b/src/main/kotlin/burlridge/core/StepContext.kt
@@ -17,7 +17,7 @@
         private set
 
     /** The time of day, within the bound that the settings give; only for ages that outlive a process. */
-    var wallMs: Long = 0
+    var wallMillis: Long = 0
         private set
     val random: Random = Random(seed)
     private var effects = ArrayList<Effect>()
@@ -47,9 +47,9 @@
 
     fun beginStep(
         now: Double,
-        wallMs: Long,
+        wallMillis: Long,
     ) {
-        this.wallMs = wallMs
+        this.wallMillis = wallMillis
         this.now = maxOf(now, this.now)
         logRateLimiter.summarize(this.now).forEach(::info)
     }
@@ -61,13 +61,13 @@
         method: String,
         path: String,
         body: String?,
-        timeoutS: Double,
+        timeoutSeconds: Double,
         sendDeadline: Double = Effect.NO_DEADLINE,
         onResult: (CallOutcome) -> Unit,
     ) {
         val id = nextCallId++
         pendingCalls.put(id, onResult)
-        effects += Effect.HttpCall(id, target, method, path, body, timeoutS, sendDeadline)
+        effects += Effect.HttpCall(id, target, method, path, body, timeoutSeconds, sendDeadline)
     }
 
     fun complete(done: Input.CallCompleted) {
@@ -78,7 +78,7 @@
         id: Long,
         answer: HttpResponse,
     ) {
-        effects += Effect.Respond(id, answer.status, answer.body, answer.retryAfterS, answer.sendDeadline)
+        effects += Effect.Respond(id, answer.status, answer.body, answer.retryAfterSeconds, answer.sendDeadline)
     }
 
     fun send(
@@ -93,12 +93,12 @@
         effects += effect
     }
 
-    /** Runs [work] at the first step that comes [delayS] from now or later. */
+    /** Runs [work] at the first step that comes [delaySeconds] from now or later. */
     fun schedule(
-        delayS: Double,
+        delaySeconds: Double,
         work: () -> Unit,
     ) {
-        scheduled.add(ScheduledWork(now + delayS, nextOrder++, work))
+        scheduled.add(ScheduledWork(now + delaySeconds, nextOrder++, work))
     }
 
     fun runDue() {
@@ -134,7 +134,7 @@
 internal data class HttpResponse(
     val status: Int,
     val body: String,
-    val retryAfterS: Int? = null,
+    val retryAfterSeconds: Int? = null,
     /** After this time of the steady clock it must not be given any more. */
     val sendDeadline: Double = Effect.NO_DEADLINE,
 ) {
@@ -146,7 +146,7 @@
 
         fun unavailable(
             reason: String,
-            retryAfterS: Int = 1,
-        ): HttpResponse = HttpResponse(503, Json.write(Json.obj { put("error", reason) }), retryAfterS)
+            retryAfterSeconds: Int = 1,
+        ): HttpResponse = HttpResponse(503, Json.write(Json.obj { put("error", reason) }), retryAfterSeconds)
     }
 }
--- a/src/main/kotlin/burlridge/failover/ArrivalWindow.kt
+++ b/src/main/kotlin/burlridge/failover/ArrivalWindow.kt
@@ -9,7 +9,7 @@
  * failure detector of Hayashibara et al., with the normal distribution's tail approximated by a logistic function.
  */
 internal class ArrivalWindow(
-    private val expectedS: Double,
+    private val expectedSeconds: Double,
 ) {
     private val intervals = DoubleArray(CAPACITY)
     private var size = 0
@@ -18,8 +18,8 @@
     private var squares = 0.0
 
     /** Adds an interval; extreme ones are clipped, so that neither a burst after a stall nor one long silence decides the rest. */
-    fun add(intervalS: Double) {
-        val clipped = intervalS.coerceIn(expectedS * LEAST_INTERVAL, expectedS * MOST_INTERVAL)
+    fun add(intervalSeconds: Double) {
+        val clipped = intervalSeconds.coerceIn(expectedSeconds * LEAST_INTERVAL, expectedSeconds * MOST_INTERVAL)
         if (size == CAPACITY) remove(intervals[next]) else size++
         intervals[next] = clipped
         next = (next + 1) % CAPACITY
@@ -32,14 +32,14 @@
         squares -= interval * interval
     }
 
-    /** Suspicion level of a silence of [elapsedS]: 1 means one wrong suspicion in ten, 2 one in a hundred, and so on. */
-    fun level(elapsedS: Double): Double {
-        val mean = if (size == 0) expectedS else sum / size
+    /** Suspicion level of a silence of [elapsedSeconds]: 1 means one wrong suspicion in ten, 2 one in a hundred, and so on. */
+    fun level(elapsedSeconds: Double): Double {
+        val mean = if (size == 0) expectedSeconds else sum / size
         val variance = if (size == 0) 0.0 else (squares / size - mean * mean).coerceAtLeast(0.0)
         val deviation = sqrt(variance).coerceAtLeast(mean * LEAST_DEVIATION)
         // Arrivals have a heavier tail than the normal distribution: what was seen lately is no reason for suspicion either.
-        val longest = (0 until size).maxOfOrNull { intervals[it] } ?: expectedS
-        val distance = (elapsedS - maxOf(mean * (1 + TOLERATED_PAUSE), longest)) / deviation
+        val longest = (0 until size).maxOfOrNull { intervals[it] } ?: expectedSeconds
+        val distance = (elapsedSeconds - maxOf(mean * (1 + TOLERATED_PAUSE), longest)) / deviation
         val tail = exp(-distance * (LOGISTIC_LINEAR + LOGISTIC_CUBIC * distance * distance))
         val level = if (distance > 0) -log10(tail / (1 + tail)) else -log10(1 - 1 / (1 + tail))
         return level.coerceIn(0.0, MOST_LEVEL)
--- a/src/main/kotlin/burlridge/failover/Failover.kt
+++ b/src/main/kotlin/burlridge/failover/Failover.kt
@@ -39,14 +39,14 @@
 
     private val member = context.settings.member
     private val others = context.settings.others.map { it.member }
-    private val detector = FailureDetector(others, Leadership.STATUS_INTERVAL_S, settings.suspectLevel)
+    private val detector = FailureDetector(others, Leadership.STATUS_INTERVAL_SECONDS, settings.suspectLevel)
     private val replica =
         StandbyReplica(
             context,
             store,
             prefixes,
-            (context.settings.limits.memoryMb * BYTES_A_MB * settings.replicaPart).toLong(),
-            context.settings.workers.reportS * settings.refreshReports,
+            (context.settings.limits.memoryMb * BYTES_PER_MB * settings.replicaPart).toLong(),
+            context.settings.workers.reportSeconds * settings.refreshReports,
         )
     private val outgoing = OutgoingHandover(context, leadership, this)
     private val incoming = IncomingHandover(context, store, leadership, this)
@@ -81,7 +81,7 @@
     )
 
     fun tick() {
-        if (incarnation == 0L) incarnation = context.wallMs
+        if (incarnation == 0L) incarnation = context.wallMillis
         detector.tick(context.now).forEach { changed(it) }
         replica.tick(wanted = isStandby())
         outgoing.tick()
@@ -96,7 +96,7 @@
     /** A status of another member; one from outside the settings or one that was overtaken is counted and passed over. */
     fun heard(message: PeerMessage.Status) {
         val status = message.failover ?: return
-        val fromTheFuture = status.incarnation > context.wallMs + FUTURE_MS
+        val fromTheFuture = status.incarnation > context.wallMillis + FUTURE_MILLIS
         if (fromTheFuture || !detector.heard(message.from, status.incarnation, status.sequence, context.now)) {
             refuse("heartbeats", message.from)
             return
@@ -110,7 +110,7 @@
         from: String,
     ) {
         context.count("failover.${kind}_refused")
-        if (context.now < refusalsLoggedAt + leadership.leaseS * LOG_LEASES) return
+        if (context.now < refusalsLoggedAt + leadership.leaseSeconds * LOG_LEASES) return
         refusalsLoggedAt = context.now
         val soFar = context.counters.getLong("failover.${kind}_refused")
         context.info("failover $kind refused: $soFar so far, the last in the name of \"${from.take(MOST_NAME)}\"")
@@ -161,7 +161,7 @@
         successor: String,
         outcome: String,
     ) {
-        retryAt = context.now + leadership.leaseS * RETRY_LEASES
+        retryAt = context.now + leadership.leaseSeconds * RETRY_LEASES
         context.count("failover.handovers")
         trace(LeaderChangeEvent.HandoverEnded(successor, outcome))
     }
@@ -221,7 +221,7 @@
         if (problem == null) {
             trace(LeaderChangeEvent.HandoverBegan(successors().firstOrNull().orEmpty(), reason))
         } else {
-            retryAt = context.now + leadership.leaseS * RETRY_LEASES
+            retryAt = context.now + leadership.leaseSeconds * RETRY_LEASES
             context.infoRateLimited("handovers not begun", "no handover: $problem")
         }
     }
@@ -229,8 +229,8 @@
     private fun noticeStalls() {
         if (leadership.stalls > stallsSeen) stallsAt.addLast(context.now)
         stallsSeen = leadership.stalls
-        val windowS = leadership.leaseS * FailoverSettings.STALL_WINDOW_LEASES
-        while (stallsAt.isNotEmpty() && stallsAt.first() < context.now - windowS) stallsAt.removeFirst()
+        val windowSeconds = leadership.leaseSeconds * FailoverSettings.STALL_WINDOW_LEASES
+        while (stallsAt.isNotEmpty() && stallsAt.first() < context.now - windowSeconds) stallsAt.removeFirst()
     }
 
     private val isSlow: Boolean get() = settings.slowStalls > 0 && stallsAt.size >= settings.slowStalls
@@ -293,12 +293,12 @@
     ) {
         if (changes.lastOrNull()?.term == term) return
         if (changes.size == MOST_CHANGES) changes.removeFirst()
-        changes.addLast(LeaderChange(context.wallMs, term, leader, cause))
+        changes.addLast(LeaderChange(context.wallMillis, term, leader, cause))
     }
 
     private fun observe(takeover: TakeoverProgress) {
         if (context.now < takeover.lookAt) return
-        takeover.lookAt = context.now + Leadership.STATUS_INTERVAL_S / 2
+        takeover.lookAt = context.now + Leadership.STATUS_INTERVAL_SECONDS / 2
         if (!takeover.started && controller.startsSent > takeover.startsBefore) {
             takeover.started = true
             trace(LeaderChangeEvent.FirstStart(takeover.term))
@@ -317,7 +317,7 @@
     }
 
     private fun trace(event: LeaderChangeEvent) {
-        if (settings.traceFile != null) context.emit(Effect.Trace(event, context.wallMs))
+        if (settings.traceFile != null) context.emit(Effect.Trace(event, context.wallMillis))
     }
 
     // --- operators
@@ -370,12 +370,12 @@
     }
 
     internal companion object {
-        private const val BYTES_A_MB = 1024 * 1024
+        private const val BYTES_PER_MB = 1024 * 1024
         private const val MOST_CHANGES = 32
         private const val MOST_NAME = 40
 
         /** Two clocks of day differ by far less; a heartbeat from later than that would make all later ones look old. */
-        private const val FUTURE_MS = 60_000L
+        private const val FUTURE_MILLIS = 60_000L
         private const val RETRY_LEASES = 2.0
         private const val LOG_LEASES = 8.0
     }
--- a/src/main/kotlin/burlridge/failover/FailoverReport.kt
+++ b/src/main/kotlin/burlridge/failover/FailoverReport.kt
@@ -10,7 +10,7 @@
     val state: String,
     val level: Double,
     val reason: String,
-    val silentS: Double?,
+    val silentSeconds: Double?,
     val draining: Boolean,
     val slow: Boolean,
     val replicaRevision: Long,
@@ -23,7 +23,7 @@
     val bytes: Long,
     val revision: Long,
     /** Seconds since all of it was last refreshed; null where none is kept. */
-    val lagS: Double?,
+    val lagSeconds: Double?,
     val lastDiscard: String,
 )
 
@@ -63,7 +63,7 @@
                 changes.forEach { change ->
                     list
                         .addObject()
-                        .put("at_ms", change.wallMs)
+                        .put("at_ms", change.wallMillis)
                         .put("term", change.term)
                         .put("leader", change.leader)
                         .put("cause", change.cause)
@@ -83,7 +83,7 @@
             .put("draining", view.draining)
             .put("slow", view.slow)
             .put("replica_revision", view.replicaRevision)
-        view.silentS?.let { to.put("silent_s", it) }
+        view.silentSeconds?.let { to.put("silent_s", it) }
     }
 
     private fun encodeReplica(to: ObjectNode) {
@@ -93,6 +93,6 @@
             .put("bytes", replica.bytes)
             .put("revision", replica.revision)
             .put("last_discard", replica.lastDiscard)
-        replica.lagS?.let { to.put("lag_s", it) }
+        replica.lagSeconds?.let { to.put("lag_s", it) }
     }
 }
--- a/src/main/kotlin/burlridge/failover/FailureDetector.kt
+++ b/src/main/kotlin/burlridge/failover/FailureDetector.kt
@@ -35,13 +35,13 @@
  */
 internal class FailureDetector(
     members: Collection<String>,
-    private val expectedS: Double,
+    private val expectedSeconds: Double,
     private val suspectLevel: Double,
 ) {
     private class Peer(
-        expectedS: Double,
+        expectedSeconds: Double,
     ) {
-        val window = ArrivalWindow(expectedS)
+        val window = ArrivalWindow(expectedSeconds)
         var liveness = Liveness.ALIVE
         var reason = "not heard yet"
         var heardAt: Double? = null
@@ -55,7 +55,7 @@
         var restarted = false
     }
 
-    private val peers = members.associateWith { Peer(expectedS) }
+    private val peers = members.associateWith { Peer(expectedSeconds) }
     private var lastTickAt: Double? = null
     private var doubtUntil = 0.0
 
@@ -102,9 +102,9 @@
     private fun noticeOwnPause(now: Double) {
         val before = lastTickAt
         lastTickAt = now
-        if (before == null || now - before < expectedS * PAUSE_HEARTBEATS) return
+        if (before == null || now - before < expectedSeconds * PAUSE_HEARTBEATS) return
         pauses++
-        doubtUntil = now + expectedS * DOUBT_HEARTBEATS
+        doubtUntil = now + expectedSeconds * DOUBT_HEARTBEATS
         peers.values.forEach { peer -> peer.silentSince = peer.silentSince?.let { now } }
     }
 
--- a/src/main/kotlin/burlridge/failover/IncomingHandover.kt
+++ b/src/main/kotlin/burlridge/failover/IncomingHandover.kt
@@ -62,13 +62,13 @@
             }
         if (problem != null) return port.send(from, HandoverMessage.Decline(offer.attempt, problem))
         drop()
-        prepare(Prepared(offer.attempt, from, offer.term, context.now + leadership.leaseS * PATIENCE_LEASES))
+        prepare(Prepared(offer.attempt, from, offer.term, context.now + leadership.leaseSeconds * PATIENCE_LEASES))
     }
 
     private fun prepare(next: Prepared) {
         prepared = next
         val sentAt = context.now
-        store.grantLease((leadership.leaseS * MS_A_S).toLong()) { lease ->
+        store.grantLease((leadership.leaseSeconds * MILLIS_PER_SECOND).toLong()) { lease ->
             when {
                 prepared !== next -> {
                     lease?.let { store.revokeLease(it) }
@@ -82,8 +82,8 @@
                 else -> {
                     next.lease = lease
                     next.renewedAt = sentAt
-                    next.nextRenewAt = sentAt + leadership.leaseS / RENEWALS_A_LEASE
-                    next.nextLookAt = context.now + leadership.leaseS / LOOKS_A_LEASE
+                    next.nextRenewAt = sentAt + leadership.leaseSeconds / RENEWALS_PER_LEASE
+                    next.nextLookAt = context.now + leadership.leaseSeconds / LOOKS_PER_LEASE
                     accept(next)
                 }
             }
@@ -98,7 +98,7 @@
     fun tick() {
         val ready = prepared ?: return
         val lease = ready.lease ?: return
-        if (context.now > ready.until || context.now > ready.renewedAt + leadership.leaseS) return drop()
+        if (context.now > ready.until || context.now > ready.renewedAt + leadership.leaseSeconds) return drop()
         if (context.now >= ready.nextRenewAt) renew(ready, lease)
         if (context.now >= ready.nextLookAt) look(ready)
     }
@@ -108,8 +108,8 @@
         lease: Long,
     ) {
         val sentAt = context.now
-        ready.nextRenewAt = sentAt + leadership.leaseS / RENEWALS_A_LEASE
-        store.renewLease(lease, leadership.leaseS / RENEWALS_A_LEASE) { status ->
+        ready.nextRenewAt = sentAt + leadership.leaseSeconds / RENEWALS_PER_LEASE
+        store.renewLease(lease, leadership.leaseSeconds / RENEWALS_PER_LEASE) { status ->
             if (prepared !== ready) return@renewLease
             if (status == OK) ready.renewedAt = sentAt
             if (status == NOT_FOUND) prepared = null
@@ -135,7 +135,7 @@
     private fun look(ready: Prepared) {
         if (ready.reading) return
         ready.reading = true
-        ready.nextLookAt = context.now + leadership.leaseS / LOOKS_A_LEASE
+        ready.nextLookAt = context.now + leadership.leaseSeconds / LOOKS_PER_LEASE
         store.get(Leadership.TERM, RequestPriority.LEADERSHIP) { read ->
             ready.reading = false
             val row = (read as? ReadResult.Found)?.value
@@ -183,9 +183,9 @@
     private companion object {
         const val OK = 200
         const val NOT_FOUND = 404
-        const val MS_A_S = 1000
-        const val RENEWALS_A_LEASE = 4
-        const val LOOKS_A_LEASE = 4
+        const val MILLIS_PER_SECOND = 1000
+        const val RENEWALS_PER_LEASE = 4
+        const val LOOKS_PER_LEASE = 4
 
         /** A leader that is heard of no more while this one waits is followed in the ordinary way. */
         const val PATIENCE_LEASES = 6.0
--- a/src/main/kotlin/burlridge/failover/LeaderChangeEvent.kt
+++ b/src/main/kotlin/burlridge/failover/LeaderChangeEvent.kt
@@ -46,7 +46,7 @@
 
 /** One change of leader as an operator sees it. */
 internal data class LeaderChange(
-    val wallMs: Long,
+    val wallMillis: Long,
     val term: Long,
     val leader: String,
     val cause: String,
--- a/src/main/kotlin/burlridge/failover/MemberRequests.kt
+++ b/src/main/kotlin/burlridge/failover/MemberRequests.kt
@@ -49,7 +49,7 @@
     ) {
         val problem = failover.refusalToDrain(target)
         if (problem != null) return onResult(HttpResponse.error(CONFLICT, "$target is not drained: $problem"))
-        peers.forward(target, "POST", DRAIN, "", ANSWER_S) { onResult(it ?: HttpResponse.unavailable("$target does not answer")) }
+        peers.forward(target, "POST", DRAIN, "", ANSWER_SECONDS) { onResult(it ?: HttpResponse.unavailable("$target does not answer")) }
     }
 
     internal companion object {
@@ -60,6 +60,6 @@
         private const val OK = 200
         private const val NOT_ALLOWED = 405
         private const val CONFLICT = 409
-        private const val ANSWER_S = 2.0
+        private const val ANSWER_SECONDS = 2.0
     }
 }
--- a/src/main/kotlin/burlridge/failover/OutgoingHandover.kt
+++ b/src/main/kotlin/burlridge/failover/OutgoingHandover.kt
@@ -85,7 +85,7 @@
     private fun offer(successors: List<String>) {
         val attempt = context.random.nextLong(1, Long.MAX_VALUE)
         val successor = successors.first()
-        state = State.Offered(attempt, successor, successors.drop(1), context.now + leadership.leaseS * OFFER_LEASES)
+        state = State.Offered(attempt, successor, successors.drop(1), context.now + leadership.leaseSeconds * OFFER_LEASES)
         context.info("handover of term ${leadership.term} to $successor begins: $reason")
         port.send(successor, HandoverMessage.Offer(attempt, leadership.term, reason))
     }
@@ -121,7 +121,7 @@
         val now = state as? State.Offered ?: return
         if (now.successor != from || now.attempt != message.attempt || message.term != leadership.term) return
         if (!leadership.holdsLease) return abandon(now.attempt, from, "its lease is in doubt")
-        state = State.Resting(now.attempt, from, message.lease, context.now + leadership.leaseS * REST_LEASES)
+        state = State.Resting(now.attempt, from, message.lease, context.now + leadership.leaseSeconds * REST_LEASES)
     }
 
     fun declined(
--- a/src/main/kotlin/burlridge/failover/StandbyReplica.kt
+++ b/src/main/kotlin/burlridge/failover/StandbyReplica.kt
@@ -33,7 +33,7 @@
     private val store: StoreClient,
     prefixes: List<String>,
     private val mostSize: Long,
-    private val refreshS: Double,
+    private val refreshSeconds: Double,
 ) {
     private val tables = prefixes.map { ReplicaTable(it) }
     private var next = 0
@@ -107,7 +107,7 @@
             if (generation != mine) return@list
             busy = false
             if (listing == null) {
-                refreshAt = context.now + refreshS
+                refreshAt = context.now + refreshSeconds
             } else {
                 table.load(listing)
                 context.count("failover.replica.loaded", listing.rows.size)
@@ -128,19 +128,19 @@
 
     private fun tooLarge(): Boolean {
         if (size <= mostSize) return false
-        context.info("standby replica is given up: ${size / BYTES_A_KB} KB of rows, at most ${mostSize / BYTES_A_KB} KB are kept")
+        context.info("standby replica is given up: ${size / BYTES_PER_KB} KB of rows, at most ${mostSize / BYTES_PER_KB} KB are kept")
         lastDiscard = "too large"
         reset()
         state = ReplicaState.TOO_LARGE
-        refreshAt = context.now + refreshS * PAUSE_REFRESHES
+        refreshAt = context.now + refreshSeconds * PAUSE_REFRESHES
         return true
     }
 
     /** One table a turn, so that the cost is spread. */
     private fun refresh() {
-        refreshAt = context.now + refreshS / tables.size
+        refreshAt = context.now + refreshSeconds / tables.size
         refreshes++
-        if (refreshes % REFRESHES_AN_AUDIT == 0L) return audit(tables[(refreshes / REFRESHES_AN_AUDIT % tables.size).toInt()])
+        if (refreshes % REFRESHES_PER_AUDIT == 0L) return audit(tables[(refreshes / REFRESHES_PER_AUDIT % tables.size).toInt()])
         val table = tables[next]
         next = (next + 1) % tables.size
         follow(table) { if (next == 0) refreshedAt = context.now }
@@ -202,7 +202,7 @@
         lastDiscard = reason
         reset()
         state = ReplicaState.LOADING
-        refreshAt = context.now + refreshS
+        refreshAt = context.now + refreshSeconds
     }
 
     /**
@@ -271,10 +271,10 @@
     private companion object {
         const val OK = 200
         const val GONE = 410
-        const val BYTES_A_KB = 1024
+        const val BYTES_PER_KB = 1024
         const val PAUSE_REFRESHES = 60
         const val FAILURES_TO_DISCARD = 8
-        const val REFRESHES_AN_AUDIT = 32L
+        const val REFRESHES_PER_AUDIT = 32L
         const val AUDIT_ROWS = 50
     }
 }
--- a/src/main/kotlin/burlridge/fleet/CapacityDemand.kt
+++ b/src/main/kotlin/burlridge/fleet/CapacityDemand.kt
@@ -11,7 +11,7 @@
     private val context: StepContext,
     private val registry: JobRegistry,
 ) {
-    private val waits = context.settings.objectives.filter { it.kind == "wait" && it.jobClass != null && it.withinS != null }
+    private val waits = context.settings.objectives.filter { it.kind == "wait" && it.jobClass != null && it.withinSeconds != null }
     private val recent = HashMap<String, ArrayDeque<Job>>()
     private val seen = HashSet<String>()
 
@@ -27,7 +27,7 @@
     data class Need(
         val spec: JobSpec,
         val tasks: Int,
-        val slackS: Double,
+        val slackSeconds: Double,
         val held: Int,
     )
 
@@ -42,7 +42,7 @@
         val now = registry.jobs.values.filter { it.ending == null }
         val held = HashMap<String, Int>()
         now.forEach { held.merge(it.spec.jobClass, it.allocations.size, Int::plus) }
-        val waiting = now.filter { it.waiting > 0 }.map { Need(it.spec, it.waiting, slackS(it), held[it.spec.jobClass] ?: 0) }
+        val waiting = now.filter { it.waiting > 0 }.map { Need(it.spec, it.waiting, slackSeconds(it), held[it.spec.jobClass] ?: 0) }
         // In the order in which placement gives room away: what is kept for gangs is no room for arrays.
         val (gangs, arrays) = waiting.sortedBy { it.spec.priority }.partition { it.spec.gang }
         return gangs + expectedGangs(types) + arrays + headroom()
@@ -59,11 +59,11 @@
         registry.jobs.values.forEach { if (it.spec.gang && it.ending == null) held.merge(it.spec.jobClass, it.allocations.size, Int::plus) }
         return waits.distinctBy { it.jobClass }.mapNotNull { aim ->
             val list = recent[aim.jobClass]
-            val tightS = aim.withinS ?: Double.MAX_VALUE
+            val tightSeconds = aim.withinSeconds ?: Double.MAX_VALUE
             when {
-                list == null -> unseen(aim.jobClass.orEmpty(), cheapest).takeIf { tightS < cheapest.bootS }
+                list == null -> unseen(aim.jobClass.orEmpty(), cheapest).takeIf { tightSeconds < cheapest.bootSeconds }
                 !list.last().spec.gang || hasStoppedArriving(list) -> null
-                else -> Need(list.last().spec, gangTasks(list, held[aim.jobClass] ?: 0, cheapest.bootS), Double.MAX_VALUE, 0)
+                else -> Need(list.last().spec, gangTasks(list, held[aim.jobClass] ?: 0, cheapest.bootSeconds), Double.MAX_VALUE, 0)
             }
         }
     }
@@ -88,10 +88,10 @@
                 oneZone = false,
                 spread = false,
                 spot = false,
-                estimateS = type.bootS,
-                checkpointS = 0.0,
-                saveS = 0.0,
-                deadlineS = null,
+                estimateSeconds = type.bootSeconds,
+                checkpointSeconds = 0.0,
+                saveSeconds = 0.0,
+                deadlineSeconds = null,
             )
         return Need(spec, BET_MACHINES, Double.MAX_VALUE, 0)
     }
@@ -100,20 +100,20 @@
     private fun gangTasks(
         list: List<Job>,
         held: Int,
-        bootS: Double,
+        bootSeconds: Double,
     ): Int {
-        val soonS = if (keepsAllMachines) context.settings.workers.reportS * SOON_REPORTS else bootS * LONG_BOOT
-        val overS = maxOf((context.wallMs - list.minOf { it.submittedMs }) / MS_A_S.toDouble(), soonS / 2)
-        val jobs = list.size / overS * soonS
+        val soonSeconds = if (keepsAllMachines) context.settings.workers.reportSeconds * SOON_REPORTS else bootSeconds * LONG_BOOT
+        val overSeconds = maxOf((context.wallMillis - list.minOf { it.submittedMillis }) / MILLIS_PER_SECOND.toDouble(), soonSeconds / 2)
+        val jobs = list.size / overSeconds * soonSeconds
         val tasks = list.map { it.spec.tasks }.average()
         val draining =
             held *
                 minOf(
                     1.0,
-                    soonS /
+                    soonSeconds /
                         list
                             .last()
-                            .spec.estimateS
+                            .spec.estimateSeconds
                             .coerceAtLeast(1.0),
                 ) / 2
         val likely = tasks * (jobs + Math.sqrt(jobs) * context.settings.operator.gangDeviations) - draining
@@ -136,13 +136,13 @@
         }
 
     /** How long the tasks of [job] may still wait by what the aims say of its job class; where they say nothing, not at all. */
-    private fun slackS(job: Job): Double {
+    private fun slackSeconds(job: Job): Double {
         val spec = job.spec
         val aims = context.settings.objectives.filter { it.jobClass == spec.jobClass }
-        val startBy = aims.filter { it.kind == "wait" }.mapNotNull { it.withinS }
-        val doneBy = aims.filter { it.kind == "finished" }.mapNotNull { it.withinS } + listOfNotNull(spec.deadlineS)
-        val latest = (startBy + doneBy.map { it - spec.estimateS * LONG_RUN }).minOrNull() ?: 0.0
-        return latest - (context.wallMs - job.submittedMs) / 1000.0
+        val startBy = aims.filter { it.kind == "wait" }.mapNotNull { it.withinSeconds }
+        val doneBy = aims.filter { it.kind == "finished" }.mapNotNull { it.withinSeconds } + listOfNotNull(spec.deadlineSeconds)
+        val latest = (startBy + doneBy.map { it - spec.estimateSeconds * LONG_RUN }).minOrNull() ?: 0.0
+        return latest - (context.wallMillis - job.submittedMillis) / 1000.0
     }
 
     /** For job classes with a wait aim, room for a job of the usual size, as long as jobs of it come. */
@@ -156,9 +156,9 @@
     /** Whether nothing has come for many times as long as usual: then what is kept free would be paid for nobody. */
     private fun hasStoppedArriving(list: List<Job>): Boolean {
         if (list.size < REMEMBERED) return false
-        val submitted = list.map { it.submittedMs }
-        val gapMs = (submitted.max() - submitted.min()).toDouble() / (list.size - 1)
-        return context.wallMs - submitted.max() > maxOf(gapMs * DRY_GAPS, context.settings.workers.leaseS * MS_A_S)
+        val submitted = list.map { it.submittedMillis }
+        val gapMillis = (submitted.max() - submitted.min()).toDouble() / (list.size - 1)
+        return context.wallMillis - submitted.max() > maxOf(gapMillis * DRY_GAPS, context.settings.workers.leaseSeconds * MILLIS_PER_SECOND)
     }
 
     private companion object {
@@ -170,7 +170,7 @@
         /** Boots take up to half as long again as their type's figure. */
         const val LONG_BOOT = 1.5
         const val SOON_REPORTS = 4
-        const val MS_A_S = 1000
+        const val MILLIS_PER_SECOND = 1000
 
         /** Estimates are often wrong by half. */
         const val LONG_RUN = 1.5
--- a/src/main/kotlin/burlridge/fleet/Catalog.kt
+++ b/src/main/kotlin/burlridge/fleet/Catalog.kt
@@ -8,10 +8,10 @@
     val name: String,
     val size: Resources,
     val cacheGb: Double,
-    val fetchGbPerS: Double,
+    val fetchGbPerSecond: Double,
     val price: Double,
     val spotPrice: Double,
-    val bootS: Double,
+    val bootSeconds: Double,
     val zones: List<String>,
 )
 
--- a/src/main/kotlin/burlridge/fleet/CatalogCache.kt
+++ b/src/main/kotlin/burlridge/fleet/CatalogCache.kt
@@ -1,16 +1,16 @@
 package burlridge.fleet
 
 import burlridge.allocation.JobRegistry
-import burlridge.core.StepContext
 import burlridge.core.CallOutcome
+import burlridge.core.StepContext
 import burlridge.json.Json
 import burlridge.leadership.Leadership
 import burlridge.store.Change
 import burlridge.store.ReadResult
+import burlridge.store.RequestPriority
 import burlridge.store.StoreClient
 import burlridge.store.Transaction
 import burlridge.store.TransactionResult
-import burlridge.store.RequestPriority
 import com.fasterxml.jackson.databind.JsonNode
 
 /** Asks the cloud for its machine types, and keeps a copy in the state service for a start during an outage of the cloud. */
@@ -32,10 +32,10 @@
 
     /** Every member needs the machine types to judge a submission. */
     fun tick() {
-        if (busy || context.now < askedAt + if (catalog == null) 1.0 else CATALOG_S) return
+        if (busy || context.now < askedAt + if (catalog == null) 1.0 else CATALOG_SECONDS) return
         busy = true
         askedAt = context.now
-        context.call(context.settings.cloud, "GET", "/catalog", null, CLOUD_TIMEOUT_S) { outcome ->
+        context.call(context.settings.cloud, "GET", "/catalog", null, CLOUD_TIMEOUT_SECONDS) { outcome ->
             busy = false
             val body = (outcome as? CallOutcome.Responded)?.takeIf { it.status == 200 }?.let { Json.parseOrNull(it.body) }
             val parsed = Catalog.parse(body)
@@ -71,7 +71,7 @@
     }
 
     private companion object {
-        const val CATALOG_S = 60.0
-        const val CLOUD_TIMEOUT_S = 3.0
+        const val CATALOG_SECONDS = 60.0
+        const val CLOUD_TIMEOUT_SECONDS = 3.0
     }
 }
--- a/src/main/kotlin/burlridge/fleet/CloudInventory.kt
+++ b/src/main/kotlin/burlridge/fleet/CloudInventory.kt
@@ -19,7 +19,7 @@
     val spot: Boolean? = null,
     val state: String = "",
     /** Seconds since the rental was asked for, at the time that the list describes. */
-    val ageS: Double = 0.0,
+    val ageSeconds: Double = 0.0,
 )
 
 /** One page of the cloud's list of machines. */
@@ -65,7 +65,7 @@
     var zone: String? = null
     var spot: Boolean? = null
     var state = ""
-    var ageS = 0.0
+    var ageSeconds = 0.0
     parser.eachField {
         when (it) {
             "id" -> id = parser.textOrNull().orEmpty()
@@ -74,9 +74,9 @@
             "yard" -> zone = parser.textOrNull()
             "loaners" -> spot = parser.flagOrNull()
             "standing" -> state = parser.textOrNull().orEmpty()
-            "ageS" -> ageS = parser.numberOrNull() ?: 0.0
+            "ageS" -> ageSeconds = parser.numberOrNull() ?: 0.0
             else -> parser.skipChildren()
         }
     }
-    return ListedMachine(id, address, type, zone, spot, state, ageS)
+    return ListedMachine(id, address, type, zone, spot, state, ageSeconds)
 }
--- a/src/main/kotlin/burlridge/fleet/Fleet.kt
+++ b/src/main/kotlin/burlridge/fleet/Fleet.kt
@@ -1,8 +1,8 @@
 package burlridge.fleet
 
 import burlridge.allocation.JobRegistry
-import burlridge.core.StepContext
 import burlridge.core.CallOutcome
+import burlridge.core.StepContext
 import burlridge.job.JobSpec
 import burlridge.leadership.Leadership
 import burlridge.store.Row
@@ -32,7 +32,7 @@
 
     /** Whether the machines that the cloud says there are have been taken over, by a list of this leader's own time. */
     val isListed: Boolean get() = everListed && listAt > leadership.electedAt
-    private val lag = context.settings.cloudLimits.listLagS
+    private val lag = context.settings.cloudLimits.listLagSeconds
     private var planAt = 0.0
     private val demand = CapacityDemand(context, registry)
 
@@ -65,14 +65,14 @@
 
     fun tick() {
         // A long list takes a good part of a small controller's time, and what it shows is never fresher than its lag.
-        if (!listBusy && context.now >= listAt + lag * maxOf(1.0, pages * LAGS_A_PAGE)) {
+        if (!listBusy && context.now >= listAt + lag * maxOf(1.0, pages * LAGS_PER_PAGE)) {
             listBusy = true
             listAt = context.now
             list("", ArrayList(), leadership.term)
         }
         rentals.settle()
         if (everListed && context.now >= planAt) {
-            planAt = context.now + PLAN_S
+            planAt = context.now + PLAN_SECONDS
             plan()
         }
     }
@@ -83,7 +83,7 @@
         term: Long,
     ) {
         val after = if (from.isEmpty()) "" else "from=$from&"
-        context.call(context.settings.cloud, "GET", "/rentals?${after}limit=$PAGE", null, CLOUD_TIMEOUT_S) { outcome ->
+        context.call(context.settings.cloud, "GET", "/rentals?${after}limit=$PAGE", null, CLOUD_TIMEOUT_SECONDS) { outcome ->
             val page = (outcome as? CallOutcome.Responded)?.takeIf { it.status == 200 }?.let { MachinePage.decode(it.body) }
             if (page == null || !mine(term)) {
                 listBusy = false
@@ -119,8 +119,8 @@
         machine.zone = listed.zone ?: machine.zone
         machine.spot = listed.spot ?: machine.spot
         machine.listed = true
-        machine.listedAgeS = maxOf(machine.listedAgeS, listed.ageS)
-        if (machine.rentedAt == 0.0) machine.rentedAt = context.now - machine.listedAgeS
+        machine.listedAgeSeconds = maxOf(machine.listedAgeSeconds, listed.ageSeconds)
+        if (machine.rentedAt == 0.0) machine.rentedAt = context.now - machine.listedAgeSeconds
         machine.starting = listed.state == "starting" && !machine.up
         if (listed.state == "failed" && !machine.dead) {
             context.info("machine ${machine.id} has failed; returning it")
@@ -139,7 +139,7 @@
                 settled && !machine.listed && !machine.up && registry.allocations.byMachine[machine.id]
                     ?.values
                     ?.any { it.inherited } == true
-            if (inherited || (machine.listed && machine.listedAgeS > lag * OLDEST_LIST)) {
+            if (inherited || (machine.listed && machine.listedAgeSeconds > lag * OLDEST_LIST)) {
                 workers.onMachineGone(machine, "the cloud no longer lists it")
             }
         }
@@ -196,7 +196,13 @@
             given.merge(spec.jobClass, need.tasks - left, Int::plus)
         }
         wanted.forEach { (offering, count) ->
-            for (rented in 0 until count step MOST_PER_CALL) rentals.rent(offering, count - rented, "waiting and expected tasks have no room")
+            for (rented in 0 until count step MOST_PER_CALL) {
+                rentals.rent(
+                    offering,
+                    count - rented,
+                    "waiting and expected tasks have no room",
+                )
+            }
         }
         returns.returnIdle(slots, types)
     }
@@ -215,7 +221,10 @@
         return spec.copy(zone = zones.maxBy { minOf(need.tasks, seats.getValue(it)) })
     }
 
-    /** Whether [left] tasks would wait too long, [behind] others of their job class, for the room that others of it have or were [given]. */
+    /**
+     * Whether [left] tasks would wait too long, [behind] others of their job class, for the room that others of it have or were
+     * [given].
+     */
     private fun presses(
         need: CapacityDemand.Need,
         left: Int,
@@ -223,8 +232,8 @@
         given: Int,
     ): Boolean {
         val servers = need.held + given + need.tasks - left
-        val waitS = if (servers <= 0) Double.MAX_VALUE else need.spec.estimateS * (behind + left) / servers
-        return waitS * UNSURE > need.slackS
+        val waitSeconds = if (servers <= 0) Double.MAX_VALUE else need.spec.estimateSeconds * (behind + left) / servers
+        return waitSeconds * UNSURE > need.slackSeconds
     }
 
     /** What is free, now or soon, of every machine that will take tasks; the fullest first. */
@@ -245,14 +254,14 @@
     }
 
     internal companion object {
-        const val CLOUD_TIMEOUT_S = 3.0
+        const val CLOUD_TIMEOUT_SECONDS = 3.0
         const val MOST_PER_CALL = 50
 
         /** A list is at most twice its usual lag old; the rest is margin. */
         const val OLDEST_LIST = 3.0
-        private const val PLAN_S = 1.0
+        private const val PLAN_SECONDS = 1.0
         private const val PAGE = 500
-        private const val LAGS_A_PAGE = 0.5
+        private const val LAGS_PER_PAGE = 0.5
 
         /** Estimates are often wrong by half, and what runs does not end evenly. */
         private const val UNSURE = 2.0
--- a/src/main/kotlin/burlridge/fleet/ScaleIn.kt
+++ b/src/main/kotlin/burlridge/fleet/ScaleIn.kt
@@ -1,8 +1,8 @@
 package burlridge.fleet
 
 import burlridge.allocation.JobRegistry
-import burlridge.core.StepContext
 import burlridge.core.CallOutcome
+import burlridge.core.StepContext
 import burlridge.json.Json
 import burlridge.leadership.Leadership
 import burlridge.worker.DrainReason
@@ -17,25 +17,26 @@
     private val workers: WorkerManager,
     private val rentals: ScaleOut,
 ) {
-    private val idleS = context.settings.workers.reportS * context.settings.operator.idleReports
+    private val idleSeconds = context.settings.workers.reportSeconds * context.settings.operator.idleReports
 
     /** Machines that failed, or whose boot has taken far too long, go back. */
     fun discard(types: Catalog) {
         val heard = zonesWithHeartbeats()
         for (machine in workers.machines.values) {
-            val boot = types.types[machine.type]?.bootS ?: continue
+            val boot = types.types[machine.type]?.bootSeconds ?: continue
             // To a new leader every machine is silent at first: only one that the cloud still calls starting is overdue.
             val overdue = machine.starting && !machine.up && machine.rentedAt > 0 && context.now > machine.rentedAt + boot * OVERDUE_BOOTS
             if (machine.zone in heard && isConfirmedDead(machine)) {
                 context.infoRateLimited(
                     "silent machines returned",
-                    "machine ${machine.id} is silent for ${(context.now - machine.silentSince).toInt()} s and cannot be reached; returning it to be certain",
+                    "machine ${machine.id} is silent for ${(context.now - machine.silentSince).toInt()} s and " +
+                        "cannot be reached; returning it to be certain",
                 )
                 machine.dead = true
             }
             val unresponsiveSince = machine.unresponsiveSince
             if (machine.zone in heard && !machine.dead && unresponsiveSince != null &&
-                context.now > unresponsiveSince + context.settings.workers.leaseS / 2
+                context.now > unresponsiveSince + context.settings.workers.leaseSeconds / 2
             ) {
                 context.infoRateLimited(
                     "deaf machines returned",
@@ -69,7 +70,7 @@
     private fun isConfirmedDead(machine: Machine): Boolean {
         val wanted = machine.up || !registry.allocations.byMachine[machine.id].isNullOrEmpty()
         if (!wanted || machine.dead || machine.leaseExpired || machine.starting || machine.refusals < TRIES_TO_BURY) return false
-        return workers.hearsZone(machine.zone) && context.now > machine.silentSince + context.settings.workers.reportS * DEAD_REPORTS
+        return workers.hearsZone(machine.zone) && context.now > machine.silentSince + context.settings.workers.reportSeconds * DEAD_REPORTS
     }
 
     /** The zones most of whose machines are heard from, so that the silence of one is its own. */
@@ -78,7 +79,10 @@
         return up
             .groupBy { it.zone }
             .filterValues { there ->
-                there.count { it.isResponsive && context.now < it.lastMessageAt + context.settings.workers.reportS * 2 } >= there.size * MOST_HEARD
+                there.count {
+                    it.isResponsive &&
+                        context.now < it.lastMessageAt + context.settings.workers.reportSeconds * 2
+                } >= there.size * MOST_HEARD
             }.keys
     }
 
@@ -92,8 +96,15 @@
         val body = Json.obj { putArray("drovers").also { names -> list.forEach { m -> names.add(m.id) } } }
         val mine = leadership.whileLeading(leadership.term)
         context.info("returning ${list.joinToString { it.id }}")
-        val timeoutS = Fleet.CLOUD_TIMEOUT_S * 2
-        context.call(context.settings.cloud, "POST", "/rentals/return", Json.write(body), timeoutS, leadership.commandDeadline) { outcome ->
+        val timeoutSeconds = Fleet.CLOUD_TIMEOUT_SECONDS * 2
+        context.call(
+            context.settings.cloud,
+            "POST",
+            "/rentals/return",
+            Json.write(body),
+            timeoutSeconds,
+            leadership.commandDeadline,
+        ) { outcome ->
             if (!mine()) return@call
             if ((outcome as? CallOutcome.Responded)?.status == 200) {
                 list.forEach {
@@ -101,7 +112,7 @@
                     if (it !in drained) rentals.returned(InstanceOffering(it.type, it.zone, it.spot))
                 }
             } else {
-                list.forEach { m -> context.schedule(RETRY_S) { m.returning = false } }
+                list.forEach { m -> context.schedule(RETRY_SECONDS) { m.returning = false } }
             }
         }
     }
@@ -110,14 +121,14 @@
      * How long a machine may be idle. The more machines, the less the work on them varies against its mean, and the sooner one
      * that is idle will not be missed.
      */
-    private fun patienceS(up: Int): Double = idleS * minOf(1.0, SMOOTH_MACHINES / Math.sqrt(up.coerceAtLeast(1).toDouble()))
+    private fun patienceSeconds(up: Int): Double = idleSeconds * minOf(1.0, SMOOTH_MACHINES / Math.sqrt(up.coerceAtLeast(1).toDouble()))
 
     fun returnIdle(
         after: List<FreeCapacity>,
         types: Catalog,
     ) {
         val up = workers.machines.values.filter { it.up && !it.draining }
-        val patience = patienceS(up.size)
+        val patience = patienceSeconds(up.size)
         val idle =
             up.filter { m ->
                 val dear = if (m.spot) 1.0 else PriceSelector.DEAR_FACTOR
@@ -143,7 +154,7 @@
     }
 
     private companion object {
-        const val RETRY_S = 2.0
+        const val RETRY_SECONDS = 2.0
         const val MOST_PER_RETURN = 100
 
         /** Calls for returns in one plan. */
--- a/src/main/kotlin/burlridge/fleet/ScaleOut.kt
+++ b/src/main/kotlin/burlridge/fleet/ScaleOut.kt
@@ -1,16 +1,16 @@
 package burlridge.fleet
 
-import burlridge.core.StepContext
 import burlridge.core.CallOutcome
+import burlridge.core.StepContext
 import burlridge.json.Json
 import burlridge.leadership.Leadership
 import burlridge.store.Change
 import burlridge.store.Condition
+import burlridge.store.RequestPriority
 import burlridge.store.Row
 import burlridge.store.StoreClient
 import burlridge.store.Transaction
 import burlridge.store.TransactionResult
-import burlridge.store.RequestPriority
 import burlridge.worker.WorkerManager
 
 /** One step of the fleet plan: so many machines of a type, zone and kind. */
@@ -85,7 +85,8 @@
     fun settle() {
         for (rental in rentals.values.toList()) {
             if (rental.settledAt == null && rental.calledAt > 0 &&
-                context.now > rental.calledAt + Fleet.CLOUD_TIMEOUT_S + context.settings.cloudLimits.listLagS * Fleet.OLDEST_LIST
+                context.now > rental.calledAt + Fleet.CLOUD_TIMEOUT_SECONDS +
+                context.settings.cloudLimits.listLagSeconds * Fleet.OLDEST_LIST
             ) {
                 context.info("rental ${rental.step}: outcome unknown, and the cloud's list has caught up")
                 rental.settledAt = context.now
@@ -113,7 +114,9 @@
     ) {
         val rental = Rental("${leadership.term}-${nextStep++}", offering, count.coerceAtMost(Fleet.MOST_PER_CALL))
         rentals[rental.step] = rental
-        context.info("rental ${rental.step}: ${rental.count} of ${offering.type} in ${offering.zone}${if (offering.spot) ", spot" else ""}: $reason")
+        context.info(
+            "rental ${rental.step}: ${rental.count} of ${offering.type} in ${offering.zone}${if (offering.spot) ", spot" else ""}: $reason",
+        )
         val row =
             Json.obj {
                 put("st", "claimed")
@@ -172,7 +175,7 @@
             "POST",
             "/rentals",
             Json.write(body),
-            Fleet.CLOUD_TIMEOUT_S,
+            Fleet.CLOUD_TIMEOUT_SECONDS,
             leadership.commandDeadline,
         ) { outcome ->
             if (!mine()) return@call
@@ -216,7 +219,7 @@
         // Several steps asked at once are refused for one and the same reason.
         if (isHeldOff(offering)) return
         val times = refusals.merge(offering, 1, Int::plus) ?: 1
-        refusedUntil[offering] = context.now + minOf(REFUSED_S * times, REFUSED_S * 4)
+        refusedUntil[offering] = context.now + minOf(REFUSED_SECONDS * times, REFUSED_SECONDS * 4)
     }
 
     /** A few steps of one kind may be on their way at once, so that a large need is met within a few calls. */
@@ -226,7 +229,7 @@
 
     internal companion object {
         private val REFUSALS = setOf(400, 429, 503)
-        private const val REFUSED_S = 15.0
+        private const val REFUSED_SECONDS = 15.0
 
         /** Steps of one kind on their way at once. */
         const val MOST_STEPS = 4
--- a/src/main/kotlin/burlridge/job/JobSpec.kt
+++ b/src/main/kotlin/burlridge/job/JobSpec.kt
@@ -63,10 +63,10 @@
     val oneZone: Boolean,
     val spread: Boolean,
     val spot: Boolean,
-    val estimateS: Double,
-    val checkpointS: Double,
-    val saveS: Double,
-    val deadlineS: Double?,
+    val estimateSeconds: Double,
+    val checkpointSeconds: Double,
+    val saveSeconds: Double,
+    val deadlineSeconds: Double?,
     /** All tasks run at the same time or none does. */
     val gang: Boolean = false,
 ) {
@@ -104,10 +104,10 @@
             put("together", oneZone)
             put("spread", spread)
             put("loaners", spot)
-            put("guessS", estimateS)
-            put("markEveryS", checkpointS)
-            put("markCostS", saveS)
-            deadlineS?.let { put("dueS", it) }
+            put("guessS", estimateSeconds)
+            put("markEveryS", checkpointSeconds)
+            put("markCostS", saveSeconds)
+            deadlineSeconds?.let { put("dueS", it) }
         }
 
     internal companion object {
@@ -148,10 +148,10 @@
                 oneZone = body.flag("together"),
                 spread = body.flag("spread"),
                 spot = body.flag("loaners"),
-                estimateS = body.amount("guessS"),
-                checkpointS = body.amount("markEveryS"),
-                saveS = body.amount("markCostS"),
-                deadlineS = body.present("dueS")?.let { body.amount("dueS") },
+                estimateSeconds = body.amount("guessS"),
+                checkpointSeconds = body.amount("markEveryS"),
+                saveSeconds = body.amount("markCostS"),
+                deadlineSeconds = body.present("dueS")?.let { body.amount("dueS") },
                 gang = shape == GANG,
             )
         }
--- a/src/main/kotlin/burlridge/leadership/GangFeatureGate.kt
+++ b/src/main/kotlin/burlridge/leadership/GangFeatureGate.kt
@@ -42,7 +42,7 @@
         onResult: (Boolean?) -> Unit,
     ) {
         busy = true
-        nextAt = context.now + context.settings.workers.reportS
+        nextAt = context.now + context.settings.workers.reportSeconds
         store.list(PREFIX, priority) { listing ->
             busy = false
             if (listing == null) return@list onResult(null)
--- a/src/main/kotlin/burlridge/leadership/Leadership.kt
+++ b/src/main/kotlin/burlridge/leadership/Leadership.kt
@@ -21,10 +21,10 @@
     private val listener: LeadershipListener,
 ) {
     private val settings = context.settings
-    private val defaultTtlS = settings.workers.reportS * settings.operator.leaseReports
+    private val defaultTtlSeconds = settings.workers.reportSeconds * settings.operator.leaseReports
 
     /** The lease of this member's terms: longer after it was deposed alive, merely slow, so that two slow members do not take turns. */
-    private var ttlS = defaultTtlS
+    private var ttlSeconds = defaultTtlSeconds
     private var lastTickAt = 0.0
 
     /** Whether this member stood still in this term for so long that its renewal may have been late. */
@@ -34,7 +34,7 @@
      * How long after its last good renewal was sent a leader may still answer workers. Together with a worker's lease and a
      * margin it stays below the time a cancellation has, so that what a cut-off leader keeps alive is gone in time.
      */
-    val answerBoundS: Double = (settings.workers.cancelS - settings.workers.leaseS) * 0.7
+    val answerBoundSeconds: Double = (settings.workers.cancelSeconds - settings.workers.leaseSeconds) * 0.7
 
     var term: Long = 0
         private set
@@ -79,7 +79,7 @@
     private val transferring: Boolean get() = transfer.isUnderWay
 
     /** Until then no other member can have been elected, unless a transfer is under way. */
-    val leaseUntil: Double get() = renewedAt + ttlS * (1 - DRIFT) - MARGIN_S
+    val leaseUntil: Double get() = renewedAt + ttlSeconds * (1 - DRIFT) - MARGIN_SECONDS
 
     /** After this a command decided now must not leave any more, since others may have been elected; checked where it leaves. */
     val commandDeadline: Double get() = if (checksDepartures) leaseUntil else Effect.NO_DEADLINE
@@ -92,12 +92,12 @@
     val knownTerm: Long get() = highestTerm
 
     /** Until then this leader may answer workers. */
-    val answersUntil: Double get() = renewedAt + answerBoundS * (1 - DRIFT)
+    val answersUntil: Double get() = renewedAt + answerBoundSeconds * (1 - DRIFT)
 
     /** Stalls of this member noticed while it led, in this process. */
     var stalls: Long = 0
         private set
-    val leaseS: Double get() = ttlS
+    val leaseSeconds: Double get() = ttlSeconds
 
     /** True while no other member can have been elected. */
     val holdsLease: Boolean get() = isLeader && !transferring && context.now < leaseUntil
@@ -108,12 +108,12 @@
      */
     val mayAnswerWorkers: Boolean
         get() = isLeader && context.now < answersUntil && (holdsLease || settings.others.isEmpty() || !isolated)
-    private val isolated: Boolean get() = context.now > peerHeardAt + ttlS
+    private val isolated: Boolean get() = context.now > peerHeardAt + ttlSeconds
     private var peerHeardAt = 0.0
 
     /** No other member can be answering workers by an earlier term after this time. */
     val othersAnswerUntil: Double
-        get() = if (silentPeers.containsAll(formerLeaders)) maxOf(silentSince, electedAt) else electedAt + answerBoundS
+        get() = if (silentPeers.containsAll(formerLeaders)) maxOf(silentSince, electedAt) else electedAt + answerBoundSeconds
     private var silentSince = 0.0
 
     /** What fences every write of this leader. */
@@ -123,7 +123,7 @@
     fun whileLeading(term: Long): () -> Boolean = { isLeader && this.term == term }
 
     fun tick() {
-        val stalled = isLeader && context.now > lastTickAt + ttlS / STALL_FRACTION
+        val stalled = isLeader && context.now > lastTickAt + ttlSeconds / STALL_FRACTION
         if (stalled) stalls++
         stalledInTerm = stalledInTerm || stalled
         lastTickAt = context.now
@@ -138,13 +138,13 @@
         renewing = true
         val sentAt = context.now
         val mine = leaseId
-        store.renewLease(mine, ttlS / 3) { status ->
+        store.renewLease(mine, ttlSeconds / 3) { status ->
             renewing = false
             if (!isLeader || leaseId != mine) return@renewLease
             when (status) {
                 200 -> {
                     renewedAt = sentAt
-                    nextRenewAt = sentAt + ttlS / 4
+                    nextRenewAt = sentAt + ttlSeconds / 4
                 }
 
                 404 -> {
@@ -152,7 +152,7 @@
                 }
 
                 else -> {
-                    nextRenewAt = context.now + ttlS / 12
+                    nextRenewAt = context.now + ttlSeconds / 12
                 }
             }
         }
@@ -162,7 +162,7 @@
         if (!isLeader) return
         isLeader = false
         transfer.cancel()
-        if (stalledInTerm) ttlS = minOf(ttlS * 2, defaultTtlS * MAX_TTL_FACTOR)
+        if (stalledInTerm) ttlSeconds = minOf(ttlSeconds * 2, defaultTtlSeconds * MAX_TTL_FACTOR)
         context.info("leader change: term $term is over here: $reason")
         knownLeader = null
         nextPollAt = context.now
@@ -171,7 +171,7 @@
     }
 
     private fun poll() {
-        nextPollAt = context.now + ttlS / 6 * (0.8 + 0.4 * context.random.nextDouble())
+        nextPollAt = context.now + ttlSeconds / 6 * (0.8 + 0.4 * context.random.nextDouble())
         store.get(LEADER, RequestPriority.LEADERSHIP) { read ->
             if (isLeader || campaigning) return@get
             when (read) {
@@ -201,8 +201,8 @@
 
                 ReadResult.Absent -> {
                     val since = absentSince ?: context.now.also { absentSince = it }
-                    val first = listener.defersElection() && context.now < since + ttlS / DEFER_FRACTION
-                    if (first) nextPollAt = since + ttlS / DEFER_FRACTION else campaign(0, "the leader's lease had ended")
+                    val first = listener.defersElection() && context.now < since + ttlSeconds / DEFER_FRACTION
+                    if (first) nextPollAt = since + ttlSeconds / DEFER_FRACTION else campaign(0, "the leader's lease had ended")
                 }
 
                 ReadResult.Failed -> {
@@ -220,11 +220,11 @@
     private fun watch(modRevision: Long) {
         if (watched == modRevision) return
         watched = modRevision
-        store.watch(LEADER, modRevision, ttlS * WATCH_TTLS) { status, body ->
+        store.watch(LEADER, modRevision, ttlSeconds * WATCH_TTLS) { status, body ->
             if (watched != modRevision) return@watch
             watched = 0
             val changed = status == OK && body != null && body.path("events").size() > 0
-            if (changed && !isLeader) nextPollAt = minOf(nextPollAt, context.now + ttlS / WATCH_SPREAD * context.random.nextDouble())
+            if (changed && !isLeader) nextPollAt = minOf(nextPollAt, context.now + ttlSeconds / WATCH_SPREAD * context.random.nextDouble())
         }
     }
 
@@ -246,7 +246,7 @@
             }
             val next = (found?.value?.path("n")?.asLong() ?: 0L) + 1
             val sentAt = context.now
-            store.grantLease((ttlS * 1000).toLong()) { lease ->
+            store.grantLease((ttlSeconds * 1000).toLong()) { lease ->
                 val led = found?.value?.let(::ledLately) ?: if (found == null) emptyMap() else null
                 if (lease ==
                     null
@@ -315,8 +315,8 @@
         lease: Long,
         onResult: (TransferOutcome) -> Unit,
     ) {
-        val keptMs = (answerBoundS * HISTORY_BOUNDS * MS_A_S).toLong()
-        val led = (previousLeaders + (settings.member to context.wallMs)).filterValues { context.wallMs - it < keptMs }
+        val keptMillis = (answerBoundSeconds * HISTORY_BOUNDS * MILLIS_PER_SECOND).toLong()
+        val led = (previousLeaders + (settings.member to context.wallMillis)).filterValues { context.wallMillis - it < keptMillis }
         val transaction =
             Transaction(
                 listOf(Condition(LEADER, fence), Condition(TERM, fence)),
@@ -325,7 +325,7 @@
                     Change.Put(TERM, termRow(term + 1, successor, led)),
                 ),
             )
-        transfer.begin(transaction, ttlS) { outcome ->
+        transfer.begin(transaction, ttlSeconds) { outcome ->
             when (outcome) {
                 TransferOutcome.Done -> handedOver(successor, term + 1)
                 is TransferOutcome.Deposed -> stepDown(outcome.reason)
@@ -354,7 +354,7 @@
         lease: Long,
         leaseSentAt: Double,
     ): Boolean {
-        if (isLeader || newTerm <= term || context.now >= leaseSentAt + ttlS * (1 - DRIFT) - MARGIN_S) return false
+        if (isLeader || newTerm <= term || context.now >= leaseSentAt + ttlSeconds * (1 - DRIFT) - MARGIN_SECONDS) return false
         val led = ledBefore(termRow.value)
         formerLeaders = led.keys - settings.member
         previousLeaders = led
@@ -363,15 +363,18 @@
     }
 
     private fun ledBefore(row: JsonNode): Map<String, Long> =
-        row.path("led").properties().associate { (member, endedMs) -> member to endedMs.asLong() }
+        row.path("led").properties().associate { (member, endedMillis) -> member to endedMillis.asLong() }
 
-    /** Who led before, and when its term ended: of those within the bound some may still answer workers. Null where the row does not say. */
+    /**
+     * Who led before, and when its term ended: of those within the bound some may still answer workers. Null where the row does not
+     * say.
+     */
     private fun ledLately(row: JsonNode): Map<String, Long>? {
         if (!row.path("led").isObject) return null
         val last = row.path("by").takeIf { it.isTextual }?.asText() ?: return null
-        val led = ledBefore(row) + (last to context.wallMs)
-        val keptMs = (answerBoundS * HISTORY_BOUNDS * MS_A_S).toLong()
-        return led.filterValues { context.wallMs - it < keptMs }
+        val led = ledBefore(row) + (last to context.wallMillis)
+        val keptMillis = (answerBoundSeconds * HISTORY_BOUNDS * MILLIS_PER_SECOND).toLong()
+        return led.filterValues { context.wallMillis - it < keptMillis }
     }
 
     private fun termRow(
@@ -382,7 +385,7 @@
         Json.obj {
             put("n", next)
             put("by", member)
-            putObject("led").also { all -> led.forEach { (member, endedMs) -> all.put(member, endedMs) } }
+            putObject("led").also { all -> led.forEach { (member, endedMillis) -> all.put(member, endedMillis) } }
         }
 
     private fun elected(
@@ -465,11 +468,11 @@
         const val TERM = "term"
 
         /** Between two statuses of a member. */
-        const val STATUS_INTERVAL_S = 0.5
+        const val STATUS_INTERVAL_SECONDS = 0.5
 
         /** Twice the drift that the protocol allows between two steady clocks. */
         const val DRIFT = 0.001
-        const val MARGIN_S = 0.05
+        const val MARGIN_SECONDS = 0.05
         private const val OK = 200
 
         /** A renewal is due every quarter of the lease and waits a third of it for its answer. */
@@ -487,6 +490,6 @@
 
         /** The times of day of two members differ by far less than the bound for which a leader that was is remembered. */
         const val HISTORY_BOUNDS = 2
-        const val MS_A_S = 1000
+        const val MILLIS_PER_SECOND = 1000
     }
 }
--- a/src/main/kotlin/burlridge/leadership/LeadershipTransfer.kt
+++ b/src/main/kotlin/burlridge/leadership/LeadershipTransfer.kt
@@ -36,7 +36,7 @@
         val term: Long,
         val fence: Long,
         val transaction: Transaction,
-        val leaseS: Double,
+        val leaseSeconds: Double,
         val giveUpAt: Double,
         val onResult: (TransferOutcome) -> Unit,
     ) {
@@ -51,10 +51,11 @@
 
     fun begin(
         transaction: Transaction,
-        leaseS: Double,
+        leaseSeconds: Double,
         onResult: (TransferOutcome) -> Unit,
     ) {
-        val attempt = Attempt(leadership.term, leadership.fence, transaction, leaseS, context.now + leaseS / GIVE_UP_PART, onResult)
+        val attempt =
+            Attempt(leadership.term, leadership.fence, transaction, leaseSeconds, context.now + leaseSeconds / GIVE_UP_PART, onResult)
         current = attempt
         send(attempt)
     }
@@ -74,7 +75,7 @@
 
     /** Only in the answer to one copy is another sent or the transfer given up, so that none can leave after that. */
     private fun send(attempt: Attempt) {
-        store.commit(attempt.transaction, RequestPriority.LEADERSHIP, attempt.leaseS / GIVE_UP_PART) { result ->
+        store.commit(attempt.transaction, RequestPriority.LEADERSHIP, attempt.leaseSeconds / GIVE_UP_PART) { result ->
             if (current !== attempt) return@commit
             when (result) {
                 is TransactionResult.Committed -> {
@@ -103,7 +104,7 @@
         if (!attempt.inDoubt && context.now >= attempt.giveUpAt) {
             return end(attempt, TransferOutcome.Refused("the state service refuses it"))
         }
-        context.schedule(attempt.leaseS / RETRIES_A_LEASE) { if (current === attempt) send(attempt) }
+        context.schedule(attempt.leaseSeconds / RETRIES_PER_LEASE) { if (current === attempt) send(attempt) }
     }
 
     /** The successor's lease is gone, so that no copy can be carried out any more; the term's row says whether one was. */
@@ -116,7 +117,7 @@
                 }
 
                 read is ReadResult.Failed -> {
-                    context.schedule(attempt.leaseS / RETRIES_A_LEASE) {
+                    context.schedule(attempt.leaseSeconds / RETRIES_PER_LEASE) {
                         if (current ===
                             attempt
                         ) {
@@ -135,7 +136,7 @@
     private companion object {
         /** What the state service refuses is given up after this part of a lease, so that the leader's own does not run out over it. */
         const val GIVE_UP_PART = 4
-        const val RETRIES_A_LEASE = 16
+        const val RETRIES_PER_LEASE = 16
         const val LEASE_ENDED = "the successor's lease has ended"
     }
 }
--- a/src/main/kotlin/burlridge/message/PeerMessage.kt
+++ b/src/main/kotlin/burlridge/message/PeerMessage.kt
@@ -46,7 +46,7 @@
         val requestId: Long,
         val status: Int,
         val body: String,
-        val retryAfterS: Int,
+        val retryAfterSeconds: Int,
     ) : PeerMessage
 
     /** News of a job whose row [from] has just written. */
--- a/src/main/kotlin/burlridge/net/ClientConnections.kt
+++ b/src/main/kotlin/burlridge/net/ClientConnections.kt
@@ -8,7 +8,7 @@
 internal class ClientConnections<T : Any>(
     private val most: Int,
     private val crowded: Int,
-    private val reclaimAfterS: Double,
+    private val reclaimAfterSeconds: Double,
 ) {
     private val idleSince = LinkedHashMap<T, Double>()
     private val busy = HashSet<T>()
@@ -45,6 +45,6 @@
     fun reclaimable(now: Double): T? =
         idleSince.entries
             .firstOrNull()
-            ?.takeIf { now > it.value + reclaimAfterS }
+            ?.takeIf { now > it.value + reclaimAfterSeconds }
             ?.key
 }
--- a/src/main/kotlin/burlridge/net/Connection.kt
+++ b/src/main/kotlin/burlridge/net/Connection.kt
@@ -224,7 +224,7 @@
     internal companion object {
         private const val READ = SelectionKey.OP_READ
         private const val WRITE = SelectionKey.OP_WRITE or SelectionKey.OP_CONNECT
-        private const val FULL_MS = 20L
+        private const val FULL_MILLIS = 20L
 
         suspend fun connect(
             loop: EventLoop,
@@ -270,7 +270,7 @@
             fun rest() {
                 key.interestOps(0)
                 scope.launch {
-                    delay(FULL_MS)
+                    delay(FULL_MILLIS)
                     key.interestOps(SelectionKey.OP_ACCEPT)
                 }
             }
--- a/src/main/kotlin/burlridge/net/EventLoop.kt
+++ b/src/main/kotlin/burlridge/net/EventLoop.kt
@@ -113,8 +113,9 @@
         if (due.isNotEmpty() || first.isNotEmpty() || afterSelect.isNotEmpty()) {
             selector.selectNow()
         } else {
-            val waitMs = timers.peek()?.let { (it.at - System.nanoTime() + NS_A_MS - 1) / NS_A_MS } ?: LONGEST_WAIT_MS
-            if (waitMs <= 0) selector.selectNow() else selector.select(waitMs)
+            val waitMillis =
+                timers.peek()?.let { (it.at - System.nanoTime() + NANOS_PER_MILLI - 1) / NANOS_PER_MILLI } ?: LONGEST_WAIT_MILLIS
+            if (waitMillis <= 0) selector.selectNow() else selector.select(waitMillis)
         }
         val keys = selector.selectedKeys()
         if (keys.isEmpty()) return
@@ -129,7 +130,7 @@
     private fun after(
         ms: Long,
         work: Runnable,
-    ): Timer = Timer(System.nanoTime() + ms * NS_A_MS, nextOrder++, work).also { timers.add(it) }
+    ): Timer = Timer(System.nanoTime() + ms * NANOS_PER_MILLI, nextOrder++, work).also { timers.add(it) }
 
     private fun cancel(timer: Timer) {
         if (timer.work == null) return
@@ -186,8 +187,8 @@
         /** So many turns of coroutines, a handful of requests, between two looks at sockets and timers. */
         const val SLICE = 32
         const val READ_BYTES = 64 * 1024
-        const val NS_A_MS = 1_000_000L
-        const val LONGEST_WAIT_MS = 1_000L
+        const val NANOS_PER_MILLI = 1_000_000L
+        const val LONGEST_WAIT_MILLIS = 1_000L
         const val SPARE_TIMERS = 64
 
         /** The read of a socket, the parser that waits for it, and whoever waits for the parser: one round each, and one to spare. */
--- a/src/main/kotlin/burlridge/net/HttpClient.kt
+++ b/src/main/kotlin/burlridge/net/HttpClient.kt
@@ -36,7 +36,10 @@
     suspend fun call(effect: Effect.HttpCall): CallOutcome {
         if (effect.target in first) return callNow(effect)
         // Hundreds of machines that hang must not take all sockets; a call that waited in vain was never sent.
-        if (!permits.tryAcquire()) withTimeoutOrNull((effect.timeoutS * 1000).toLong()) { permits.acquire() } ?: return CallOutcome.NotSent
+        if (!permits.tryAcquire()) {
+            withTimeoutOrNull((effect.timeoutSeconds * 1000).toLong()) { permits.acquire() }
+                ?: return CallOutcome.NotSent
+        }
         return try {
             callNow(effect)
         } finally {
@@ -45,12 +48,13 @@
     }
 
     private suspend fun callNow(effect: Effect.HttpCall): CallOutcome {
-        val timeoutMs = (effect.timeoutS * 1000).toLong()
+        val timeoutMillis = (effect.timeoutSeconds * 1000).toLong()
         val link =
-            kept(effect.target) ?: withTimeoutOrNull(minOf(timeoutMs, CONNECT_MS)) { connect(effect.target) } ?: return CallOutcome.NotSent
+            kept(effect.target) ?: withTimeoutOrNull(minOf(timeoutMillis, CONNECT_MILLIS)) { connect(effect.target) }
+                ?: return CallOutcome.NotSent
         val outcome =
             try {
-                withTimeoutOrNull(timeoutMs) { exchange(link, effect) }
+                withTimeoutOrNull(timeoutMillis) { exchange(link, effect) }
             } catch (e: CancellationException) {
                 link.connection.close()
                 throw e
@@ -118,7 +122,7 @@
         }
     }
 
-    private fun tooLate(effect: Effect.HttpCall) = effect.sendDeadline < System.nanoTime() / NS_A_S
+    private fun tooLate(effect: Effect.HttpCall) = effect.sendDeadline < System.nanoTime() / NANOS_PER_SECOND
 
     private fun keep(link: Link) {
         idle.add(link)
@@ -136,8 +140,8 @@
     }
 
     private companion object {
-        const val CONNECT_MS = 1_000L
-        const val NS_A_S = 1e9
+        const val CONNECT_MILLIS = 1_000L
+        const val NANOS_PER_SECOND = 1e9
         const val MOST_RESPONSE = 8 * 1024 * 1024
     }
 }
--- a/src/main/kotlin/burlridge/net/HttpServer.kt
+++ b/src/main/kotlin/burlridge/net/HttpServer.kt
@@ -16,7 +16,7 @@
 internal class HttpServer(
     private val loop: EventLoop,
     private val budget: ConnectionBudget,
-    reclaimAfterS: Double,
+    reclaimAfterSeconds: Double,
     private val handle: (Input.Request) -> Unit,
 ) {
     private class Waiting(
@@ -27,7 +27,7 @@
     private val log = LoggerFactory.getLogger("burlridge")
     private var nextId = 1L
     private val waiting = LinkedHashMap<Long, Waiting>()
-    private val clients = ClientConnections<Connection>(budget.clients, budget.crowded, reclaimAfterS)
+    private val clients = ClientConnections<Connection>(budget.clients, budget.crowded, reclaimAfterSeconds)
     private val knownHeads = ArrayDeque<RequestHead>()
     private var reclaimed = 0L
     private var fullLoggedAt = 0L
@@ -43,17 +43,17 @@
             reclaimed++
         }
         val now = System.nanoTime()
-        if (fullLoggedAt == 0L || now - fullLoggedAt > LOG_INTERVAL_NS) {
+        if (fullLoggedAt == 0L || now - fullLoggedAt > LOG_INTERVAL_NANOS) {
             fullLoggedAt = now
             log.info("connections are short: {} open from outside, {} idle ones closed for newcomers so far", clients.size, reclaimed)
         }
         return idlest != null
     }
 
-    private fun seconds() = System.nanoTime() / NS_A_S
+    private fun seconds() = System.nanoTime() / NANOS_PER_SECOND
 
     fun answer(effect: Effect.Respond) {
-        waiting.remove(effect.id)?.answer?.invoke(HttpResponse(effect.status, effect.body, effect.retryAfterS, effect.sendDeadline))
+        waiting.remove(effect.id)?.answer?.invoke(HttpResponse(effect.status, effect.body, effect.retryAfterSeconds, effect.sendDeadline))
     }
 
     /** The core answers everything in time; should it ever not, the other side still gets a final word. */
@@ -61,7 +61,7 @@
         val now = System.nanoTime()
         while (true) {
             val (id, oldest) = waiting.entries.firstOrNull() ?: return
-            if (now - oldest.since < HANDLE_NS) return
+            if (now - oldest.since < HANDLE_NANOS) return
             waiting.remove(id)
             oldest.answer(HttpResponse.unavailable("no answer in time"))
         }
@@ -108,8 +108,8 @@
                 waiting[id] = Waiting(since, deferred::complete)
                 handle(Input.Request(id, request.method.value, uri.substringBefore('?'), uri.substringAfter('?', ""), body))
                 val answer = deferred.await()
-                val ms = (System.nanoTime() - since) / NS_A_MS
-                if (ms > SLOW_MS ||
+                val ms = (System.nanoTime() - since) / NANOS_PER_MILLI
+                if (ms > SLOW_MILLIS ||
                     answer.status >= SERVER_ERROR
                 ) {
                     log.debug("{} {}: {} after {} ms", request.method.value, uri, answer.status, ms)
@@ -218,7 +218,7 @@
                     .append(REASONS[answer.status] ?: "Status")
                     .append("\r\n")
                 append("Content-Type: application/json\r\nContent-Length: ").append(body.size).append("\r\n")
-                answer.retryAfterS?.let { append("Retry-After: ").append(it).append("\r\n") }
+                answer.retryAfterSeconds?.let { append("Retry-After: ").append(it).append("\r\n") }
                 if (close) append("Connection: close\r\n")
                 append("\r\n")
             }
@@ -232,11 +232,11 @@
         /** What is asked again and again with the same head. */
         val REPEATED = setOf(WORKER_PATH, "/ready", "/api/jobs")
         const val MOST_HEADS = 4
-        const val NS_A_S = 1e9
-        const val LOG_INTERVAL_NS = 10_000_000_000L
-        const val HANDLE_NS = 4_000_000_000L
-        const val NS_A_MS = 1_000_000
-        const val SLOW_MS = 100
+        const val NANOS_PER_SECOND = 1e9
+        const val LOG_INTERVAL_NANOS = 10_000_000_000L
+        const val HANDLE_NANOS = 4_000_000_000L
+        const val NANOS_PER_MILLI = 1_000_000
+        const val SLOW_MILLIS = 100
         const val SERVER_ERROR = 500
         val REASONS =
             mapOf(
--- a/src/main/kotlin/burlridge/peer/PeerRequests.kt
+++ b/src/main/kotlin/burlridge/peer/PeerRequests.kt
@@ -30,7 +30,7 @@
         zone: String,
     ): Boolean = statuses[leader]?.let { it.isLeader && zone in it.zonesWithoutHeartbeats } ?: false
 
-    fun isSilent(member: String): Boolean = context.now > (heardAt[member] ?: -1e9) + SILENT_S
+    fun isSilent(member: String): Boolean = context.now > (heardAt[member] ?: -1e9) + SILENT_SECONDS
 
     /** Asks [member]; null when it does not answer in time. A member long unheard of is not waited for. */
     fun forward(
@@ -38,7 +38,7 @@
         method: String,
         path: String,
         body: String,
-        patienceS: Double,
+        patienceSeconds: Double,
         sendDeadline: Double = Effect.NO_DEADLINE,
         onResult: (HttpResponse?) -> Unit,
     ) {
@@ -46,11 +46,11 @@
         val id = nextRequestId++
         pendingRequests.put(id, onResult)
         context.send(member, PeerMessage.ForwardedRequest(context.settings.member, id, method, path, body), sendDeadline)
-        context.schedule(patienceS) { pendingRequests.remove(id)?.invoke(null) }
+        context.schedule(patienceSeconds) { pendingRequests.remove(id)?.invoke(null) }
     }
 
     fun onResponse(reply: PeerMessage.ForwardedResponse) {
-        pendingRequests.remove(reply.requestId)?.invoke(HttpResponse(reply.status, reply.body, reply.retryAfterS.takeIf { it > 0 }))
+        pendingRequests.remove(reply.requestId)?.invoke(HttpResponse(reply.status, reply.body, reply.retryAfterSeconds.takeIf { it > 0 }))
     }
 
     fun broadcastAccepted(job: String) {
@@ -58,6 +58,6 @@
     }
 
     private companion object {
-        const val SILENT_S = 2.0
+        const val SILENT_SECONDS = 2.0
     }
 }
--- a/src/main/kotlin/burlridge/peer/PeerTransport.kt
+++ b/src/main/kotlin/burlridge/peer/PeerTransport.kt
@@ -74,7 +74,7 @@
     ) {
         while (true) {
             try {
-                val connection = withTimeout(CONNECT_MS) { Connection.connect(loop, scope, to) }
+                val connection = withTimeout(CONNECT_MILLIS) { Connection.connect(loop, scope, to) }
                 try {
                     deliver(connection, queue)
                 } finally {
@@ -89,7 +89,7 @@
             }
             // What waited meanwhile is old news.
             while (queue.tryReceive().isSuccess) Unit
-            delay(REDIAL_MS)
+            delay(REDIAL_MILLIS)
         }
     }
 
@@ -102,7 +102,7 @@
             var next = queue.receive()
             // What has gathered goes out together.
             while (true) {
-                if (next.sendDeadline >= System.nanoTime() / NS_A_S) {
+                if (next.sendDeadline >= System.nanoTime() / NANOS_PER_SECOND) {
                     val bytes = PeerMessage.encode(next.message)
                     frames.writeInt(bytes.size)
                     frames.write(bytes)
@@ -110,7 +110,7 @@
                 if (frames.size >= ENOUGH_AT_ONCE) break
                 next = queue.tryReceive().getOrNull() ?: break
             }
-            if (frames.size > 0) withTimeout(WRITE_MS) { connection.write(frames.readByteArray()) }
+            if (frames.size > 0) withTimeout(WRITE_MILLIS) { connection.write(frames.readByteArray()) }
         }
     }
 
@@ -118,10 +118,10 @@
         const val BACKLOG = 64
         const val LEAST_QUEUE = 256
         const val QUEUE_PART = 0.25
-        const val NS_A_S = 1e9
-        const val CONNECT_MS = 1_000L
-        const val WRITE_MS = 2_000L
-        const val REDIAL_MS = 300L
+        const val NANOS_PER_SECOND = 1e9
+        const val CONNECT_MILLIS = 1_000L
+        const val WRITE_MILLIS = 2_000L
+        const val REDIAL_MILLIS = 300L
         const val MOST_FRAME = 256 * 1024
         const val ENOUGH_AT_ONCE = 64 * 1024
     }
--- a/src/main/kotlin/burlridge/placement/BestFitSelector.kt
+++ b/src/main/kotlin/burlridge/placement/BestFitSelector.kt
@@ -78,33 +78,34 @@
     ): Double {
         val left = room.free - spec.size
         val memoryUnit = room.whole.memoryGb.coerceAtLeast(1.0) / room.whole.cpus.coerceAtLeast(1.0)
-        return left.cpus + left.gpus * GPU_WEIGHT + left.memoryGb / memoryUnit / 2 + expectedFetchS(room.machine, spec) * CPUS_A_SECOND
+        return left.cpus + left.gpus * GPU_WEIGHT + left.memoryGb / memoryUnit / 2 +
+            expectedFetchSeconds(room.machine, spec) * CPUS_PER_SECOND
     }
 
-    /** As [fetchS], with what else is being fetched there where that is known. */
-    fun expectedFetchS(
+    /** As [fetchSeconds], with what else is being fetched there where that is known. */
+    fun expectedFetchSeconds(
         machine: Machine,
         spec: JobSpec,
-    ): Double = fetchS(machine, spec).let { aloneS -> advice?.fetchS(machine, spec, aloneS) ?: aloneS }
+    ): Double = fetchSeconds(machine, spec).let { aloneSeconds -> advice?.fetchSeconds(machine, spec, aloneSeconds) ?: aloneSeconds }
 
-    fun fetchS(
+    fun fetchSeconds(
         machine: Machine,
         spec: JobSpec,
     ): Double {
         if (spec.image in machine.images) return 0.0
-        val rate = fetchGbPerS(machine.type)
+        val rate = fetchGbPerSecond(machine.type)
         return if (rate > 0) spec.imageGb / rate else 0.0
     }
 
-    fun fetchGbPerS(type: String): Double =
+    fun fetchGbPerSecond(type: String): Double =
         fleet.catalog
             ?.types
             ?.get(type)
-            ?.fetchGbPerS ?: 0.0
+            ?.fetchGbPerSecond ?: 0.0
 
     private companion object {
         /** A second of fetching weighs as much as so many CPUs left over. */
-        const val CPUS_A_SECOND = 0.5
+        const val CPUS_PER_SECOND = 0.5
         const val GPU_WEIGHT = 16.0
     }
 }
--- a/src/main/kotlin/burlridge/placement/GangPlacement.kt
+++ b/src/main/kotlin/burlridge/placement/GangPlacement.kt
@@ -1,10 +1,10 @@
 package burlridge.placement
 
-import burlridge.allocation.GangState
-import burlridge.allocation.QuotaCharge
 import burlridge.allocation.Allocation
 import burlridge.allocation.GangRules
+import burlridge.allocation.GangState
 import burlridge.allocation.Job
+import burlridge.allocation.QuotaCharge
 import burlridge.core.StepContext
 import burlridge.fleet.Fleet
 import burlridge.job.JobSpec
@@ -23,9 +23,9 @@
     /** Within which a job class's gangs are to start. */
     private val startWithin =
         context.settings.objectives
-            .filter { it.kind == "wait" && it.jobClass != null && it.withinS != null }
+            .filter { it.kind == "wait" && it.jobClass != null && it.withinSeconds != null }
             .groupBy { it.jobClass }
-            .mapValues { (_, aims) -> aims.minOf { it.withinS ?: Double.MAX_VALUE } }
+            .mapValues { (_, aims) -> aims.minOf { it.withinSeconds ?: Double.MAX_VALUE } }
 
     /** A gang whose job class is to start at once: it is placed first, and room for the next one is kept. */
     fun isEarly(job: Job): Boolean = job.spec.gang && startWithin.containsKey(job.spec.jobClass)
@@ -95,7 +95,8 @@
         task: Int,
         attempt: Int,
         room: MachineCapacity,
-    ): Allocation = Allocation(spec.id, task, attempt, room.machine.id, room.machine.agentEpoch, room.machine.zone, QuotaCharge(spec.team, spec.size))
+    ): Allocation =
+        Allocation(spec.id, task, attempt, room.machine.id, room.machine.agentEpoch, room.machine.zone, QuotaCharge(spec.team, spec.size))
 
     /** The rooms that may hold the gang together: those of a zone where it must be one, the zone that holds its image first. */
     private fun groups(
@@ -146,10 +147,10 @@
         rooms: List<MachineCapacity>,
     ): List<List<MachineCapacity>> {
         val (holders, others) = rooms.partition { spec.image in it.machine.images }
-        val limitS = startWithin[spec.jobClass] ?: Double.MAX_VALUE
+        val limitSeconds = startWithin[spec.jobClass] ?: Double.MAX_VALUE
         val byType = others.groupBy { it.machine.type }.values
-        val (quick, slow) = byType.partition { fit.fetchS(it.first().machine, spec) * SLOW_FETCH <= limitS }
-        return listOf(holders) + quick + slow.sortedBy { fit.fetchS(it.first().machine, spec) }
+        val (quick, slow) = byType.partition { fit.fetchSeconds(it.first().machine, spec) * SLOW_FETCH <= limitSeconds }
+        return listOf(holders) + quick + slow.sortedBy { fit.fetchSeconds(it.first().machine, spec) }
     }
 
     private companion object {
--- a/src/main/kotlin/burlridge/placement/MoveTargetFinder.kt
+++ b/src/main/kotlin/burlridge/placement/MoveTargetFinder.kt
@@ -12,7 +12,7 @@
     /** A machine with room, and how long it takes there to fetch the image. */
     class Candidate(
         val machine: Machine,
-        val fetchS: Double,
+        val fetchSeconds: Double,
     )
 
     /**
@@ -33,7 +33,10 @@
             val rooms =
                 group
                     .flatMap { it.rooms }
-                    .filterTo(ArrayList()) { isRoom(it, job, allocation) && suits(Candidate(it.machine, fit.expectedFetchS(it.machine, spec))) }
+                    .filterTo(ArrayList()) {
+                        isRoom(it, job, allocation) &&
+                            suits(Candidate(it.machine, fit.expectedFetchSeconds(it.machine, spec)))
+                    }
             val room = fit.sample(rooms, spec, zones) ?: continue
             plan.keep(CapacityReservation(job, allocation.task, room.machine))
             return room.machine
--- a/src/main/kotlin/burlridge/placement/Placement.kt
+++ b/src/main/kotlin/burlridge/placement/Placement.kt
@@ -1,9 +1,9 @@
 package burlridge.placement
 
-import burlridge.allocation.QuotaCharge
 import burlridge.allocation.Allocation
 import burlridge.allocation.Job
 import burlridge.allocation.JobRegistry
+import burlridge.allocation.QuotaCharge
 import burlridge.core.StepContext
 import burlridge.fleet.Fleet
 import burlridge.fleet.InstanceOffering
@@ -22,21 +22,21 @@
     /** Lanes whose tasks must start within a report interval: to them a fetch is most of the wait. */
     private val urgentClasses =
         context.settings.objectives
-            .filter { it.kind == "wait" && (it.withinS ?: Double.MAX_VALUE) < context.settings.workers.reportS }
+            .filter { it.kind == "wait" && (it.withinSeconds ?: Double.MAX_VALUE) < context.settings.workers.reportSeconds }
             .mapNotNull { it.jobClass }
             .toSet()
 
     /** Classes whose tasks are to start within some time. */
     private val waitClasses =
         context.settings.objectives
-            .filter { it.kind == "wait" && it.withinS != null }
+            .filter { it.kind == "wait" && it.withinSeconds != null }
             .mapNotNull { it.jobClass }
             .toSet()
 
     private val finishAims =
         context.settings.objectives
-            .filter { it.kind == "finished" && it.jobClass != null && it.withinS != null }
-            .associate { it.jobClass to it.withinS }
+            .filter { it.kind == "finished" && it.jobClass != null && it.withinSeconds != null }
+            .associate { it.jobClass to it.withinSeconds }
     private val fit = BestFitSelector(context, fleet)
     private val gangs = GangPlacement(context, workers, fleet, fit)
 
@@ -150,7 +150,7 @@
         val late: Boolean,
         val load: Double,
         val rank: Double,
-        val ageS: Double,
+        val ageSeconds: Double,
     )
 
     /**
@@ -161,15 +161,15 @@
     fun queue(): List<Job> {
         val queued =
             registry.jobs.values.filter { it.ending == null && it.waiting > 0 && (!it.spec.gang || gangs.mayBegin(it)) }.map {
-                QueuedJob(it, tooLate(it), load(it.spec.team), rank(it), ageS(it))
+                QueuedJob(it, tooLate(it), load(it.spec.team), rank(it), ageSeconds(it))
             }
         if (queued.isEmpty()) return emptyList()
-        val (starved, others) = queued.partition { !it.job.begun && it.ageS > MUST_BEGIN_S / 2 }
+        val (starved, others) = queued.partition { !it.job.begun && it.ageSeconds > MUST_BEGIN_SECONDS / 2 }
         val (late, timely) = others.partition { it.late }
         val inTurn =
             timely.sortedWith(compareBy<QueuedJob> { it.job.spec.priority }.thenBy { it.load }.thenBy { it.rank }).toMutableList()
-        val oldest = ArrayDeque(late.sortedByDescending { it.ageS })
-        val order = starved.sortedByDescending { it.ageS }.toMutableList()
+        val oldest = ArrayDeque(late.sortedByDescending { it.ageSeconds })
+        val order = starved.sortedByDescending { it.ageSeconds }.toMutableList()
         while (inTurn.isNotEmpty() || oldest.isNotEmpty()) {
             val next = inTurn.take(TURNS_OF_TIMELY)
             order += next
@@ -180,19 +180,19 @@
     }
 
     /** When the aims want a job complete, counted from its submission; null where none says. */
-    private fun limitS(job: Job): Double? = job.spec.deadlineS ?: finishAims[job.spec.jobClass]
+    private fun limitSeconds(job: Job): Double? = job.spec.deadlineSeconds ?: finishAims[job.spec.jobClass]
 
-    private fun ageS(job: Job): Double = (context.wallMs - job.submittedMs) / 1000.0
+    private fun ageSeconds(job: Job): Double = (context.wallMillis - job.submittedMillis) / 1000.0
 
     /** A job that cannot be complete in time any more gives way to those that still can. */
-    private fun tooLate(job: Job): Boolean = limitS(job)?.let { ageS(job) + job.spec.estimateS * SURE_PART > it } ?: false
+    private fun tooLate(job: Job): Boolean = limitSeconds(job)?.let { ageSeconds(job) + job.spec.estimateSeconds * SURE_PART > it } ?: false
 
     /** Within a team: with a deadline the earliest first, otherwise the least work first, which keeps most jobs within a common aim. */
     private fun rank(job: Job): Double {
         val spec = job.spec
-        spec.deadlineS?.let { return it - ageS(job) }
+        spec.deadlineSeconds?.let { return it - ageSeconds(job) }
         val left = spec.tasks - job.done.cardinality()
-        return left * spec.estimateS - ageS(job)
+        return left * spec.estimateSeconds - ageSeconds(job)
     }
 
     private fun load(team: String): Double {
@@ -221,7 +221,9 @@
             context.count("placement.candidates", group.sumOf { it.rooms.size })
             task = fill(job, task, group.flatMap { pool -> pool.rooms.filter { mayTake(job, it) } }, zones, plan)
         }
-        val stopped = plan.allocations.size >= registry.allocations.maxStartsPerBatch || fit.overLimit(spec.team, plan.used(spec.team) + spec.size)
+        val stopped =
+            plan.allocations.size >= registry.allocations.maxStartsPerBatch ||
+                fit.overLimit(spec.team, plan.used(spec.team) + spec.size)
         if (task >= 0 && advice != null && spec.jobClass in waitClasses) task = fillCold(job, task, pools, zones, plan)
         if (task >= 0 && !stopped && !spec.oneZone && !spec.spread && tookAllRoom(job, pools)) {
             plan.unplaceable += ResourceRequest(spec.types, spec.zone, spec.spot, spec.size)
@@ -254,7 +256,8 @@
     }
 
     /** What has waited for half of the time within which a job gets what room there is also takes room that is avoided. */
-    private fun takesAvoided(job: Job): Boolean = (job.allocatedAt?.let { context.now - it } ?: ageS(job)) > MUST_HAVE_ROOM_S / 2
+    private fun takesAvoided(job: Job): Boolean =
+        (job.allocatedAt?.let { context.now - it } ?: ageSeconds(job)) > MUST_HAVE_ROOM_SECONDS / 2
 
     private fun mayTake(
         job: Job,
@@ -266,8 +269,8 @@
         pools: List<MachinePool>,
     ): Boolean {
         if (spec.jobClass in urgentClasses) return true
-        val slowest = pools.minOfOrNull { fit.fetchGbPerS(it.first.type) } ?: return false
-        return spec.deadlineS != null && slowest > 0 && spec.imageGb / slowest > spec.estimateS * LONG_FETCH
+        val slowest = pools.minOfOrNull { fit.fetchGbPerSecond(it.first.type) } ?: return false
+        return spec.deadlineSeconds != null && slowest > 0 && spec.imageGb / slowest > spec.estimateSeconds * LONG_FETCH
     }
 
     /** Places tasks of [job] from [first] on in [rooms] while there is room; returns the next task, or -1 when none is left. */
@@ -337,11 +340,11 @@
         const val LONG_FETCH = 0.1
 
         /** By the protocol every job begins within four minutes. */
-        const val MUST_BEGIN_S = 240.0
+        const val MUST_BEGIN_SECONDS = 240.0
         const val TURNS_OF_TIMELY = 3
 
         /** By the protocol no job waits longer than this beside room that it may use. */
-        const val MUST_HAVE_ROOM_S = 90.0
+        const val MUST_HAVE_ROOM_SECONDS = 90.0
 
         /** Rounds whose row is still being written; the tasks that gather meanwhile share the next. */
         const val MOST_OPEN_ROUNDS = 3
--- a/src/main/kotlin/burlridge/placement/PlacementPolicy.kt
+++ b/src/main/kotlin/burlridge/placement/PlacementPolicy.kt
@@ -29,10 +29,10 @@
     /** How many more starts [machine] may get now. */
     fun startsLeft(machine: Machine): Int
 
-    /** How long the image of [spec] takes to be on [machine], where it takes [aloneS] if nothing else is fetched there. */
-    fun fetchS(
+    /** How long the image of [spec] takes to be on [machine], where it takes [aloneSeconds] if nothing else is fetched there. */
+    fun fetchSeconds(
         machine: Machine,
         spec: JobSpec,
-        aloneS: Double,
+        aloneSeconds: Double,
     ): Double
 }
--- a/src/main/kotlin/burlridge/settings/FailoverSettings.kt
+++ b/src/main/kotlin/burlridge/settings/FailoverSettings.kt
@@ -19,7 +19,7 @@
     val traceFile: String? = null,
 ) {
     /** How long a process that is asked to stop waits for a successor, in seconds. */
-    fun drainPatienceS(settings: Settings): Double = settings.workers.reportS * settings.operator.leaseReports * DRAIN_LEASES
+    fun drainPatienceSeconds(settings: Settings): Double = settings.workers.reportSeconds * settings.operator.leaseReports * DRAIN_LEASES
 
     internal companion object {
         val KEYS: Set<String> = setOf("suspect_level", "standbys", "refresh_reports", "replica_part", "slow_stalls", "trace_file")
--- a/src/main/kotlin/burlridge/settings/IniSection.kt
+++ b/src/main/kotlin/burlridge/settings/IniSection.kt
@@ -59,7 +59,9 @@
                 }
             for ((name, section) in ini) {
                 val known = keys[name] ?: throw InvalidSettingsException("unknown section [$name]; known are ${keys.keys}")
-                section.keys.firstOrNull { it !in known }?.let { throw InvalidSettingsException("unknown key $it in [$name]; known are $known") }
+                section.keys
+                    .firstOrNull { it !in known }
+                    ?.let { throw InvalidSettingsException("unknown key $it in [$name]; known are $known") }
             }
             return ini.mapValues { (name, section) -> IniSection(name, section) }
         }
--- a/src/main/kotlin/burlridge/settings/Settings.kt
+++ b/src/main/kotlin/burlridge/settings/Settings.kt
@@ -42,23 +42,23 @@
 internal data class ServiceLevelObjective(
     val kind: String,
     val jobClass: String?,
-    val withinS: Double?,
+    val withinSeconds: Double?,
     val share: Double?,
 )
 
 internal data class WorkerTimings(
-    val reportS: Double,
-    val leaseS: Double,
-    val cancelS: Double,
+    val reportSeconds: Double,
+    val leaseSeconds: Double,
+    val cancelSeconds: Double,
     /** Null where the platform knows no gangs. */
     val gang: GangTimings? = null,
 )
 
 internal data class GangTimings(
     /** How long a task waits for the others of its attempt. */
-    val waitS: Double,
+    val waitSeconds: Double,
     /** Within which the tasks of a gang notice a loss, and must all be told of a stop. */
-    val peerS: Double,
+    val peerSeconds: Double,
 )
 
 /**
@@ -74,7 +74,7 @@
 
 internal data class CloudLimits(
     val rps: Double,
-    val listLagS: Double,
+    val listLagSeconds: Double,
 )
 
 /** What the platform gives a controller's process. */
@@ -111,7 +111,7 @@
 
         /** Fewer connections cannot be shared out between users, workers, members and outside services. */
         private val CONNECTIONS = 40.0..1_000_000.0
-        private const val BYTES_A_KB = 1024
+        private const val BYTES_PER_KB = 1024
 
         fun parse(text: String): Settings =
             try {
@@ -158,7 +158,11 @@
         private fun limits(node: JsonNode): ProcessLimits {
             if (!node.isObject) throw InvalidSettingsException("params.limits must be an object")
             val connections = node.within("max_connections", "params.limits.", CONNECTIONS)
-            if (connections != Math.rint(connections)) throw InvalidSettingsException("params.limits.max_connections must be a whole number")
+            if (connections !=
+                Math.rint(connections)
+            ) {
+                throw InvalidSettingsException("params.limits.max_connections must be a whole number")
+            }
             return ProcessLimits(
                 node.within("cpu_share", "params.limits.", CPU_SHARES),
                 node.within("memory_mb", "params.limits.", MEMORY_MB),
@@ -182,7 +186,7 @@
             return StoreLimits(
                 lowerOf("rps"),
                 lowerOf("write_rps"),
-                (lowerOf("value_kb") * BYTES_A_KB).toInt(),
+                (lowerOf("value_kb") * BYTES_PER_KB).toInt(),
                 lowerOf("txn_ops").toInt().coerceAtLeast(1),
             )
         }
@@ -215,7 +219,11 @@
     name: String,
     at: String,
 ): String =
-    need(name, at).takeIf { it.isTextual && it.asText().isNotEmpty() }?.asText() ?: throw InvalidSettingsException("$at$name must be a non-empty text")
+    need(name, at)
+        .takeIf {
+            it.isTextual &&
+                it.asText().isNotEmpty()
+        }?.asText() ?: throw InvalidSettingsException("$at$name must be a non-empty text")
 
 private fun JsonNode.positive(
     name: String,
@@ -246,6 +254,10 @@
     val text = text(name, at)
     val port = text.substringAfterLast(':', "").toIntOrNull()
     val host = text.substringBeforeLast(':')
-    if (port == null || port !in 1..65535 || host.isEmpty()) throw InvalidSettingsException("$at$name must be an address and a port, not \"$text\"")
+    if (port == null || port !in 1..65535 ||
+        host.isEmpty()
+    ) {
+        throw InvalidSettingsException("$at$name must be an address and a port, not \"$text\"")
+    }
     return Endpoint(host, port)
 }
--- a/src/main/kotlin/burlridge/store/StoreClient.kt
+++ b/src/main/kotlin/burlridge/store/StoreClient.kt
@@ -1,7 +1,7 @@
 package burlridge.store
 
-import burlridge.core.StepContext
 import burlridge.core.CallOutcome
+import burlridge.core.StepContext
 import burlridge.json.Json
 import com.fasterxml.jackson.databind.JsonNode
 import com.google.common.base.Utf8
@@ -27,14 +27,14 @@
     private class QueuedRequest(
         val cost: Int,
         val since: Double,
-        val patienceS: Double,
+        val patienceSeconds: Double,
         val send: () -> Unit,
         val drop: () -> Unit,
         val counter: String,
     )
 
     /** Whether the state service has lately answered this member with anything but a refusal. */
-    val isServing: Boolean get() = lastRefusedAt < lastServedAt || context.now - lastServedAt < CALL_TIMEOUT_S
+    val isServing: Boolean get() = lastRefusedAt < lastServedAt || context.now - lastServedAt < CALL_TIMEOUT_SECONDS
 
     fun setLeader(isLeader: Boolean) {
         this.isLeader = isLeader
@@ -45,8 +45,8 @@
         priority: RequestPriority,
         onResult: (ReadResult<Row>) -> Unit,
     ) {
-        enqueue(priority, 0, READ_PATIENCE_S, { onResult(ReadResult.Failed) }) {
-            call("GET", "/store/$key", null, CALL_TIMEOUT_S) { status, body ->
+        enqueue(priority, 0, READ_PATIENCE_SECONDS, { onResult(ReadResult.Failed) }) {
+            call("GET", "/store/$key", null, CALL_TIMEOUT_SECONDS) { status, body ->
                 val value = body?.get("value")
                 when {
                     status == 200 && value != null -> onResult(ReadResult.Found(Row(key, value, body.path("stamp").asLong())))
@@ -89,9 +89,9 @@
         priority: RequestPriority,
         onResult: (ListPage?) -> Unit,
     ) {
-        enqueue(priority, 0, READ_PATIENCE_S, { onResult(null) }) {
+        enqueue(priority, 0, READ_PATIENCE_SECONDS, { onResult(null) }) {
             val after = if (from.isEmpty()) "" else "&from=$from"
-            call("GET", "/store?starts=$prefix$after&limit=$limit", null, CALL_TIMEOUT_S) { status, body ->
+            call("GET", "/store?starts=$prefix$after&limit=$limit", null, CALL_TIMEOUT_SECONDS) { status, body ->
                 val pairs = body?.get("pairs")
                 if (status != 200 || pairs == null || !pairs.isArray) {
                     onResult(null)
@@ -106,14 +106,18 @@
     fun commit(
         transaction: Transaction,
         priority: RequestPriority,
-        patienceS: Double = WRITE_PATIENCE_S,
+        patienceSeconds: Double = WRITE_PATIENCE_SECONDS,
         onSend: () -> Unit = {},
         onResult: (TransactionResult) -> Unit,
     ) {
         val body =
             Json.write(
                 Json.obj {
-                    putArray("if").apply { transaction.conditions.forEach { c -> addObject().put("key", c.key).put("stamp", c.modRevision) } }
+                    putArray("if").apply {
+                        transaction.conditions.forEach { c ->
+                            addObject().put("key", c.key).put("stamp", c.modRevision)
+                        }
+                    }
                     putArray("then").apply { transaction.changes.forEach { add(encode(it)) } }
                 },
             )
@@ -123,9 +127,9 @@
             context.schedule(0.0) { onResult(TransactionResult.TooLarge) }
             return
         }
-        enqueue(priority, transaction.changes.size, patienceS, { onResult(TransactionResult.Rejected) }) {
+        enqueue(priority, transaction.changes.size, patienceSeconds, { onResult(TransactionResult.Rejected) }) {
             onSend()
-            context.call(settings.state, "POST", "/multi", body, CALL_TIMEOUT_S) { outcome -> onResult(settle(outcome)) }
+            context.call(settings.state, "POST", "/multi", body, CALL_TIMEOUT_SECONDS) { outcome -> onResult(settle(outcome)) }
         }
     }
 
@@ -137,11 +141,25 @@
         val limits = settings.store
         val largest = transaction.changes.maxOfOrNull { if (it is Change.Put) bytesOf(it.value) else 0 } ?: 0
         return when {
-            transaction.changes.size > limits.changesPerTransaction -> "${transaction.changes.size} changes of ${limits.changesPerTransaction}"
-            transaction.conditions.size > limits.changesPerTransaction * CONDITIONS_AN_OP -> "${transaction.conditions.size} conditions"
-            largest > limits.valueBytes -> "a value of $largest bytes of ${limits.valueBytes}"
-            body.length > MOST_BYTES / 2 && Utf8.encodedLength(body) > MOST_BYTES -> "more than $MOST_BYTES bytes"
-            else -> null
+            transaction.changes.size > limits.changesPerTransaction -> {
+                "${transaction.changes.size} changes of ${limits.changesPerTransaction}"
+            }
+
+            transaction.conditions.size > limits.changesPerTransaction * CONDITIONS_PER_OP -> {
+                "${transaction.conditions.size} conditions"
+            }
+
+            largest > limits.valueBytes -> {
+                "a value of $largest bytes of ${limits.valueBytes}"
+            }
+
+            body.length > MOST_BYTES / 2 && Utf8.encodedLength(body) > MOST_BYTES -> {
+                "more than $MOST_BYTES bytes"
+            }
+
+            else -> {
+                null
+            }
         }
     }
 
@@ -199,7 +217,8 @@
     }
 
     /**
-     * Repeats [transaction] until its outcome is known or [stillWanted] says no; each of our rows is written under a stamp that only one copy can match.
+     * Repeats [transaction] until its outcome is known or [stillWanted] says no; each of our rows is written under a stamp that only
+     * one copy can match.
      * [doubt] is told true while a copy may have been carried out without our knowing, and false once all that were sent are refused.
      */
     fun commitUntilKnown(
@@ -220,7 +239,7 @@
         everUnknown: Boolean,
         onResult: (TransactionResult) -> Unit,
     ) {
-        commit(transaction, priority, PATIENT_S, { doubt(true) }) { result ->
+        commit(transaction, priority, PATIENT_SECONDS, { doubt(true) }) { result ->
             when {
                 !stillWanted() -> {
                     Unit
@@ -229,7 +248,7 @@
                 result is TransactionResult.Rejected || result is TransactionResult.Unknown -> {
                     val unknown = everUnknown || result is TransactionResult.Unknown
                     doubt(unknown)
-                    context.schedule(RETRY_S) {
+                    context.schedule(RETRY_SECONDS) {
                         if (stillWanted()) repeated(transaction, priority, stillWanted, doubt, unknown, onResult)
                     }
                 }
@@ -242,11 +261,11 @@
     }
 
     fun grantLease(
-        ttlMs: Long,
+        ttlMillis: Long,
         onResult: (Long?) -> Unit,
     ) {
-        enqueue(RequestPriority.LEADERSHIP, 0, READ_PATIENCE_S, { onResult(null) }) {
-            call("POST", "/leases", "{\"ttlMs\":$ttlMs}", CALL_TIMEOUT_S) { status, body ->
+        enqueue(RequestPriority.LEADERSHIP, 0, READ_PATIENCE_SECONDS, { onResult(null) }) {
+            call("POST", "/leases", "{\"ttlMs\":$ttlMillis}", CALL_TIMEOUT_SECONDS) { status, body ->
                 onResult(if (status == 200) body?.path("tether")?.takeIf { it.isNumber }?.asLong() else null)
             }
         }
@@ -255,26 +274,26 @@
     /** Calls back with 200, 404 or null where nothing is known. */
     fun renewLease(
         leaseId: Long,
-        timeoutS: Double,
+        timeoutSeconds: Double,
         onResult: (Int?) -> Unit,
     ) {
-        call("POST", "/leases/$leaseId/renew", "", timeoutS) { status, _ -> onResult(status.takeIf { it == 200 || it == 404 }) }
+        call("POST", "/leases/$leaseId/renew", "", timeoutSeconds) { status, _ -> onResult(status.takeIf { it == 200 || it == 404 }) }
     }
 
     fun revokeLease(leaseId: Long) {
-        call("DELETE", "/leases/$leaseId", null, CALL_TIMEOUT_S) { _, _ -> }
+        call("DELETE", "/leases/$leaseId", null, CALL_TIMEOUT_SECONDS) { _, _ -> }
     }
 
     fun watch(
         prefix: String,
         from: Long,
-        blockS: Double,
+        blockSeconds: Double,
         priority: RequestPriority = RequestPriority.CLAIM,
         onResult: (Int, JsonNode?) -> Unit,
     ) {
-        enqueue(priority, 0, READ_PATIENCE_S, { onResult(0, null) }) {
-            val path = "/follow?starts=$prefix&from=$from&blockMs=${(blockS * 1000).toLong()}"
-            call("GET", path, null, blockS + CALL_TIMEOUT_S, onResult)
+        enqueue(priority, 0, READ_PATIENCE_SECONDS, { onResult(0, null) }) {
+            val path = "/follow?starts=$prefix&from=$from&blockMs=${(blockSeconds * 1000).toLong()}"
+            call("GET", path, null, blockSeconds + CALL_TIMEOUT_SECONDS, onResult)
         }
     }
 
@@ -282,10 +301,10 @@
         method: String,
         path: String,
         body: String?,
-        timeoutS: Double,
+        timeoutSeconds: Double,
         onResult: (Int, JsonNode?) -> Unit,
     ) {
-        context.call(settings.state, method, path, body, timeoutS) { outcome ->
+        context.call(settings.state, method, path, body, timeoutSeconds) { outcome ->
             note(outcome)
             if (outcome is CallOutcome.Responded) onResult(outcome.status, Json.parseOrNull(outcome.body)) else onResult(0, null)
         }
@@ -296,7 +315,7 @@
         if (status == 429) {
             writes.drain()
             requests.drain()
-            pausedUntil = context.now + RETRY_S
+            pausedUntil = context.now + RETRY_SECONDS
             context.info("state service answers 429")
         }
         if (status == null || status == 503) lastRefusedAt = context.now else lastServedAt = context.now
@@ -305,7 +324,7 @@
     private fun enqueue(
         priority: RequestPriority,
         writes: Int,
-        patienceS: Double,
+        patienceSeconds: Double,
         drop: () -> Unit,
         send: () -> Unit,
     ) {
@@ -317,7 +336,7 @@
             } else {
                 queues
             }
-        ).getValue(priority).addLast(QueuedRequest(writes, context.now, patienceS, send, drop, counters.getValue(priority)))
+        ).getValue(priority).addLast(QueuedRequest(writes, context.now, patienceSeconds, send, drop, counters.getValue(priority)))
         pump()
     }
 
@@ -326,7 +345,7 @@
         writes.refill(context.now, settings.store.writeRps * part)
         requests.refill(context.now, settings.store.rps * part)
         for (queue in lines) {
-            while (queue.isNotEmpty() && context.now - queue.first().since > queue.first().patienceS) queue.removeFirst().drop()
+            while (queue.isNotEmpty() && context.now - queue.first().since > queue.first().patienceSeconds) queue.removeFirst().drop()
         }
         if (context.now < pausedUntil) return
         var mayWrite = true
@@ -357,14 +376,14 @@
 
     internal companion object {
         /** Conditions that a transaction may have for each change that it may have. */
-        const val CONDITIONS_AN_OP = 4
+        const val CONDITIONS_PER_OP = 4
         private const val MOST_BYTES = 64 * 1024
         private const val PAGE = 500
-        private const val CALL_TIMEOUT_S = 2.0
-        private const val READ_PATIENCE_S = 1.0
-        private const val WRITE_PATIENCE_S = 1.0
-        private const val PATIENT_S = 1e9
-        private const val RETRY_S = 0.25
+        private const val CALL_TIMEOUT_SECONDS = 2.0
+        private const val READ_PATIENCE_SECONDS = 1.0
+        private const val WRITE_PATIENCE_SECONDS = 1.0
+        private const val PATIENT_SECONDS = 1e9
+        private const val RETRY_SECONDS = 0.25
 
         /** A member's burst, as a part of the shared limits of a second. */
         private const val BURST_PART = 5
--- a/src/main/kotlin/burlridge/worker/CommandDispatcher.kt
+++ b/src/main/kotlin/burlridge/worker/CommandDispatcher.kt
@@ -64,10 +64,11 @@
 
     /** While others may have been elected only what can never be wrong goes out: the stops of cancelled jobs. */
     private fun mayCommand(machine: Machine): Boolean =
-        !machine.commandInFlight && context.now >= machine.nextCommandAt && !machine.leaseExpired && (leadership.holdsLease || leadership.mayAnswerWorkers)
+        !machine.commandInFlight && context.now >= machine.nextCommandAt && !machine.leaseExpired &&
+            (leadership.holdsLease || leadership.mayAnswerWorkers)
 
     private fun isPending(allocation: Allocation): Boolean =
-        allocation.phase <= AllocationPhase.DISPATCHED || allocation.stopGraceS != null || reconciler.isCancelled(allocation)
+        allocation.phase <= AllocationPhase.DISPATCHED || allocation.stopGraceSeconds != null || reconciler.isCancelled(allocation)
 
     /** Whether a start of unknown outcome waits for the worker to see a newer token. */
     private fun needsFence(
@@ -83,7 +84,7 @@
             if (reconciler.isCancelled(allocation)) {
                 0.0
             } else {
-                allocation.stopGraceS
+                allocation.stopGraceSeconds
                     ?: 0.0
             },
         )
@@ -102,20 +103,21 @@
         allocation: Allocation,
         machine: Machine,
     ): Boolean =
-        allocation.phase == AllocationPhase.COMMITTED && allocation.agentEpoch == machine.agentEpoch && allocation.stopGraceS == null &&
+        allocation.phase == AllocationPhase.COMMITTED && allocation.agentEpoch == machine.agentEpoch &&
+            allocation.stopGraceSeconds == null &&
             machine.drainReason != DrainReason.OPERATOR &&
             registry.jobs[allocation.job]?.let { it.ending != JobState.CANCELLED } == true
 
     private fun wantsStop(allocation: Allocation): Boolean {
         if (allocation.phase < AllocationPhase.DISPATCHED || allocation.ended ||
-            context.now < allocation.stopSentAt + times.reportS / 3
+            context.now < allocation.stopSentAt + times.reportSeconds / 3
         ) {
             return false
         }
         if (reconciler.isCancelled(allocation)) return true
         if (allocation.phase == AllocationPhase.CHECKPOINTING) return false
         if (allocation.stopTold && reconciler.savesAsGang(allocation)) return false
-        return allocation.stopGraceS != null
+        return allocation.stopGraceSeconds != null
     }
 
     private fun send(
@@ -146,7 +148,7 @@
                 report != null && answer.status == FENCED -> {
                     // Nothing was executed: what was to start has still to be sent.
                     revertToCommitted(starts)
-                    machine.nextCommandAt = context.now + RETRY_S
+                    machine.nextCommandAt = context.now + RETRY_SECONDS
                     answered(machine, report)
                 }
 
@@ -207,16 +209,16 @@
         onResult: (CallOutcome) -> Unit,
     ) {
         val relayedBy = machine.relayedBy
-        val timeoutS = times.reportS * COMMAND_PART
+        val timeoutSeconds = times.reportSeconds * COMMAND_PART
         val sendDeadline = if (onlyStops) leadership.responseDeadline else leadership.commandDeadline
         val zone = machine.zone
         if (relayedBy == null) {
-            context.call(address, "POST", "/do", body, timeoutS, sendDeadline) { outcome ->
+            context.call(address, "POST", "/do", body, timeoutSeconds, sendDeadline) { outcome ->
                 reachability.commanded(zone, outcome is CallOutcome.Responded)
                 onResult(outcome)
             }
         } else {
-            peers.forward(relayedBy, "POST", HeartbeatRelay.COMMAND + address, body, timeoutS * 2, sendDeadline) { answer ->
+            peers.forward(relayedBy, "POST", HeartbeatRelay.COMMAND + address, body, timeoutSeconds * 2, sendDeadline) { answer ->
                 onResult(
                     when {
                         answer == null -> CallOutcome.Unknown
@@ -234,17 +236,18 @@
         val address = machine.address ?: return
         val wanted = machine.up || !registry.allocations.byMachine[machine.id].isNullOrEmpty()
         if (!wanted || machine.commandInFlight || machine.abandoned || context.now < machine.nextCommandAt || !leadership.holdsLease) return
-        if (context.now > machine.silentSince + times.reportS * OVERDUE_REPORTS) send(machine, address, emptyList(), emptyList())
+        if (context.now > machine.silentSince + times.reportSeconds * OVERDUE_REPORTS) send(machine, address, emptyList(), emptyList())
     }
 
     /** Now and then one machine of a zone that is cut off is tried, with nothing to do for it. */
     fun probe(machines: Collection<Machine>) {
         if (context.now < probeAt) return
-        probeAt = context.now + PROBE_S
+        probeAt = context.now + PROBE_SECONDS
         for (zone in reachability.abandonedZones()) {
             val there =
                 machines.filter {
-                    it.zone == zone && it.up && !it.leaseExpired && it.relayedBy == null && it.address != null && !it.commandInFlight && !it.abandoned
+                    it.zone == zone && it.up && !it.leaseExpired && it.relayedBy == null && it.address != null &&
+                        !it.commandInFlight && !it.abandoned
                 }
             val machine = there.randomOrNull(context.random) ?: continue
             send(machine, machine.address ?: continue, emptyList(), emptyList())
@@ -253,7 +256,7 @@
 
     private fun retryLater(machine: Machine) {
         machine.refusals++
-        machine.nextCommandAt = context.now + RETRY_S * minOf(machine.refusals, 8)
+        machine.nextCommandAt = context.now + RETRY_SECONDS * minOf(machine.refusals, 8)
     }
 
     private fun revertToCommitted(starts: List<Allocation>) {
@@ -261,7 +264,7 @@
             if (allocation.phase != AllocationPhase.DISPATCHED) continue
             allocation.phase = AllocationPhase.COMMITTED
             // Its gang's attempt was over before it could begin.
-            if (allocation.stopGraceS != null) listener.lose(allocation, "never sent, and its gang is gone")
+            if (allocation.stopGraceSeconds != null) listener.lose(allocation, "never sent, and its gang is gone")
         }
     }
 
@@ -272,10 +275,10 @@
         private const val MALFORMED = 400
         private const val FENCED = 409
         private const val MOST_COMMANDS = 100
-        private const val RETRY_S = 0.5
+        private const val RETRY_SECONDS = 0.5
         private const val REFUSALS_TO_LEAVE = 2
         private const val OVERDUE_REPORTS = 1.6
-        private const val PROBE_S = 1.0
+        private const val PROBE_SECONDS = 1.0
 
         /** How long a command's answer is waited for, in report intervals. */
         private const val COMMAND_PART = 0.5
--- a/src/main/kotlin/burlridge/worker/Heartbeat.kt
+++ b/src/main/kotlin/burlridge/worker/Heartbeat.kt
@@ -47,7 +47,7 @@
     /** The highest fencing token that the worker has seen. */
     val token: Long = 0,
     /** Seconds until the cloud takes the machine back; null without such a notice. */
-    val noticeS: Double? = null,
+    val noticeSeconds: Double? = null,
     val tasks: Map<String, TaskStatus> = emptyMap(),
 ) {
     internal companion object {
@@ -69,7 +69,7 @@
     var agentEpoch = 0L
     var sequence = 0L
     var token = 0L
-    var noticeS: Double? = null
+    var noticeSeconds: Double? = null
     var tasks: Map<String, TaskStatus> = emptyMap()
     parser.eachField {
         when (it) {
@@ -81,12 +81,12 @@
             "stint" -> agentEpoch = parser.wholeOrNull() ?: 0L
             "tally" -> sequence = parser.wholeOrNull() ?: 0L
             "baton" -> token = parser.wholeOrNull() ?: 0L
-            "recallS" -> noticeS = parser.numberOrNull()
+            "recallS" -> noticeSeconds = parser.numberOrNull()
             "pieces" -> tasks = readTasks(parser)
             else -> parser.skipChildren()
         }
     }
-    return Heartbeat(machine, address, type, zone, spot, agentEpoch, sequence, token, noticeS, tasks).takeIf { machine.isNotEmpty() }
+    return Heartbeat(machine, address, type, zone, spot, agentEpoch, sequence, token, noticeSeconds, tasks).takeIf { machine.isNotEmpty() }
 }
 
 private fun readTasks(parser: JsonParser): Map<String, TaskStatus> {
--- a/src/main/kotlin/burlridge/worker/HeartbeatRelay.kt
+++ b/src/main/kotlin/burlridge/worker/HeartbeatRelay.kt
@@ -34,14 +34,14 @@
         val report = Heartbeat.decode(body) ?: return onResult(HttpResponse.error(400, "not a report"))
         val worker = report.machine
         val known = seen[worker]?.takeIf { it.leader == leader }
-        val stuck = known != null && (relaying(known) || context.now < known.sentAwayAt + times.leaseS / 2)
+        val stuck = known != null && (relaying(known) || context.now < known.sentAwayAt + times.leaseSeconds / 2)
         // Where the leader itself says that it hears nobody there, no worker need find that out; but one that has been relayed
         // for a lease tries the way once.
         val apart = known?.relayedSince == null && peers.leaderMissesZone(leader, report.zone.orEmpty())
         val before = if (known != null && stuck) known else Seen(leader, context.now).also { seen[worker] = it }
         if (!stuck && !apart) return onResult(redirect(leader))
         before.relayedSince = before.relayedSince ?: context.now
-        peers.forward(leader, "POST", "/agent/beat", body, times.reportS / 2) { answer -> onResult(answer ?: redirect(leader)) }
+        peers.forward(leader, "POST", "/agent/beat", body, times.reportSeconds / 2) { answer -> onResult(answer ?: redirect(leader)) }
     }
 
     /** A command of the leader for a worker that only this member reaches; fenced by the leader's token like any other. */
@@ -51,7 +51,7 @@
         onResult: (HttpResponse) -> Unit,
     ) {
         val address = Endpoint.parseOrNull(to) ?: return onResult(HttpResponse(NOT_SENT, ""))
-        context.call(address, "POST", "/do", body, times.reportS / 2) { outcome ->
+        context.call(address, "POST", "/do", body, times.reportSeconds / 2) { outcome ->
             onResult(
                 when (outcome) {
                     is CallOutcome.Responded -> HttpResponse(outcome.status, outcome.body)
@@ -63,7 +63,7 @@
     }
 
     /** After a lease's time a relayed worker is sent to the leader again, to see whether the way is free. */
-    private fun relaying(before: Seen): Boolean = before.relayedSince?.let { context.now < it + times.leaseS } ?: false
+    private fun relaying(before: Seen): Boolean = before.relayedSince?.let { context.now < it + times.leaseSeconds } ?: false
 
     private fun redirect(leader: String?) = HttpResponse(421, Json.write(Json.obj { leader?.let { put("herder", it) } }))
 
--- a/src/main/kotlin/burlridge/worker/Machine.kt
+++ b/src/main/kotlin/burlridge/worker/Machine.kt
@@ -28,7 +28,7 @@
     var zone: String = ""
     var spot: Boolean = false
     var listed: Boolean = false
-    var listedAgeS: Double = 0.0
+    var listedAgeSeconds: Double = 0.0
     var starting: Boolean = false
     var rentedAt: Double = 0.0
 
@@ -114,7 +114,7 @@
         spot = report.spot ?: spot
         address = report.address ?: address
         starting = false
-        reclaimAt = report.noticeS?.let { now + it }
+        reclaimAt = report.noticeSeconds?.let { now + it }
         reported = report.tasks
     }
 }
--- a/src/main/kotlin/burlridge/worker/TaskEviction.kt
+++ b/src/main/kotlin/burlridge/worker/TaskEviction.kt
@@ -22,13 +22,14 @@
      */
     fun evictStragglers(machines: Collection<Machine>) {
         if (context.now < slowAt) return
-        slowAt = context.now + context.settings.workers.reportS / 2
+        slowAt = context.now + context.settings.workers.reportSeconds / 2
         val up = machines.filter { it.up && !it.leaseExpired && !it.draining && !workers.isSilent(it) }
         val slow = up.filter { stragglers.isSlow(it) }
         if (slow.size > up.size * MOST_SLOW) return
         for (machine in slow) {
             context.info(
-                "machine ${machine.id} is slow: its tasks take over ${StragglerDetector.SLOW} times as long as others of their jobs; leaving it",
+                "machine ${machine.id} is slow: its tasks take over ${StragglerDetector.SLOW} times as long as " +
+                    "others of their jobs; leaving it",
             )
             evict(machine)
             workers.onSlow(machine)
@@ -42,8 +43,14 @@
             val job = registry.jobs[allocation.job] ?: return@forEach
             val spec = job.spec
             when {
-                spec.gang -> stopGang(job, "machine ${machine.id} is slow", mustSave = false)
-                allocation.stopGraceS == null -> allocation.stopGraceS = if (spec.checkpointS > 0) spec.saveS * GangRules.GRACE else 0.0
+                spec.gang -> {
+                    stopGang(job, "machine ${machine.id} is slow", mustSave = false)
+                }
+
+                allocation.stopGraceSeconds == null -> {
+                    allocation.stopGraceSeconds =
+                        if (spec.checkpointSeconds > 0) spec.saveSeconds * GangRules.GRACE else 0.0
+                }
             }
         }
     }
@@ -60,8 +67,8 @@
                 gangs += job
                 continue
             }
-            if (allocation.phase == AllocationPhase.RUNNING && spec.checkpointS > 0 && allocation.stopGraceS == null) {
-                allocation.stopGraceS = spec.saveS * GangRules.GRACE
+            if (allocation.phase == AllocationPhase.RUNNING && spec.checkpointSeconds > 0 && allocation.stopGraceSeconds == null) {
+                allocation.stopGraceSeconds = spec.saveSeconds * GangRules.GRACE
                 context.info("task ${allocation.taskName} is stopped on ${machine.id}: the cloud takes the machine back")
             }
         }
@@ -84,8 +91,16 @@
                 .mapNotNull { workers.machines[it.machine] }
                 .distinct()
         if (state == GangState.RUNNING) {
-            if (mustSave && job.spec.checkpointS <= 0) return
-            if (!on.all { it.up && it.isResponsive && !it.leaseExpired && it.refusals == 0 && !workers.isSilent(it) && workers.reaches(it) }) return
+            if (mustSave && job.spec.checkpointSeconds <= 0) return
+            if (!on.all {
+                    it.up && it.isResponsive && !it.leaseExpired && it.refusals == 0 &&
+                        !workers.isSilent(
+                            it,
+                        ) && workers.reaches(it)
+                }
+            ) {
+                return
+            }
         }
         context.info("gang ${job.spec.id} run ${job.highestAttempt} is stopped: $reason")
         GangRules.stop(job).filter { it.phase == AllocationPhase.COMMITTED }.forEach { workers.lose(it, reason) }
--- a/src/main/kotlin/burlridge/worker/TaskOutcomes.kt
+++ b/src/main/kotlin/burlridge/worker/TaskOutcomes.kt
@@ -60,7 +60,8 @@
             val job = registry.jobs[allocation.job]
             if (allocation.task == 0 && job?.spec?.gang == true) {
                 context.debug(
-                    "gang ${job.spec.id} run ${allocation.attempt} is seen to run ${(context.wallMs - job.submittedMs) / 1000.0} s after its submission",
+                    "gang ${job.spec.id} run ${allocation.attempt} is seen to run " +
+                        "${(context.wallMillis - job.submittedMillis) / 1000.0} s after its submission",
                 )
             }
         }
@@ -94,7 +95,7 @@
             "done" -> {
                 machine.failures = 0
                 allocation.startedAt?.let {
-                    job.ranS += context.now - it
+                    job.ranSeconds += context.now - it
                     job.ran++
                     onRan(machine, job, context.now - it)
                 }
@@ -110,11 +111,12 @@
                 job.failures++
                 machine.failures++
                 context.info(
-                    "task ${allocation.taskName} failed on ${machine.id}: failure ${job.failures} of its job, ${machine.failures} in a row there",
+                    "task ${allocation.taskName} failed on ${machine.id}: failure ${job.failures} of its job, " +
+                        "${machine.failures} in a row there",
                 )
-                job.holdOff(allocation.task, context.now + minOf(times.reportS * job.failures, times.leaseS))
+                job.holdOff(allocation.task, context.now + minOf(times.reportSeconds * job.failures, times.leaseSeconds))
                 if (machine.failures >= FAILURES_TO_QUARANTINE && job.failures < machine.failures * 2) {
-                    machine.notBefore = context.now + times.leaseS
+                    machine.notBefore = context.now + times.leaseSeconds
                 }
             }
 
@@ -132,8 +134,8 @@
                     "starts refused",
                     "start of ${allocation.taskName} refused by ${machine.id}: ${report.exitReason?.take(WORD)}",
                 )
-                job.holdOff(allocation.task, context.now + times.reportS / 3)
-                if (report.exitReason == "full") machine.notBefore = context.now + times.reportS / 3
+                job.holdOff(allocation.task, context.now + times.reportSeconds / 3)
+                if (report.exitReason == "full") machine.notBefore = context.now + times.reportSeconds / 3
             }
         }
     }
--- a/src/main/kotlin/burlridge/worker/TaskReconciler.kt
+++ b/src/main/kotlin/burlridge/worker/TaskReconciler.kt
@@ -17,11 +17,11 @@
         report: TaskStatus,
     ): WorkerCommand? {
         val allocation = allocationOf(machine, report)
-        if (allocation == null || isCancelled(allocation)) return WorkerCommand.Stop(report.task, report.attempt, graceS = 0.0)
-        val graceS = allocation.stopGraceS ?: return null
+        if (allocation == null || isCancelled(allocation)) return WorkerCommand.Stop(report.task, report.attempt, graceSeconds = 0.0)
+        val graceSeconds = allocation.stopGraceSeconds ?: return null
         // The tasks of a gang that saves are all told at the same time, by direct commands.
         if (report.state == "saving" || savesAsGang(allocation)) return null
-        return WorkerCommand.Stop(report.task, report.attempt, graceS)
+        return WorkerCommand.Stop(report.task, report.attempt, graceSeconds)
     }
 
     private fun allocationOf(
@@ -66,5 +66,5 @@
 
     /** Whether [claim] is of a gang that saves when it is stopped. */
     fun savesAsGang(allocation: Allocation): Boolean =
-        (allocation.stopGraceS ?: 0.0) > 0 && registry.jobs[allocation.job]?.spec?.gang == true
+        (allocation.stopGraceSeconds ?: 0.0) > 0 && registry.jobs[allocation.job]?.spec?.gang == true
 }
--- a/src/main/kotlin/burlridge/worker/WorkerCommand.kt
+++ b/src/main/kotlin/burlridge/worker/WorkerCommand.kt
@@ -15,11 +15,11 @@
         override val attempt: Int,
     ) : WorkerCommand
 
-    /** End the attempt; it may save its progress if [graceS] is at least as long as that takes. */
+    /** End the attempt; it may save its progress if [graceSeconds] is at least as long as that takes. */
     data class Stop(
         override val task: String,
         override val attempt: Int,
-        val graceS: Double,
+        val graceSeconds: Double,
     ) : WorkerCommand
 
     /** Leave the ended attempt out of later reports. */
@@ -81,7 +81,7 @@
         writeStringField("verb", verbOf(command))
         writeStringField("piece", command.task)
         writeNumberField("try", command.attempt)
-        if (command is WorkerCommand.Stop) writeNumberField("windDownS", command.graceS)
+        if (command is WorkerCommand.Stop) writeNumberField("windDownS", command.graceSeconds)
         writeEndObject()
     }
 
