--- a/src/main/kotlin/burlridge/worker/WorkerManager.kt
+++ b/src/main/kotlin/burlridge/worker/WorkerManager.kt
@@ -193,7 +193,7 @@
         val recalled = machine.reclaimAt
         machine.update(report, context.now)
         if (recalled == null && machine.reclaimAt != null) {
-            context.info("machine ${machine.id}: the cloud takes it back in ${report.noticeS} s")
+            context.info("machine ${machine.id}: the cloud takes it back in ${report.noticeSeconds} s")
         }
         return true
     }
@@ -301,12 +301,16 @@
 
     fun tick() {
         if (context.now < sweepAt) return
-        sweepAt = context.now + times.reportS / SWEEPS_A_REPORT
+        sweepAt = context.now + times.reportSeconds / SWEEPS_PER_REPORT
         commands.probe(machines.values)
         if (loaded) draining.evictStragglers(machines.values)
         for (machine in machines.values.toList()) {
             if (!machine.leaseExpired && context.now > leaseExpiresAt(machine)) expireLease(machine)
-            if (loaded && (isSilent(machine) || isNotReporting(machine))) releaseUndispatched(machine, "never sent, and its machine is silent")
+            if (loaded &&
+                (isSilent(machine) || isNotReporting(machine))
+            ) {
+                releaseUndispatched(machine, "never sent, and its machine is silent")
+            }
             if (loaded && !machine.isResponsive) releaseUndispatched(machine, "never sent, and its machine does not hear")
             if (machine.reclaimAt != null) draining.drain(machine)
             command(machine)
@@ -337,16 +341,16 @@
             ?.forEach { lose(it, reason) }
     }
 
-    fun isSilent(machine: Machine): Boolean = context.now > machine.lastMessageAt + times.reportS * SILENT_REPORTS
+    fun isSilent(machine: Machine): Boolean = context.now > machine.lastMessageAt + times.reportSeconds * SILENT_REPORTS
 
     /** It answers commands and reaches no controller: its lease runs out with all that would be placed on it. */
-    fun isNotReporting(machine: Machine): Boolean = context.now > maxOf(machine.heartbeatAt, machine.knownSince) + times.leaseS / 2
+    fun isNotReporting(machine: Machine): Boolean = context.now > maxOf(machine.heartbeatAt, machine.knownSince) + times.leaseSeconds / 2
 
     private fun fenced(machine: Machine): Boolean = machine.seenToken shr TERM_SHIFT == leadership.term
 
     private fun leaseExpiresAt(machine: Machine): Double {
         val answered = if (fenced(machine)) machine.answeredAt else maxOf(machine.answeredAt, leadership.othersAnswerUntil)
-        return answered + times.leaseS * (1 + Leadership.DRIFT) + times.reportS / 4
+        return answered + times.leaseSeconds * (1 + Leadership.DRIFT) + times.reportSeconds / 4
     }
 
     private fun expireLease(machine: Machine) {
@@ -371,7 +375,7 @@
 
     internal companion object {
         const val TERM_SHIFT = 20
-        private const val SWEEPS_A_REPORT = 10
+        private const val SWEEPS_PER_REPORT = 10
         private const val SILENT_REPORTS = 2.5
     }
 }
--- a/src/main/kotlin/burlridge/worker/ZoneReachability.kt
+++ b/src/main/kotlin/burlridge/worker/ZoneReachability.kt
@@ -8,7 +8,7 @@
 internal class ZoneReachability(
     private val context: StepContext,
 ) {
-    private val reportS = context.settings.workers.reportS
+    private val reportSeconds = context.settings.workers.reportSeconds
 
     /** Commands in a row that reached nobody in a zone: it is then cut off from us, and only what comes by another way is used. */
     private val unreached = Object2IntOpenHashMap<String>()
@@ -38,15 +38,15 @@
     fun abandonedZones(): List<String> = unreached.keys.filter { unreached.getInt(it) >= UNREACHED_TO_LEAVE }
 
     /** Whether reports come straight from [zone]: then what cannot be reached there is cut off or dead by itself. */
-    fun hearsZone(zone: String): Boolean = context.now < directAt.getDouble(zone) + reportS / 2
+    fun hearsZone(zone: String): Boolean = context.now < directAt.getDouble(zone) + reportSeconds / 2
 
     /** Zones with machines that have reported to this leader, of which none has lately come straight to it. */
     fun zonesWithoutHeartbeats(machines: Collection<Machine>): List<String> {
         val up = Object2IntOpenHashMap<String>()
         machines.forEach { if (it.up && !it.leaseExpired && !it.abandoned) up.addTo(it.zone, 1) }
         return up.keys.filter { zone ->
-            val quietS = reportS * if (up.getInt(zone) >= MANY) QUIET_OF_MANY else QUIET_OF_FEW
-            context.now > directAt.getDouble(zone) + quietS
+            val quietSeconds = reportSeconds * if (up.getInt(zone) >= MANY) QUIET_OF_MANY else QUIET_OF_FEW
+            context.now > directAt.getDouble(zone) + quietSeconds
         }
     }
 
--- a/src/test/kotlin/burlridge/allocation/JobRegistryTest.kt
+++ b/src/test/kotlin/burlridge/allocation/JobRegistryTest.kt
@@ -100,7 +100,7 @@
             registry.allocations.byMachine
                 .getValue("m-2")
                 .getValue("j-2/1")
-                .stopGraceS,
+                .stopGraceSeconds,
         )
     }
 }
--- a/src/test/kotlin/burlridge/allocation/LimitsTest.kt
+++ b/src/test/kotlin/burlridge/allocation/LimitsTest.kt
@@ -27,7 +27,10 @@
     private val state = StateService(clock).also { it.lower(valueKb = 2.0, changesPerTransaction = 4) }
     private val settings =
         Settings.parse(
-            ClassArchiveTraining.settings().replace("\"txn_ops\":8", "\"txn_ops\":8,\"next\":{\"value_kb\":2,\"txn_ops\":4,\"write_rps\":18}"),
+            ClassArchiveTraining.settings().replace(
+                "\"txn_ops\":8",
+                "\"txn_ops\":8,\"next\":{\"value_kb\":2,\"txn_ops\":4,\"write_rps\":18}",
+            ),
         )
     private val context = StepContext(settings, 1)
     private val store = StoreClient(context)
--- a/src/test/kotlin/burlridge/balance/BalanceInputTest.kt
+++ b/src/test/kotlin/burlridge/balance/BalanceInputTest.kt
@@ -7,9 +7,9 @@
 import burlridge.json.Json
 import burlridge.settings.BalanceSettings
 import burlridge.settings.Endpoint
+import burlridge.settings.InvalidSettingsException
 import burlridge.settings.MovePermission
 import burlridge.settings.OperatorSettings
-import burlridge.settings.InvalidSettingsException
 import burlridge.sim.World
 import burlridge.store.Row
 import burlridge.worker.Machine
--- a/src/test/kotlin/burlridge/balance/BalanceMeasurement.kt
+++ b/src/test/kotlin/burlridge/balance/BalanceMeasurement.kt
@@ -32,11 +32,11 @@
     val largestToMedian: Double,
     val variation: Double,
     val waits: Map<String, List<Double>>,
-    val fetchedS: Double,
+    val fetchedSeconds: Double,
     val moves: Int,
-    val lostS: Double,
+    val lostSeconds: Double,
     /** Until the last task of the sweep was over. */
-    val sweepS: Double,
+    val sweepSeconds: Double,
     val breaches: List<String>,
 )
 
@@ -44,7 +44,7 @@
 internal class DrainOutcome(
     val machines: Int,
     val leaderKilled: Boolean,
-    val drainedS: Double,
+    val drainedSeconds: Double,
     val waits: List<Double>,
     val moves: Int,
     val breaches: List<String>,
@@ -62,7 +62,7 @@
 internal class BalanceMeasurement(
     private val machines: Int,
 ) {
-    private var fetchedS = 0.0
+    private var fetchedSeconds = 0.0
     private val submittedAt = HashMap<String, Double>()
 
     private fun world(
@@ -80,13 +80,21 @@
                 operator = OperatorSettings(balance = settings),
             )
         // A tenth joins cold, in the middle of the burst.
-        world.cloud.bootS =
-            { if (world.random.nextInt(TENTH) == 0) LATE_BOOT_S + world.random.nextDouble() * 3 else 3 + world.random.nextDouble() * 4 }
-        fetchedS = 0.0
+        world.cloud.bootSeconds =
+            {
+                if (world.random.nextInt(TENTH) ==
+                    0
+                ) {
+                    LATE_BOOT_SECONDS + world.random.nextDouble() * 3
+                } else {
+                    3 + world.random.nextDouble() * 4
+                }
+            }
+        fetchedSeconds = 0.0
         world.fetchTime = { worker, spec ->
-            val takesS = if (spec.image in worker.images) 0.0 else spec.imageGb * (0.7 + world.random.nextDouble() * 0.6)
-            fetchedS += takesS
-            takesS
+            val takesSeconds = if (spec.image in worker.images) 0.0 else spec.imageGb * (0.7 + world.random.nextDouble() * 0.6)
+            fetchedSeconds += takesSeconds
+            takesSeconds
         }
         return world
     }
@@ -94,8 +102,14 @@
     private fun World.sweepJob(
         number: Int,
         tasks: Int,
-        runS: Double,
-    ): JobSpec = job(number, tasks, runS = runS, jobClass = SWEEP).copy(image = "img-sweep", imageGb = 4.0, checkpointS = 10.0, saveS = 1.0)
+        runSeconds: Double,
+    ): JobSpec =
+        job(
+            number,
+            tasks,
+            runSeconds = runSeconds,
+            jobClass = SWEEP,
+        ).copy(image = "img-sweep", imageGb = 4.0, checkpointSeconds = 10.0, saveSeconds = 1.0)
 
     private fun World.previews(
         from: Double,
@@ -103,7 +117,7 @@
         perSecond: Int,
     ): List<JobSpec> =
         (0 until seconds * perSecond).map { i ->
-            val spec = job(1000 + i, 4, runS = 8.0, jobClass = PREVIEW, team = "crew-y").copy(image = "img-preview", imageGb = 2.0)
+            val spec = job(1000 + i, 4, runSeconds = 8.0, jobClass = PREVIEW, team = "crew-y").copy(image = "img-preview", imageGb = 2.0)
             submitAt(from + i / perSecond.toDouble(), spec)
             spec
         }
@@ -114,14 +128,14 @@
     ): BurstOutcome {
         val world = world(seed, variant.settings)
         // Images on a tenth of the fleet, and a tenth of the machines slow.
-        val warmUp = world.sweepJob(1, machines / TENTH * CPUS.toInt(), runS = 6.0)
+        val warmUp = world.sweepJob(1, machines / TENTH * CPUS.toInt(), runSeconds = 6.0)
         world.clock.after(12.0) { world.submit(warmUp) }
         world.run(14.0)
         val names = world.cloud.names()
         names.filterIndexed { i, _ -> i % TENTH == 3 }.forEach { world.cloud.worker(it)?.slowness = SLOWNESS }
         // Ten jobs of one team, half of what the fleet holds, then previews for a minute and a half.
         val share = (machines * CPUS * SWEEP_PART / SWEEP_JOBS).toInt()
-        val sweep = (0 until SWEEP_JOBS).map { world.sweepJob(2 + it, share, runS = 20.0 + 5 * it) }
+        val sweep = (0 until SWEEP_JOBS).map { world.sweepJob(2 + it, share, runSeconds = 20.0 + 5 * it) }
         sweep.forEachIndexed { i, job -> world.submitAt(BURST_AT + i, job) }
         val previews = world.previews(BURST_AT + 5, 90, maxOf(1, machines / 50))
         world.run(BURST_AT + 12.0)
@@ -134,9 +148,9 @@
             load.max() / load.quantile(0.5).coerceAtLeast(1.0),
             variation(load),
             mapOf(SWEEP to waits(world, sweep), PREVIEW to waits(world, previews)),
-            fetchedS,
+            fetchedSeconds,
             world.history.stops.size,
-            world.rules.lostS,
+            world.rules.lostSeconds,
             world.history.ran
                 .filter { run -> sweep.any { run.task.startsWith(it.id) } }
                 .maxOf { it.until } - BURST_AT,
@@ -190,7 +204,7 @@
     private fun breaches(
         world: World,
         jobs: List<JobSpec>,
-    ): List<String> = world.rules.broken + world.history.breaches(jobs.map { it.id }) + world.history.drainBreaches(SLACK_S)
+    ): List<String> = world.rules.broken + world.history.breaches(jobs.map { it.id }) + world.history.drainBreaches(SLACK_SECONDS)
 
     /** Every third machine is drained by name, under load; the leader is killed two seconds after. */
     fun drain(
@@ -198,8 +212,15 @@
         killLeader: Boolean,
     ): DrainOutcome {
         val world = world(seed, BalanceSettings(finishReports = 2.0))
-        world.cloud.bootS = { 3 + world.random.nextDouble() * 4 }
-        val sweep = (0 until SWEEP_JOBS).map { world.sweepJob(2 + it, (machines * CPUS * DRAIN_LOAD / SWEEP_JOBS).toInt(), runS = 60.0) }
+        world.cloud.bootSeconds = { 3 + world.random.nextDouble() * 4 }
+        val sweep =
+            (0 until SWEEP_JOBS).map {
+                world.sweepJob(
+                    2 + it,
+                    (machines * CPUS * DRAIN_LOAD / SWEEP_JOBS).toInt(),
+                    runSeconds = 60.0,
+                )
+            }
         sweep.forEach { job -> world.clock.after(15.0) { world.submit(job) } }
         val previews = world.previews(30.0, 60, maxOf(1, machines / 100))
         world.run(30.0)
@@ -207,12 +228,12 @@
         leaving.forEach { drainMachine(world, it) }
         if (killLeader) world.clock.after(2.0) { world.leader()?.let { world.crash(it, 5.0) } }
         while (world.clock.now < 400.0 && world.cloud.names().any { it in leaving }) world.run(world.clock.now + 0.5)
-        val drainedS = world.clock.now - 30.0
+        val drainedSeconds = world.clock.now - 30.0
         world.run(400.0)
         return DrainOutcome(
             machines,
             killLeader,
-            drainedS,
+            drainedSeconds,
             waits(world, previews),
             world.history.stops.size,
             breaches(
@@ -242,9 +263,9 @@
         const val DRAIN_LOAD = 0.5
         const val SLOWNESS = 1.5
         const val BURST_AT = 20.0
-        const val LATE_BOOT_S = 22.0
+        const val LATE_BOOT_SECONDS = 22.0
         const val WRITE_RPS = 100
-        const val SLACK_S = 2.5
+        const val SLACK_SECONDS = 2.5
         const val OK = 200
     }
 }
--- a/src/test/kotlin/burlridge/balance/BalanceMeasurementReport.kt
+++ b/src/test/kotlin/burlridge/balance/BalanceMeasurementReport.kt
@@ -64,10 +64,10 @@
                     "%.2f".format(runs.mean { it.variation }),
                     waits(runs, "sweep"),
                     waits(runs, "urgent"),
-                    "%.0f".format(runs.mean { it.fetchedS }),
+                    "%.0f".format(runs.mean { it.fetchedSeconds }),
                     "%.1f".format(runs.mean { it.moves.toDouble() }),
-                    "%.1f".format(runs.mean { it.lostS }),
-                    "%.1f".format(runs.mean { it.sweepS }),
+                    "%.1f".format(runs.mean { it.lostSeconds }),
+                    "%.1f".format(runs.mean { it.sweepSeconds }),
                     "${runs.sumOf { it.breaches.size }}",
                 )
             }
@@ -81,7 +81,7 @@
             listOf(
                 "${key.first}",
                 if (key.second) "killed" else "stays",
-                "%.1f (%.1f)".format(runs.map { it.drainedS }.average(), runs.maxOf { it.drainedS }),
+                "%.1f (%.1f)".format(runs.map { it.drainedSeconds }.average(), runs.maxOf { it.drainedSeconds }),
                 quantiles(runs.flatMap { it.waits }),
                 "%.0f".format(runs.map { it.moves }.average()),
                 "${runs.sumOf { it.breaches.size }}",
--- a/src/test/kotlin/burlridge/balance/BalanceScheduleTest.kt
+++ b/src/test/kotlin/burlridge/balance/BalanceScheduleTest.kt
@@ -38,14 +38,14 @@
         luck: Random,
     ): List<JobSpec> =
         (0 until 16).map { i ->
-            val runS = 10.0 + luck.nextDouble() * 40
+            val runSeconds = 10.0 + luck.nextDouble() * 40
             when (luck.nextInt(6)) {
-                0 -> world.job(i, 1 + luck.nextInt(4), runS = runS)
-                1 -> world.gang(i, 2 + luck.nextInt(3), runS = runS)
-                2 -> world.savingJob(i, 4, runS).copy(spread = true)
-                3 -> world.savingJob(i, 3, runS).copy(oneZone = true)
-                4 -> world.savingJob(i, 4, runS, cpus = 3.0).copy(team = "crew-x")
-                else -> world.savingJob(i, 1 + luck.nextInt(8), runS, cpus = 2.0)
+                0 -> world.job(i, 1 + luck.nextInt(4), runSeconds = runSeconds)
+                1 -> world.gang(i, 2 + luck.nextInt(3), runSeconds = runSeconds)
+                2 -> world.savingJob(i, 4, runSeconds).copy(spread = true)
+                3 -> world.savingJob(i, 3, runSeconds).copy(oneZone = true)
+                4 -> world.savingJob(i, 4, runSeconds, cpus = 3.0).copy(team = "crew-x")
+                else -> world.savingJob(i, 1 + luck.nextInt(8), runSeconds, cpus = 2.0)
             }
         }
 
@@ -77,7 +77,7 @@
         assertEquals(emptyList<String>(), world.rules.broken, tail)
         assertEquals(emptyList<String>(), world.rivals, tail)
         assertEquals(emptyList<String>(), world.history.breaches(jobs.map { it.id }), tail)
-        assertEquals(emptyList<String>(), world.history.drainBreaches(DRAIN_SLACK_S), tail)
+        assertEquals(emptyList<String>(), world.history.drainBreaches(DRAIN_SLACK_SECONDS), tail)
         assertEquals(emptyList<String>(), world.history.moveBreaches(settings.movesPerMinute, settings.movesPerTask), tail)
         assertEquals(if (calledOff) "cancelled" else "drained", world.stateOf("zone/a") ?: "cancelled", tail)
         return Outcome(world.history.stops.size, if (calledOff) 0 else 1, leaders.size)
@@ -147,6 +147,6 @@
         const val USUAL_SCHEDULES = 200
 
         /** A command that was held up, or is answered late, may still start what left before the drain was accepted. */
-        const val DRAIN_SLACK_S = 34.0
+        const val DRAIN_SLACK_SECONDS = 34.0
     }
 }
--- a/src/test/kotlin/burlridge/balance/DrainTest.kt
+++ b/src/test/kotlin/burlridge/balance/DrainTest.kt
@@ -35,7 +35,7 @@
     @Test
     fun `a drain outlives all members, and ends when it is called off`() {
         val world = balancedWorld(2)
-        val jobs = world.submitAll((0 until 12).map { world.savingJob(it, 3, runS = 15.0) }, 60.0, everyS = 4.0)
+        val jobs = world.submitAll((0 until 12).map { world.savingJob(it, 3, runSeconds = 15.0) }, 60.0, everySeconds = 4.0)
         world.clock.after(20.0) { world.drainZone("a") }
         world.clock.after(30.0) { world.members.forEach { world.crash(it, 3.0) } }
         val bound = world.submitAll(listOf(world.savingJob(90, 3).copy(zone = "a")), 50.0)
@@ -110,8 +110,8 @@
     @Test
     fun `the last machine that can hold a task is kept unless forced, and the reason names the job`() {
         val world = World(5, operator = balanced())
-        val guaranteed = world.job(1, 1, runS = 60.0, team = "crew-x", zone = "a")
-        val elsewhere = world.job(2, 1, runS = 60.0, zone = "b")
+        val guaranteed = world.job(1, 1, runSeconds = 60.0, team = "crew-x", zone = "a")
+        val elsewhere = world.job(2, 1, runSeconds = 60.0, zone = "b")
         world.clock.after(12.0) { listOf(guaranteed, elsewhere).forEach { world.submit(it) } }
         world.run(45.0)
         val (status, answer) = world.answerOf(world.anyMember(), "POST", MachineRequests.DRAIN, """{"zone":"a"}""")
@@ -139,7 +139,7 @@
     @Test
     fun `a machine left for being slow is not forgotten with its leader`() {
         val world = balancedWorld(6, members = 5)
-        val jobs = world.submitAll((0 until 30).map { world.job(it, 10, runS = 12.0) }, 15.0, everyS = 1.0)
+        val jobs = world.submitAll((0 until 30).map { world.job(it, 10, runSeconds = 12.0) }, 15.0, everySeconds = 1.0)
         world.run(20.0)
         val slow =
             world.history.starts
@@ -166,7 +166,7 @@
     @Test
     fun `copies of a drain's writes that come after its cancellation change nothing`() {
         val world = balancedWorld(9)
-        world.lateS = 12.0
+        world.lateSeconds = 12.0
         world.meddle = { _, call -> if ("\"set\":\"drain/" in call.body.orEmpty()) World.Fate.REPEATED else World.Fate.FINE }
         world.clock.after(20.0) { world.drainZone("a") }
         world.clock.after(28.0) { world.undrainZone("a") }
@@ -196,7 +196,7 @@
     fun `a new leader does not call a zone drained while tasks run there`() {
         for (seed in 1..8) {
             val world = balancedWorld(seed, BalanceSettings(moves = MovePermission.NEVER), members = 5)
-            val jobs = world.submitAll((0 until 10).map { world.savingJob(it, 4, runS = 50.0) }, 20.0)
+            val jobs = world.submitAll((0 until 10).map { world.savingJob(it, 4, runSeconds = 50.0) }, 20.0)
             world.clock.after(35.0) { world.drainZone("a") }
             for (turn in 0 until 6) world.clock.after(36.0 + turn * 5.5) { world.leader()?.let { world.crash(it, 4.0) } }
             while (world.clock.now < 200.0 && world.stateOf("zone/a") != "drained") world.run(world.clock.now + 0.1)
@@ -209,7 +209,7 @@
     @Test
     fun `a drain by network covers machines that join later, and is not outrun by renting`() {
         val world = balancedWorld(7)
-        val jobs = world.submitAll((0 until 20).map { world.savingJob(it, 2, runS = 10.0) }, 30.0, everyS = 3.0)
+        val jobs = world.submitAll((0 until 20).map { world.savingJob(it, 2, runSeconds = 10.0) }, 30.0, everySeconds = 3.0)
         world.run(25.0)
         val covered = { machine: String -> machine.removePrefix("m-").toInt() in 16..31 }
         val (status, answer) = world.answerOf("drover-1", "POST", MachineRequests.DRAIN, """{"network":"10.1.0.18/28"}""")
@@ -226,7 +226,7 @@
     @Test
     fun `members with and without balance serve together`() {
         val world = balancedWorld(8) { if (it == "drover-0") OperatorSettings() else balanced() }
-        val jobs = world.submitAll((0 until 30).map { world.savingJob(it, 3, runS = 20.0) }, 15.0, everyS = 3.0)
+        val jobs = world.submitAll((0 until 30).map { world.savingJob(it, 3, runSeconds = 20.0) }, 15.0, everySeconds = 3.0)
         world.clock.after(30.0) { world.drainZone("a", { "drover-1" }) }
         for (turn in 0 until 6) world.clock.after(45.0 + turn * 15) { world.leader()?.let { world.crash(it, 6.0) } }
         world.run(40.0)
--- a/src/test/kotlin/burlridge/balance/HotspotMitigationTest.kt
+++ b/src/test/kotlin/burlridge/balance/HotspotMitigationTest.kt
@@ -16,7 +16,7 @@
     private val settings = BalanceSettings()
     private val machine = Machine("m-1", 0.0)
 
-    private fun job(): Job = Job(World(0).job(1, 10, runS = 10.0), 1, 0).also { it.ranS = 40.0 }.also { it.ran = 4 }
+    private fun job(): Job = Job(World(0).job(1, 10, runSeconds = 10.0), 1, 0).also { it.ranSeconds = 40.0 }.also { it.ran = 4 }
 
     private fun LoadTracker.at(
         now: Double,
@@ -26,7 +26,7 @@
     /** Guards the two thresholds: one that hovers between them keeps the mark it has. */
     @Test
     fun `a machine becomes hot above one threshold and stays so until below another`() {
-        val picture = LoadTracker(settings, halfLifeS = 20.0)
+        val picture = LoadTracker(settings, halfLifeSeconds = 20.0)
         val job = job()
         assertEquals(Load.UNKNOWN, picture.at(0.0))
         repeat(2) { picture.ended("m-1", job, 20.0, 1.0) }
@@ -45,7 +45,7 @@
     /** Guards the end of a mark: nothing new may be learned of a machine that gets nothing new. */
     @Test
     fun `a mark fades within the time after which a job must get what room there is`() {
-        val picture = LoadTracker(settings, halfLifeS = 20.0)
+        val picture = LoadTracker(settings, halfLifeSeconds = 20.0)
         repeat(50) { picture.ended("m-1", job(), 1000.0, 1.0) }
         assertEquals(Load.HOT, picture.at(2.0))
         assertEquals(Load.NORMAL, picture.at(90.0))
@@ -53,7 +53,7 @@
 
     @Test
     fun `absurd times teach nothing, and what is kept is bounded`() {
-        val picture = LoadTracker(settings, halfLifeS = 20.0)
+        val picture = LoadTracker(settings, halfLifeSeconds = 20.0)
         listOf(Double.NaN, -5.0, 0.0, Double.POSITIVE_INFINITY, 1e9).forEach { wrong ->
             picture.ended("m-1", job(), wrong, 1.0)
             picture.runs("m-1", job(), wrong, 1.0)
@@ -67,9 +67,13 @@
 
     @Test
     fun `a move must gain more than it surely costs`() {
-        val gains = MoveGain(leftS = 60.0, slowdown = 2.0, lostS = 0.0, saveS = 2.0, fetchS = 5.0, changeS = 1.5)
-        assertEquals(60.0 * 0.7 - 8.5, gains.gainS, 1e-9)
-        assertTrue(gains.copy(lostS = 50.0).gainS < 0 && gains.copy(slowdown = 1.0).gainS < 0 && gains.copy(leftS = 5.0).gainS < 0)
+        val gains =
+            MoveGain(leftSeconds = 60.0, slowdown = 2.0, lostSeconds = 0.0, saveSeconds = 2.0, fetchSeconds = 5.0, changeSeconds = 1.5)
+        assertEquals(60.0 * 0.7 - 8.5, gains.gainSeconds, 1e-9)
+        assertTrue(
+            gains.copy(lostSeconds = 50.0).gainSeconds < 0 && gains.copy(slowdown = 1.0).gainSeconds < 0 &&
+                gains.copy(leftSeconds = 5.0).gainSeconds < 0,
+        )
     }
 
     /** Short tasks by which the pace is learned beside long ones; [hot] of the machines that run both are slow from then on. */
@@ -77,8 +81,8 @@
         slowness: Double,
         hot: Int,
     ): Pair<Set<String>, List<JobSpec>> {
-        val short = submitAll((0 until 90).map { savingJob(it, 6, runS = 4.0) }, 15.0, everyS = 0.5)
-        val long = submitAll((100 until 124).map { savingJob(it, 2, runS = 90.0) }, 15.1, everyS = 0.3)
+        val short = submitAll((0 until 90).map { savingJob(it, 6, runSeconds = 4.0) }, 15.0, everySeconds = 0.5)
+        val long = submitAll((100 until 124).map { savingJob(it, 2, runSeconds = 90.0) }, 15.1, everySeconds = 0.3)
         run(23.0)
         val machinesOf = { jobs: List<JobSpec> ->
             history.starts.filter { start -> jobs.any { start.task.startsWith(it.id) } }.mapTo(LinkedHashSet()) { it.machine }
@@ -157,7 +161,7 @@
         val (slow, jobs) = world.warm(slowness = 1.5, hot = 1)
         val other = world.cloud.names().filter { it !in slow }
         // All others are full for long.
-        val full = world.submitAll((200 until 230).map { world.savingJob(it, 12, runS = 200.0) }, 37.0, everyS = 0.1)
+        val full = world.submitAll((200 until 230).map { world.savingJob(it, 12, runSeconds = 200.0) }, 37.0, everySeconds = 0.1)
         world.run(320.0)
         assertTrue(other.isNotEmpty())
         assertEquals(emptyList<String>(), world.rules.broken, world.tail())
--- a/src/test/kotlin/burlridge/balance/MoveTest.kt
+++ b/src/test/kotlin/burlridge/balance/MoveTest.kt
@@ -100,12 +100,12 @@
     @Test
     fun `a moved task starts where room was kept for it, and nothing of its run is lost`() {
         val world = balancedWorld(1)
-        val moved = world.savingJob(1, 12, runS = 60.0, cpus = 2.0)
+        val moved = world.savingJob(1, 12, runSeconds = 60.0, cpus = 2.0)
         val crowd =
             world.submitAll(
-                (2 until 30).map { world.savingJob(it, 8, runS = 20.0, cpus = 2.0).copy(zone = "b") },
+                (2 until 30).map { world.savingJob(it, 8, runSeconds = 20.0, cpus = 2.0).copy(zone = "b") },
                 41.0,
-                everyS = 0.2,
+                everySeconds = 0.2,
             )
         world.submitAll(listOf(moved), 20.0)
         world.clock.after(41.0) { world.drainZone("a") }
@@ -190,8 +190,12 @@
     fun `budgets hold over all leaders together, and classes keep what is permitted`() {
         val settings = EAGER.copy(movesPerMinute = 6, movesPerTask = 1, classMoves = mapOf("urgent" to MovePermission.SAVED))
         val world = balancedWorld(4, settings)
-        val jobs = world.submitAll((0 until 10).map { world.savingJob(it, 4, runS = 100.0) }, 20.0)
-        val kept = world.submitAll(listOf(world.savingJob(50, 4, runS = 100.0).copy(checkpointS = 0.0, saveS = 0.0)), 20.0)
+        val jobs = world.submitAll((0 until 10).map { world.savingJob(it, 4, runSeconds = 100.0) }, 20.0)
+        val kept =
+            world.submitAll(
+                listOf(world.savingJob(50, 4, runSeconds = 100.0).copy(checkpointSeconds = 0.0, saveSeconds = 0.0)),
+                20.0,
+            )
         world.clock.after(40.0) { world.drainZone("a") }
         for (turn in 0 until 8) world.clock.after(42.0 + turn * 7) { world.leader()?.let { world.crash(it, 2.0) } }
         world.run(260.0)
@@ -218,7 +222,7 @@
     fun `a gang is moved whole, or not`() {
         for (seed in 1..4) {
             val world = balancedWorld(seed)
-            val gangs = world.submitAll((0 until 4).map { world.gang(it, 3, runS = 60.0) }, 20.0, everyS = 2.0)
+            val gangs = world.submitAll((0 until 4).map { world.gang(it, 3, runSeconds = 60.0) }, 20.0, everySeconds = 2.0)
             world.clock.after(45.0) { world.drainZone("a") }
             world.clock.after(45.2 + seed * 0.4) { world.leader()?.let { world.crash(it, 4.0) } }
             world.run(260.0)
@@ -234,7 +238,7 @@
     fun `a spread job never crowds a zone while some of its tasks move there and others wait`() {
         for (seed in 1..12) {
             val world = balancedWorld(seed, EAGER.copy(finishReports = 0.0))
-            val jobs = world.submitAll((0 until 10).map { world.savingJob(it, 4).copy(spread = true) }, 20.0, everyS = 0.3)
+            val jobs = world.submitAll((0 until 10).map { world.savingJob(it, 4).copy(spread = true) }, 20.0, everySeconds = 0.3)
             world.clock.after(40.0) { world.drainZone("a") }
             // Its tasks in the other zone are lost while those in the drained one are told to stop.
             repeat(8) { turn ->
@@ -256,7 +260,7 @@
     @Test
     fun `a team at its limit is moved without room kept, and never exceeds it`() {
         val world = balancedWorld(6, EAGER.copy(roomLeases = 0.2))
-        val jobs = world.submitAll((0 until 14).map { world.savingJob(it, 4, runS = 50.0).copy(team = "crew-x") }, 20.0)
+        val jobs = world.submitAll((0 until 14).map { world.savingJob(it, 4, runSeconds = 50.0).copy(team = "crew-x") }, 20.0)
         world.clock.after(45.0) { world.drainZone("a") }
         listOf(46.0, 52.0, 61.0).forEach { at -> world.clock.after(at) { world.leader()?.let { world.crash(it, 3.0) } } }
         jobs.take(3).forEach { job -> world.clock.after(50.0) { world.abort(job) } }
--- a/src/test/kotlin/burlridge/balance/Operators.kt
+++ b/src/test/kotlin/burlridge/balance/Operators.kt
@@ -37,15 +37,15 @@
 internal fun World.savingJob(
     number: Int,
     tasks: Int,
-    runS: Double = 40.0,
+    runSeconds: Double = 40.0,
     cpus: Double = 1.0,
-): JobSpec = job(number, tasks, cpus = cpus, runS = runS).copy(checkpointS = 5.0, saveS = 1.0)
+): JobSpec = job(number, tasks, cpus = cpus, runSeconds = runSeconds).copy(checkpointSeconds = 5.0, saveSeconds = 1.0)
 
 internal fun World.submitAll(
     jobs: List<JobSpec>,
     from: Double,
-    everyS: Double = 0.5,
-): List<JobSpec> = jobs.onEachIndexed { i, job -> clock.after(from + i * everyS) { submit(job) } }
+    everySeconds: Double = 0.5,
+): List<JobSpec> = jobs.onEachIndexed { i, job -> clock.after(from + i * everySeconds) { submit(job) } }
 
 internal fun World.ask(
     member: String,
@@ -61,7 +61,7 @@
     member: () -> String = ::anyMember,
     onAccepted: (History.Drained) -> Unit = {},
 ) {
-    ask(member(), "POST", MachineRequests.DRAIN, """{"zone":"$zone","force":true,"asked_ms":${nowMs()}}""") { status, _ ->
+    ask(member(), "POST", MachineRequests.DRAIN, """{"zone":"$zone","force":true,"asked_ms":${nowMillis()}}""") { status, _ ->
         if (status == 200) {
             history.drained += History.Drained({ zoneOf[it] == zone }, clock.now).also(onAccepted)
         } else {
@@ -82,7 +82,7 @@
 ) {
     // From when it is asked on it may be carried out.
     history.drained.forEach { it.until = minOf(it.until, clock.now) }
-    ask(member(), "POST", MachineRequests.UNDRAIN, """{"zone":"$zone","asked_ms":${nowMs()}}""") { status, _ ->
+    ask(member(), "POST", MachineRequests.UNDRAIN, """{"zone":"$zone","asked_ms":${nowMillis()}}""") { status, _ ->
         if (status == 200) onAccepted() else clock.after(1.0) { undrainZone(zone, member, onAccepted) }
     }
 }
@@ -102,7 +102,7 @@
 
 internal fun World.report(): JsonNode = answerOf(leader() ?: anyMember(), "GET", MachineRequests.STATUS).second
 
-private fun World.nowMs(): Long = (clock.now * 1000).toLong()
+private fun World.nowMillis(): Long = (clock.now * 1000).toLong()
 
 internal fun World.stateOf(key: String): String? = state.value(Drain.PREFIX + key)?.path("st")?.asText()
 
@@ -115,9 +115,9 @@
     assertEquals(emptyList<String>(), rules.broken, tail())
     assertEquals(emptyList<String>(), rivals, tail())
     assertEquals(emptyList<String>(), history.breaches(jobs.map { it.id }), tail())
-    assertEquals(emptyList<String>(), history.drainBreaches(SLACK_S), tail())
+    assertEquals(emptyList<String>(), history.drainBreaches(SLACK_SECONDS), tail())
     assertEquals(emptyList<String>(), history.moveBreaches(settings.movesPerMinute, settings.movesPerTask), tail())
 }
 
 /** A start that has left begins once its image is there: two seconds at the most, and the news of the answer. */
-private const val SLACK_S = 2.5
+private const val SLACK_SECONDS = 2.5
--- a/src/test/kotlin/burlridge/balance/SlowStartTest.kt
+++ b/src/test/kotlin/burlridge/balance/SlowStartTest.kt
@@ -22,8 +22,8 @@
     ): World {
         val operator = if (on) balanced(BalanceSettings()) else OperatorSettings()
         val world = balancedWorld(seed, members = if (seed % 2 == 0) 5 else 3, types = large) { operator }
-        world.cloud.bootS = { 8.0 }
-        world.clock.after(3.0) { world.submit(world.job(1, 60, runS = 30.0, jobClass = jobClass)) }
+        world.cloud.bootSeconds = { 8.0 }
+        world.clock.after(3.0) { world.submit(world.job(1, 60, runSeconds = 30.0, jobClass = jobClass)) }
         return world
     }
 
@@ -76,8 +76,8 @@
         for (seed in 1..8) {
             val world = burst(seed, on = true)
             val jobs =
-                world.submitAll((2 until 10).map { world.savingJob(it, 6, runS = 15.0) }, 5.0) +
-                    world.job(1, 60, runS = 30.0, jobClass = "batch")
+                world.submitAll((2 until 10).map { world.savingJob(it, 6, runSeconds = 15.0) }, 5.0) +
+                    world.job(1, 60, runSeconds = 30.0, jobClass = "batch")
             for (turn in 0 until 5) world.clock.after(6.0 + turn * 2.5) { world.leader()?.let { world.crash(it, 2.0) } }
             repeat(4) { turn ->
                 world.clock.after(9.0 + turn * 2.2) {
@@ -104,7 +104,7 @@
         while (world.leader() == null) world.run(world.clock.now + 0.1)
         world.run(world.clock.now + 6.0)
         val at = world.clock.now
-        world.submit(world.job(1, 60, runS = 30.0, jobClass = "batch"))
+        world.submit(world.job(1, 60, runSeconds = 30.0, jobClass = "batch"))
         world.run(at + 4.0)
         assertEquals(60, world.history.starts.size, world.tail())
     }
--- a/src/test/kotlin/burlridge/failover/FailoverInputTest.kt
+++ b/src/test/kotlin/burlridge/failover/FailoverInputTest.kt
@@ -8,8 +8,8 @@
 import burlridge.message.HandoverMessage
 import burlridge.message.PeerMessage
 import burlridge.settings.FailoverSettings
-import burlridge.settings.OperatorSettings
 import burlridge.settings.InvalidSettingsException
+import burlridge.settings.OperatorSettings
 import burlridge.sim.World
 import com.fasterxml.jackson.databind.JsonNode
 import org.junit.jupiter.api.Assertions.assertEquals
@@ -51,7 +51,12 @@
                 "trace_file =" to "trace_file in [failover] is empty",
             )
         for ((line, complaint) in wrong) {
-            val message = assertThrows(InvalidSettingsException::class.java, { OperatorSettings.parse("[failover]\n$line\n") }, line).message.orEmpty()
+            val message =
+                assertThrows(
+                    InvalidSettingsException::class.java,
+                    { OperatorSettings.parse("[failover]\n$line\n") },
+                    line,
+                ).message.orEmpty()
             assertTrue(complaint in message && '\n' !in message, message)
         }
     }
--- a/src/test/kotlin/burlridge/failover/FailureDetectorTest.kt
+++ b/src/test/kotlin/burlridge/failover/FailureDetectorTest.kt
@@ -7,15 +7,15 @@
 import kotlin.random.Random
 
 internal class FailureDetectorTest {
-    private val detector = FailureDetector(listOf("one", "two"), EXPECTED_S, suspectLevel = 4.0)
+    private val detector = FailureDetector(listOf("one", "two"), EXPECTED_SECONDS, suspectLevel = 4.0)
     private var now = 0.0
     private var sequence = 0L
 
-    /** Steps of a tenth of a second; heartbeats of [alive] come every [everyS]. */
+    /** Steps of a tenth of a second; heartbeats of [alive] come every [everySeconds]. */
     private fun live(
         seconds: Double,
         alive: List<String>,
-        everyS: Double = EXPECTED_S,
+        everySeconds: Double = EXPECTED_SECONDS,
     ): List<LivenessChange> {
         val changes = ArrayList<LivenessChange>()
         val until = now + seconds
@@ -24,7 +24,7 @@
             if (now >= next - 1e-9) {
                 sequence++
                 alive.forEach { assertTrue(detector.heard(it, 1, sequence, now)) }
-                next += everyS
+                next += everySeconds
             }
             changes += detector.tick(now)
             now += 0.1
@@ -46,13 +46,13 @@
     /** Guards the adaptation: what is usual for a slow link is no reason for a suspicion, and for a steady one it is. */
     @Test
     fun `the silence that raises a suspicion follows what is usual`() {
-        live(60.0, listOf("one"), everyS = 2.0)
+        live(60.0, listOf("one"), everySeconds = 2.0)
         assertEquals(emptyList<LivenessChange>(), live(2.0, emptyList()).filter { it.member == "one" })
-        val steady = FailureDetector(listOf("one"), EXPECTED_S, 4.0)
-        repeat(100) { steady.heard("one", 1, it.toLong(), it * EXPECTED_S) }
-        var at = 99 * EXPECTED_S
+        val steady = FailureDetector(listOf("one"), EXPECTED_SECONDS, 4.0)
+        repeat(100) { steady.heard("one", 1, it.toLong(), it * EXPECTED_SECONDS) }
+        var at = 99 * EXPECTED_SECONDS
         while (steady.tick(at).isEmpty()) at += 0.1
-        assertTrue(at - 99 * EXPECTED_S < 2.0, "suspected only after ${at - 99 * EXPECTED_S} s")
+        assertTrue(at - 99 * EXPECTED_SECONDS < 2.0, "suspected only after ${at - 99 * EXPECTED_SECONDS} s")
     }
 
     /** Guards the doubt of its own view: without it a process that was paused suspects everybody as it wakes. */
@@ -114,7 +114,7 @@
         while (at < 3600.0) {
             if (at >= next) {
                 detector.heard("one", 1, ++heard, at)
-                next = at + EXPECTED_S + if (random.nextInt(10) == 0) random.nextDouble() * 2 else random.nextDouble() * 0.1
+                next = at + EXPECTED_SECONDS + if (random.nextInt(10) == 0) random.nextDouble() * 2 else random.nextDouble() * 0.1
             }
             suspicions += detector.tick(at).count { it.now == Liveness.SUSPECTED }
             at += 0.1
@@ -123,6 +123,6 @@
     }
 
     private companion object {
-        const val EXPECTED_S = 0.5
+        const val EXPECTED_SECONDS = 0.5
     }
 }
--- a/src/test/kotlin/burlridge/failover/HandoverScheduleTest.kt
+++ b/src/test/kotlin/burlridge/failover/HandoverScheduleTest.kt
@@ -26,7 +26,7 @@
         val members = (0 until if (luck.nextInt(3) == 0) 5 else 3).map { "drover-$it" }
         val settings = FailoverSettings(standbys = luck.nextInt(3), slowStalls = if (luck.nextBoolean()) 3 else 0)
         val world = World(seed, members = members, operator = OperatorSettings(failover = settings))
-        val jobs = (0 until 16).map { world.job(it, 1 + it % 4, runS = 4.0 + luck.nextDouble() * 12) }
+        val jobs = (0 until 16).map { world.job(it, 1 + it % 4, runSeconds = 4.0 + luck.nextDouble() * 12) }
         jobs.forEachIndexed { i, job ->
             val abort = if (luck.nextInt(5) == 0) 4.0 + luck.nextDouble() * 25 else null
             world.clock.after(5.0 + i * 2.2) { world.submit(job, abort) }
--- a/src/test/kotlin/burlridge/failover/HandoverTest.kt
+++ b/src/test/kotlin/burlridge/failover/HandoverTest.kt
@@ -27,7 +27,7 @@
     ) = World(seed, operator = operator, members = members)
 
     private fun World.load(jobs: Int = 20): List<JobSpec> =
-        (0 until jobs).map { i -> job(i, 3, runS = 6.0 + i % 5).also { clock.after(5.0 + i * 1.5) { submit(it) } } }
+        (0 until jobs).map { i -> job(i, 3, runSeconds = 6.0 + i % 5).also { clock.after(5.0 + i * 1.5) { submit(it) } } }
 
     private fun World.verdict(jobs: List<JobSpec>) {
         assertEquals(emptyList<String>(), rules.broken, tail())
@@ -128,7 +128,7 @@
             val world = world(seed)
             val jobs =
                 (0 until 60).map { i ->
-                    world.job(i, 4, runS = 8.0).also { job -> world.clock.after(5.0 + i * 0.4) { world.submit(job) } }
+                    world.job(i, 4, runSeconds = 8.0).also { job -> world.clock.after(5.0 + i * 0.4) { world.submit(job) } }
                 }
             world.clock.after(20.0 + seed * 0.13) { world.leader()?.let { world.pauseMidStep(it, 60.0) } }
             world.run(180.0)
@@ -165,7 +165,7 @@
             val world = world(seed)
             val jobs =
                 (0 until 60).map { i ->
-                    world.job(i, 2, runS = 3.0).also { job -> world.clock.after(5.0 + i * 0.4) { world.submit(job) } }
+                    world.job(i, 2, runSeconds = 3.0).also { job -> world.clock.after(5.0 + i * 0.4) { world.submit(job) } }
                 }
             world.closeLooks = true
             var inDoubt: String? = null
@@ -191,7 +191,7 @@
     @Test
     fun `a leader whose transfer is in doubt keeps no cancelled task alive`() {
         val world = world(34)
-        val jobs = (0 until 6).map { world.job(it, 2, runS = 300.0) }
+        val jobs = (0 until 6).map { world.job(it, 2, runSeconds = 300.0) }
         jobs.forEach { world.clock.after(5.0) { world.submit(it) } }
         var inDoubt: String? = null
         var confirmed = 0
@@ -210,12 +210,15 @@
             if (from == inDoubt && call.path == "/multi") World.Fate.ANSWER_LOST else World.Fate.FINE
         }
         world.clock.after(60.0) { world.leader()?.let(world::drain) }
-        world.run(60.0 + world.cancelS * 2 + 30.0)
+        world.run(60.0 + world.cancelSeconds * 2 + 30.0)
         assertEquals(jobs.size, confirmed, "not confirmed by the next leader\n${world.tail()}")
         assertEquals(emptyList<String>(), world.rules.broken, world.tail())
     }
 
-    /** Guards the doubt: the first copy is carried out late, all others are refused, and a leader that gave up meanwhile would have a rival. */
+    /**
+     * Guards the doubt: the first copy is carried out late, all others are refused, and a leader that gave up meanwhile would have a
+     * rival.
+     */
     @Test
     fun `a transfer that is carried out late finds its leader still waiting`() {
         // A long lease, so that it outlasts the wait for the first answer.
@@ -224,7 +227,7 @@
         for (seed in 40..45) {
             val world = world(seed, longLease)
             val jobs = world.load(30)
-            world.lateS = 8.0
+            world.lateSeconds = 8.0
             var first = true
             world.meddle = { _, call ->
                 val transfer = world.clock.now in 19.9..30.0 && call.body.orEmpty().contains("\"set\":\"leader\"")
--- a/src/test/kotlin/burlridge/loopback/BalanceLoopbackTest.kt
+++ b/src/test/kotlin/burlridge/loopback/BalanceLoopbackTest.kt
@@ -21,7 +21,7 @@
             LoopbackPlan(
                 controllers = 3,
                 machines = 16,
-                times = Times(reportS = 1.0, leaseS = 6.0, cancelS = 14.0),
+                times = Times(reportSeconds = 1.0, leaseSeconds = 6.0, cancelSeconds = 14.0),
                 operatorSettings = "[balance]\nfinish_reports = 0.5\n",
                 directory = directory,
                 jvmFlags = listOf("-XX:+UseSerialGC", "-XX:TieredStopAtLevel=1", "-Xmx96m"),
@@ -48,7 +48,11 @@
             await("all jobs are over") { world.onLoop { world.unfinished.isEmpty() && world.jobs.size == JOBS }.takeIf { it } }
             await("all controllers answer") { world.controllers.all { it.isUp }.takeIf { it } }
             world.onLoop { world.askEverywhere() }
-            val breaches = world.onLoop { world.rules.broken + world.history.breaches(world.jobs) + world.history.drainBreaches(SLACK_S) }
+            val breaches =
+                world.onLoop {
+                    world.rules.broken + world.history.breaches(world.jobs) +
+                        world.history.drainBreaches(SLACK_SECONDS)
+                }
             assertEquals(emptyList<String>(), breaches)
         }
     }
@@ -64,7 +68,7 @@
     private fun savingJob(
         world: LoopbackWorld,
         number: Int,
-    ) = world.job(number, 1 + number % 3, runS = 20.0 + number % 5).copy(checkpointS = 1.0, saveS = 0.3)
+    ) = world.job(number, 1 + number % 3, runSeconds = 20.0 + number % 5).copy(checkpointSeconds = 1.0, saveSeconds = 0.3)
 
     /** Asks until it is accepted, as an operator would. */
     private fun drain(
@@ -72,7 +76,7 @@
         machine: String,
     ) {
         val body = """{"machine":"$machine","force":true}"""
-        world.request("operator", world.members.random(world.random), "POST", MachineRequests.DRAIN, body, ANSWER_S) { status, _ ->
+        world.request("operator", world.members.random(world.random), "POST", MachineRequests.DRAIN, body, ANSWER_SECONDS) { status, _ ->
             if (status == OK) {
                 world.history.drained += History.Drained({ it == machine }, world.clock.now)
             } else {
@@ -88,10 +92,10 @@
     private companion object {
         const val JOBS = 20
         const val MACHINES_DRAINED = 5
-        const val ANSWER_S = 5.0
+        const val ANSWER_SECONDS = 5.0
         const val OK = 200
 
         /** Commands and answers of a busy machine take their time, and a fetch two seconds. */
-        const val SLACK_S = 6.0
+        const val SLACK_SECONDS = 6.0
     }
 }
--- a/src/test/kotlin/burlridge/loopback/ControllerProcess.kt
+++ b/src/test/kotlin/burlridge/loopback/ControllerProcess.kt
@@ -63,7 +63,7 @@
 
     /** Ends it at once, as a power failure would. */
     fun kill() {
-        process?.destroyForcibly()?.waitFor(KILL_S, TimeUnit.SECONDS)
+        process?.destroyForcibly()?.waitFor(KILL_SECONDS, TimeUnit.SECONDS)
         frozen = false
     }
 
@@ -78,10 +78,10 @@
     }
 
     /** Asks it to stop; true once it has. */
-    fun terminate(patienceS: Long): Boolean {
+    fun terminate(patienceSeconds: Long): Boolean {
         val asked = process ?: return true
         asked.destroy()
-        return asked.waitFor(patienceS, TimeUnit.SECONDS)
+        return asked.waitFor(patienceSeconds, TimeUnit.SECONDS)
     }
 
     private fun signal(name: String) {
@@ -89,22 +89,22 @@
     }
 
     /** Seconds of processor time so far. */
-    fun cpuS(): Double =
+    fun cpuSeconds(): Double =
         process
             ?.info()
             ?.totalCpuDuration()
             ?.orElse(null)
             ?.toNanos()
-            ?.div(NS_A_S) ?: 0.0
+            ?.div(NANOS_PER_SECOND) ?: 0.0
 
     fun residentMb(): Double =
         File("/proc/$pid/status").takeIf { it.exists() }?.readLines()?.firstOrNull { it.startsWith("VmRSS:") }?.let { line ->
-            line.filter(Char::isDigit).toDouble() / KB_A_MB
+            line.filter(Char::isDigit).toDouble() / KB_PER_MB
         } ?: 0.0
 
     private companion object {
-        const val KILL_S = 10L
-        const val NS_A_S = 1e9
-        const val KB_A_MB = 1024
+        const val KILL_SECONDS = 10L
+        const val NANOS_PER_SECOND = 1e9
+        const val KB_PER_MB = 1024
     }
 }
--- a/src/test/kotlin/burlridge/loopback/FailoverLoopbackTest.kt
+++ b/src/test/kotlin/burlridge/loopback/FailoverLoopbackTest.kt
@@ -21,7 +21,7 @@
             LoopbackPlan(
                 controllers = 3,
                 machines = 16,
-                times = Times(reportS = 1.0, leaseS = 6.0, cancelS = 14.0),
+                times = Times(reportSeconds = 1.0, leaseSeconds = 6.0, cancelSeconds = 14.0),
                 operatorSettings = "[failover]\ntrace_file = ${File(directory, "trace.jsonl").path}\n",
                 directory = directory,
                 jvmFlags = listOf("-XX:+UseSerialGC", "-XX:TieredStopAtLevel=1", "-Xmx96m"),
@@ -40,7 +40,7 @@
             world.process(second).wake()
 
             await("both others follow") { world.controllers.all { it.isUp } }
-            assertTrue(world.process(third).terminate(PATIENCE_S), "it does not stop")
+            assertTrue(world.process(third).terminate(PATIENCE_SECONDS), "it does not stop")
             val fourth = await("a leader after the stop") { leaderOrNull(world)?.takeIf { it != third } }
             assertNotEquals(third, fourth)
             world.process(third).start()
@@ -56,7 +56,7 @@
 
     private fun submitInTurns(world: LoopbackWorld) {
         world.onLoop {
-            repeat(JOBS) { i -> world.clock.after(i * 0.5) { world.submit(world.job(i, 1 + i % 3, runS = 1.0 + i % 4)) } }
+            repeat(JOBS) { i -> world.clock.after(i * 0.5) { world.submit(world.job(i, 1 + i % 3, runSeconds = 1.0 + i % 4)) } }
         }
     }
 
@@ -66,6 +66,6 @@
 
     private companion object {
         const val JOBS = 40
-        const val PATIENCE_S = 60L
+        const val PATIENCE_SECONDS = 60L
     }
 }
--- a/src/test/kotlin/burlridge/loopback/FailoverMeasurement.kt
+++ b/src/test/kotlin/burlridge/loopback/FailoverMeasurement.kt
@@ -12,9 +12,9 @@
 /** What one change of leader took, in seconds, and what it cost the successor. */
 private class Change(
     val loss: Loss,
-    val firstStartS: Double,
-    val allAnsweredS: Double,
-    val cpuS: Double,
+    val firstStartSeconds: Double,
+    val allAnsweredSeconds: Double,
+    val cpuSeconds: Double,
     val residentMb: Double,
 )
 
@@ -34,7 +34,7 @@
     flags: List<String>,
 ) {
     private val directory: File = Files.createTempDirectory("burlridge-measurement").toFile()
-    private val times = Times(reportS = 3.0, leaseS = 24.0, cancelS = 54.0)
+    private val times = Times(reportSeconds = 3.0, leaseSeconds = 24.0, cancelSeconds = 54.0)
     private val plan =
         LoopbackPlan(controllers, machines, times, if (on) "[failover]\n" else null, directory, flags, classPath)
     private val world = LoopbackWorld(plan, 1)
@@ -43,18 +43,18 @@
 
     fun run() {
         val begun = System.nanoTime()
-        await("the machines are up", UP_S) { (world.onLoop { world.answered(1) } >= machines * MOST_OF_THEM).takeIf { it } }
-        println("$machines machines up after %.0f s".format((System.nanoTime() - begun) / NS_A_S))
+        await("the machines are up", UP_SECONDS) { (world.onLoop { world.answered(1) } >= machines * MOST_OF_THEM).takeIf { it } }
+        println("$machines machines up after %.0f s".format((System.nanoTime() - begun) / NANOS_PER_SECOND))
         load()
-        Thread.sleep(SETTLE_MS)
+        Thread.sleep(SETTLE_MILLIS)
         val kinds = if (on) Loss.entries else listOf(Loss.KILL, Loss.FREEZE)
         // Each freeze takes a minute, so there are fewer of them.
-        repeat(rounds) { round -> kinds.filter { it != Loss.FREEZE || round < rounds * FREEZES_A_ROUND }.forEach { lose(it) } }
+        repeat(rounds) { round -> kinds.filter { it != Loss.FREEZE || round < rounds * FREEZES_PER_ROUND }.forEach { lose(it) } }
         report()
         world.onLoop { stopLoad = true }
-        await("all jobs are over", UP_S) { world.onLoop { world.unfinished.isEmpty() }.takeIf { it } }
+        await("all jobs are over", UP_SECONDS) { world.onLoop { world.unfinished.isEmpty() }.takeIf { it } }
         world.onLoop { world.askEverywhere() }
-        Thread.sleep(SETTLE_MS)
+        Thread.sleep(SETTLE_MILLIS)
         val breaches = world.onLoop { world.rules.broken + world.history.breaches(world.jobs) }
         println("jobs ${world.onLoop { world.jobs.size }}, starts ${world.onLoop { world.rules.starts }}, breaches $breaches")
         println("false suspicions: ${world.controllers.sumOf { c -> c.log.count { it.text.endsWith("is alive: heard again") } }}")
@@ -66,8 +66,8 @@
     private fun load() {
         fun next() {
             if (stopLoad) return
-            world.submit(world.job(number++, TASKS, runS = RUN_S))
-            world.clock.after(1.0 / JOBS_A_SECOND) { next() }
+            world.submit(world.job(number++, TASKS, runSeconds = RUN_SECONDS))
+            world.clock.after(1.0 / JOBS_PER_SECOND) { next() }
         }
         world.onLoop { next() }
     }
@@ -75,16 +75,16 @@
     private fun lose(loss: Loss) {
         val (leader, term) = await("a leader") { world.onLoop { world.leader() } }
         val old = world.process(leader)
-        val cpuBefore = world.controllers.associateWith { it.cpuS() }
+        val cpuBefore = world.controllers.associateWith { it.cpuSeconds() }
         val lostAt = world.onLoop { world.clock.now }
         when (loss) {
             Loss.KILL -> old.kill()
             Loss.FREEZE -> old.freeze()
-            Loss.DRAIN -> Thread { old.terminate(UP_S) }.start()
+            Loss.DRAIN -> Thread { old.terminate(UP_SECONDS) }.start()
         }
-        val next = await("the next term", UP_S) { world.onLoop { world.leader() }?.second?.takeIf { it > term } }
+        val next = await("the next term", UP_SECONDS) { world.onLoop { world.leader() }?.second?.takeIf { it > term } }
         val started =
-            await("its first start", UP_S) {
+            await("its first start", UP_SECONDS) {
                 world.onLoop {
                     world.firstStarts
                         .filterKeys { it >= next }
@@ -92,28 +92,28 @@
                         .minOrNull()
                 }
             }
-        await("all workers answered", UP_S) { (world.onLoop { world.answered(next) == world.cloud.names().size }).takeIf { it } }
+        await("all workers answered", UP_SECONDS) { (world.onLoop { world.answered(next) == world.cloud.names().size }).takeIf { it } }
         val answered = world.onLoop { world.clock.now }
         val successor = world.process(world.onLoop { world.leader() }!!.first)
-        val cpu = successor.cpuS() - (cpuBefore[successor] ?: 0.0)
+        val cpu = successor.cpuSeconds() - (cpuBefore[successor] ?: 0.0)
         changes += Change(loss, started - lostAt, answered - lostAt, cpu, successor.residentMb())
         println(describe(changes.last()))
         if (loss == Loss.FREEZE) {
-            Thread.sleep((FROZEN_S - (answered - lostAt)).coerceAtLeast(0.0).toLong() * MS_A_S)
+            Thread.sleep((FROZEN_SECONDS - (answered - lostAt)).coerceAtLeast(0.0).toLong() * MILLIS_PER_SECOND)
             old.wake()
         } else {
-            await("the old leader is gone", UP_S) { (!old.isUp).takeIf { it } }
+            await("the old leader is gone", UP_SECONDS) { (!old.isUp).takeIf { it } }
             old.start()
         }
-        Thread.sleep(SETTLE_MS)
+        Thread.sleep(SETTLE_MILLIS)
     }
 
     private fun describe(change: Change) =
         "%-6s first start %6.2f s, all answered %6.2f s, successor's processor time %5.2f s, resident %4.0f MB".format(
             change.loss,
-            change.firstStartS,
-            change.allAnsweredS,
-            change.cpuS,
+            change.firstStartSeconds,
+            change.allAnsweredSeconds,
+            change.cpuSeconds,
             change.residentMb,
         )
 
@@ -121,8 +121,8 @@
         for ((loss, all) in changes.groupBy { it.loss }) {
             println(
                 "$machines machines, failover ${if (on) "on" else "off"}, $loss x ${all.size}: " +
-                    "first start ${spread(all) { it.firstStartS }}, all answered ${spread(all) { it.allAnsweredS }}, " +
-                    "processor time ${spread(all) { it.cpuS }}, resident ${spread(all) { it.residentMb }}",
+                    "first start ${spread(all) { it.firstStartSeconds }}, all answered ${spread(all) { it.allAnsweredSeconds }}, " +
+                    "processor time ${spread(all) { it.cpuSeconds }}, resident ${spread(all) { it.residentMb }}",
             )
         }
     }
@@ -139,15 +139,15 @@
 
     private companion object {
         const val MOST_OF_THEM = 0.95
-        const val UP_S = 240L
-        const val SETTLE_MS = 6_000L
-        const val FROZEN_S = 60.0
-        const val FREEZES_A_ROUND = 0.4
-        const val JOBS_A_SECOND = 4.0
+        const val UP_SECONDS = 240L
+        const val SETTLE_MILLIS = 6_000L
+        const val FROZEN_SECONDS = 60.0
+        const val FREEZES_PER_ROUND = 0.4
+        const val JOBS_PER_SECOND = 4.0
         const val TASKS = 4
-        const val RUN_S = 5.0
-        const val NS_A_S = 1e9
-        const val MS_A_S = 1000L
+        const val RUN_SECONDS = 5.0
+        const val NANOS_PER_SECOND = 1e9
+        const val MILLIS_PER_SECOND = 1000L
     }
 }
 
--- a/src/test/kotlin/burlridge/loopback/LoopbackWorld.kt
+++ b/src/test/kotlin/burlridge/loopback/LoopbackWorld.kt
@@ -60,11 +60,11 @@
     override val members = (0 until plan.controllers).map { "drover-$it" }
     override val types = mapOf("small" to TypeSpec(4.0, 16.0, (plan.machines + POOLS - 1) / POOLS))
     override val zones = listOf("a", "b")
-    override val reportS = plan.times.reportS
-    override val leaseS = plan.times.leaseS
-    override val gangWaitS = 30.0
-    override val gangPeerS = 4.0
-    override val rules = Rules(clock, plan.times.cancelS, emptyMap())
+    override val reportSeconds = plan.times.reportSeconds
+    override val leaseSeconds = plan.times.leaseSeconds
+    override val gangWaitSeconds = 30.0
+    override val gangPeerSeconds = 4.0
+    override val rules = Rules(clock, plan.times.cancelSeconds, emptyMap())
     override val hall = GangHall(this)
     override val cloud = CloudService(this)
     override val word: (String) -> String = { it }
@@ -90,7 +90,7 @@
         }
         rules.onEnd = { task, worker -> history.ended(task, worker.id, clock.now) }
         rules.onStop = { task -> history.stopped(task, clock.now) }
-        cloud.bootS = { random.nextDouble() }
+        cloud.bootSeconds = { random.nextDouble() }
         Thread({ runLoop() }, "stand-ins").also { it.isDaemon = true }.start()
         controllers.forEach { it.start() }
     }
@@ -125,7 +125,7 @@
             "services":{"cloud":"$cloudAt","state":"$stateAt"},
             "params":{"teams":[{"name":"crew","cpus":0,"cpus_max":0}],
             "objectives":[{"kind":"wait","class":"urgent","within_s":10.0,"share":0.9}],
-            "workers":{"report_s":$reportS,"lease_s":$leaseS,"cancel_s":${plan.times.cancelS}},
+            "workers":{"report_s":$reportSeconds,"lease_s":$leaseSeconds,"cancel_s":${plan.times.cancelSeconds}},
             "state":{"rps":200,"write_rps":${plan.writeRps},"value_kb":8,"txn_ops":8},"cloud":{"rps":8,"list_lag_s":3},
             "limits":{"cpu_share":0.25,"memory_mb":${plan.memoryMb},"max_connections":${plan.maxConnections}}}}"""
     }
@@ -135,10 +135,10 @@
         serve(cloudAt) { request, reply -> cloud.handle(target(request.path, request.query), request.body, reply) }
         scope.launch {
             while (true) {
-                clock.runUntil((System.nanoTime() - startedAt) / NS_A_S)
+                clock.runUntil((System.nanoTime() - startedAt) / NANOS_PER_SECOND)
                 while (true) commands.poll()?.invoke() ?: break
                 rules.sweep()
-                delay(STEP_MS)
+                delay(STEP_MILLIS)
             }
         }
         loop.run()
@@ -155,7 +155,7 @@
     ) {
         lateinit var server: HttpServer
         server =
-            HttpServer(loop, ConnectionBudget(CONNECTIONS), IDLE_S) { request ->
+            HttpServer(loop, ConnectionBudget(CONNECTIONS), IDLE_SECONDS) { request ->
                 handle(request) { status, body -> server.answer(Effect.Respond(request.id, status, body, null)) }
             }
         server.serve(at, scope)
@@ -192,13 +192,13 @@
         method: String,
         path: String,
         body: String,
-        timeoutS: Double,
+        timeoutSeconds: Double,
         onResult: (Int, String) -> Unit,
     ) {
         val at = serveOn(members.indexOf(name))
         val askedAt = clock.now
         scope.launch {
-            val outcome = clientOf(from).call(Effect.HttpCall(0, at, method, path, body.ifEmpty { null }, timeoutS))
+            val outcome = clientOf(from).call(Effect.HttpCall(0, at, method, path, body.ifEmpty { null }, timeoutSeconds))
             val answer = outcome as? CallOutcome.Responded
             if (from == USER && answer != null) remember(name, path, body, askedAt, answer)
             onResult(answer?.status ?: 0, answer?.body.orEmpty())
@@ -237,14 +237,14 @@
     }
 
     private fun attempt(spec: JobSpec) {
-        request(USER, members.random(random), "POST", "/api/jobs", spec.encode().toString(), SUBMIT_S) { status, _ ->
+        request(USER, members.random(random), "POST", "/api/jobs", spec.encode().toString(), SUBMIT_SECONDS) { status, _ ->
             if (status == 200 || status == 201) poll(spec) else clock.after(1.0) { attempt(spec) }
         }
     }
 
     private fun poll(spec: JobSpec) {
         clock.after(1.0 + random.nextDouble()) {
-            request(USER, members.random(random), "GET", "/api/jobs/${spec.id}", "", POLL_S) { status, body ->
+            request(USER, members.random(random), "GET", "/api/jobs/${spec.id}", "", POLL_SECONDS) { status, body ->
                 if (status == 200 && standing(body) == "done") finished += spec.id else poll(spec)
             }
         }
@@ -252,13 +252,13 @@
 
     /** Asks every controller about every job once more. */
     fun askEverywhere() {
-        submitted.forEach { job -> members.forEach { request(USER, it, "GET", "/api/jobs/$job", "", POLL_S) { _, _ -> } } }
+        submitted.forEach { job -> members.forEach { request(USER, it, "GET", "/api/jobs/$job", "", POLL_SECONDS) { _, _ -> } } }
     }
 
     fun job(
         number: Int,
         tasks: Int,
-        runS: Double,
+        runSeconds: Double,
     ): JobSpec =
         JobSpec(
             "j-%06d".format(number),
@@ -274,10 +274,10 @@
             oneZone = false,
             spread = false,
             spot = true,
-            estimateS = runS,
-            checkpointS = 0.0,
-            saveS = 0.0,
-            deadlineS = null,
+            estimateSeconds = runSeconds,
+            checkpointSeconds = 0.0,
+            saveSeconds = 0.0,
+            deadlineSeconds = null,
         )
 
     // --- what can be seen from outside
@@ -304,13 +304,13 @@
 
         /** Types, zones and kinds between which the machines are divided. */
         const val POOLS = 4
-        const val NS_A_S = 1e9
-        const val STEP_MS = 5L
+        const val NANOS_PER_SECOND = 1e9
+        const val STEP_MILLIS = 5L
         const val CONNECTIONS = 20_000
-        const val IDLE_S = 600.0
+        const val IDLE_SECONDS = 600.0
         const val AT_ONCE = 2_000
         const val KEPT = 64
-        const val SUBMIT_S = 5.0
-        const val POLL_S = 2.0
+        const val SUBMIT_SECONDS = 5.0
+        const val POLL_SECONDS = 2.0
     }
 }
--- a/src/test/kotlin/burlridge/net/ClientConnectionsTest.kt
+++ b/src/test/kotlin/burlridge/net/ClientConnectionsTest.kt
@@ -28,7 +28,7 @@
 
     @Test
     fun `at the limit the one longest quiet goes, and nobody who waits for an answer or has just come`() {
-        val clients = ClientConnections<String>(most = 4, crowded = 2, reclaimAfterS = 9.0)
+        val clients = ClientConnections<String>(most = 4, crowded = 2, reclaimAfterSeconds = 9.0)
         listOf("dead", "worker", "probe").forEach {
             clients.opened(it, 0.0)
             clients.requested(it)
--- a/src/test/kotlin/burlridge/net/ConnectionTest.kt
+++ b/src/test/kotlin/burlridge/net/ConnectionTest.kt
@@ -48,7 +48,7 @@
         parts: List<ByteArray>,
     ): String =
         Socket(InetAddress.getLoopbackAddress(), port).use { socket ->
-            socket.soTimeout = TIMEOUT_MS
+            socket.soTimeout = TIMEOUT_MILLIS
             socket.tcpNoDelay = true
             parts.forEach {
                 socket.getOutputStream().write(it)
@@ -60,7 +60,7 @@
     /** Lets the server parse one plain request, alone, so that it knows the head from then on. */
     private fun teach(port: Int): Int {
         Socket(InetAddress.getLoopbackAddress(), port).use { socket ->
-            socket.soTimeout = TIMEOUT_MS
+            socket.soTimeout = TIMEOUT_MILLIS
             socket.getOutputStream().write(request("{}").encodeToByteArray())
             val answer = StringBuilder()
             while (!answer.endsWith("{}")) answer.append(socket.getInputStream().read().toChar())
@@ -146,7 +146,7 @@
             }
         teach(port)
         Socket(InetAddress.getLoopbackAddress(), port).use { socket ->
-            socket.soTimeout = TIMEOUT_MS
+            socket.soTimeout = TIMEOUT_MILLIS
             socket.getOutputStream().write(request("slow").encodeToByteArray())
             handled.await()
             socket.getOutputStream().write((request("next") + last).encodeToByteArray())
@@ -158,7 +158,7 @@
     }
 
     private companion object {
-        const val TIMEOUT_MS = 10_000
+        const val TIMEOUT_MILLIS = 10_000
         const val ROUNDS = 8
     }
 }
--- a/src/test/kotlin/burlridge/net/EventLoopTest.kt
+++ b/src/test/kotlin/burlridge/net/EventLoopTest.kt
@@ -65,14 +65,14 @@
             val target = Endpoint("127.0.0.1", server.localPort)
             scope.launch {
                 launch {
-                    outcome = client.call(Effect.HttpCall(1, target, "GET", "/", null, TIMEOUT_S))
+                    outcome = client.call(Effect.HttpCall(1, target, "GET", "/", null, TIMEOUT_SECONDS))
                     loop.stop()
                 }
                 // Stands still once the request is out, until the answer is there and the time is over.
                 while (received.count > 0) yield()
                 standsStill.countDown()
                 answered.await()
-                System.nanoTime().let { from -> while (System.nanoTime() - from < TIMEOUT_S * 1e9) Unit }
+                System.nanoTime().let { from -> while (System.nanoTime() - from < TIMEOUT_SECONDS * 1e9) Unit }
             }
             loop.run()
         }
@@ -106,8 +106,8 @@
             val target = Endpoint("127.0.0.1", server.localPort)
             val now = System.nanoTime() / 1e9
             scope.launch {
-                late = client.call(Effect.HttpCall(1, target, "GET", "/late", null, LONG_S, sendDeadline = now - 1))
-                inTime = client.call(Effect.HttpCall(2, target, "GET", "/in-time", null, LONG_S, sendDeadline = now + LONG_S))
+                late = client.call(Effect.HttpCall(1, target, "GET", "/late", null, LONG_SECONDS, sendDeadline = now - 1))
+                inTime = client.call(Effect.HttpCall(2, target, "GET", "/in-time", null, LONG_SECONDS, sendDeadline = now + LONG_SECONDS))
                 loop.stop()
             }
             loop.run()
@@ -118,7 +118,7 @@
     }
 
     private companion object {
-        const val LONG_S = 30.0
-        const val TIMEOUT_S = 0.2
+        const val LONG_SECONDS = 30.0
+        const val TIMEOUT_SECONDS = 0.2
     }
 }
--- a/src/test/kotlin/burlridge/settings/SettingsTest.kt
+++ b/src/test/kotlin/burlridge/settings/SettingsTest.kt
@@ -8,13 +8,14 @@
 internal class SettingsTest {
     private val good = ClassArchiveTraining.settings()
 
-    private fun complaint(text: String): String = assertThrows(InvalidSettingsException::class.java) { Settings.parse(text) }.message.orEmpty()
+    private fun complaint(text: String): String =
+        assertThrows(InvalidSettingsException::class.java) { Settings.parse(text) }.message.orEmpty()
 
     @Test
     fun `the platform's settings are read, and unknown fields ignored`() {
         val settings = Settings.parse(good.replaceFirst("{", "{\"later\":1,"))
         assertEquals("drover-0", settings.member)
-        assertEquals(24.0, settings.workers.leaseS)
+        assertEquals(24.0, settings.workers.leaseSeconds)
     }
 
     @Test
--- a/src/test/kotlin/burlridge/sim/AdditionsTest.kt
+++ b/src/test/kotlin/burlridge/sim/AdditionsTest.kt
@@ -17,9 +17,9 @@
     /** Guards the wait for a machine's echo: its reports alone would have task after task placed where none can start. */
     @Test
     fun `a machine that is heard but does not hear gets no more tasks`() {
-        world.clock.after(5.0) { world.submit(world.job(1, 4, runS = 3.0)) }
+        world.clock.after(5.0) { world.submit(world.job(1, 4, runSeconds = 3.0)) }
         world.clock.after(30.0) { world.cloud.names().forEach { if (it != world.cloud.names().last()) world.deafen(it, 300.0) } }
-        repeat(10) { i -> world.clock.after(31.0 + 3 * i) { world.submit(world.job(10 + i, 2, runS = 3.0)) } }
+        repeat(10) { i -> world.clock.after(31.0 + 3 * i) { world.submit(world.job(10 + i, 2, runSeconds = 3.0)) } }
         world.run(150.0)
         verdict(*Array(10) { "j-%06d".format(10 + it) })
         // The first try finds out; only one try a machine may be in vain.
@@ -32,7 +32,7 @@
     @Test
     fun `late copies of reports are neither absence nor a sign of life`() {
         world.copyAfter = { listOf(2.0, 9.0, 31.0, 70.0).random(world.random) }
-        repeat(12) { i -> world.clock.after(5.0 + 6 * i) { world.submit(world.job(i, 3, runS = 12.0)) } }
+        repeat(12) { i -> world.clock.after(5.0 + 6 * i) { world.submit(world.job(i, 3, runSeconds = 12.0)) } }
         repeat(3) { i -> world.clock.after(25.0 + 25 * i) { world.leader()?.let { world.crash(it, 1.0) } } }
         world.clock.after(40.0) {
             world.cloud
@@ -48,7 +48,7 @@
     @Test
     fun `a leader left with nothing but its workers gives way`() {
         var answeredLate = 0
-        world.clock.after(5.0) { world.submit(world.job(1, 3, runS = 40.0)) }
+        world.clock.after(5.0) { world.submit(world.job(1, 3, runSeconds = 40.0)) }
         world.clock.after(30.0) {
             val leader = world.leader() ?: return@after
             world.cut(leader, "state", 60.0)
@@ -58,7 +58,7 @@
                 world.request("m-000001", leader, "POST", "/agent/beat", report, 4.0) { status, _ -> answeredLate = status }
             }
         }
-        world.clock.after(34.0) { world.submit(world.job(2, 2, runS = 5.0)) }
+        world.clock.after(34.0) { world.submit(world.job(2, 2, runSeconds = 5.0)) }
         world.run(160.0)
         verdict("j-000001", "j-000002")
         assertEquals(5, world.rules.starts, "tasks were lost on the way from one leader to the next")
@@ -68,9 +68,9 @@
     /** Guards the wait before a reap: to a worker that has forgotten a task, a repeat of its start is a new one. */
     @Test
     fun `a start that is repeated after its task was cancelled and forgotten is void`() {
-        world.lateS = 70.0
+        world.lateSeconds = 70.0
         world.meddle = { _, call -> if (call.path == "/do" && "run" in call.body.orEmpty()) World.Fate.REPEATED else World.Fate.FINE }
-        world.clock.after(5.0) { world.submit(world.job(1, 8, runS = 200.0), abortAfter = 30.0) }
+        world.clock.after(5.0) { world.submit(world.job(1, 8, runSeconds = 200.0), abortAfter = 30.0) }
         world.run(200.0)
         verdict("j-000001")
         assertEquals(8, world.rules.starts)
@@ -83,8 +83,8 @@
             val leader = world.leader() ?: return@after
             world.cloud.names().forEach { world.cut(it, leader, 60.0) }
         }
-        world.clock.after(5.0) { world.submit(world.job(1, 3, runS = 5.0)) }
-        world.clock.after(52.0) { world.submit(world.job(2, 3, runS = 5.0)) }
+        world.clock.after(5.0) { world.submit(world.job(1, 3, runSeconds = 5.0)) }
+        world.clock.after(52.0) { world.submit(world.job(2, 3, runSeconds = 5.0)) }
         world.run(130.0)
         verdict("j-000001", "j-000002")
         assertTrue(world.rules.firstStart("j-000002") < 75.0, "began at ${world.rules.firstStart("j-000002")}")
@@ -92,7 +92,7 @@
 
     @Test
     fun `a machine back at once has lost its tasks, and they run again`() {
-        world.clock.after(5.0) { world.submit(world.job(1, 6, runS = 30.0)) }
+        world.clock.after(5.0) { world.submit(world.job(1, 6, runSeconds = 30.0)) }
         world.clock.after(30.0) { world.cloud.names().forEach { world.cloud.worker(it)?.restart() } }
         world.run(150.0)
         verdict("j-000001")
@@ -100,7 +100,7 @@
 
     @Test
     fun `members back within a fraction of a second, over and over, mid-election too`() {
-        repeat(10) { i -> world.clock.after(5.0 + 4 * i) { world.submit(world.job(i, 3, runS = 8.0)) } }
+        repeat(10) { i -> world.clock.after(5.0 + 4 * i) { world.submit(world.job(i, 3, runSeconds = 8.0)) } }
         repeat(40) { i -> world.clock.after(15.0 + 1.3 * i) { world.crash(world.members.random(world.random), 0.2) } }
         world.run(200.0)
         verdict(*Array(10) { "j-%06d".format(it) })
@@ -109,9 +109,9 @@
     /** Guards the claim that waiting raises: by the least work first alone the largest would never begin. */
     @Test
     fun `under overload the largest jobs begin within four minutes, and the late ones are not forgotten`() {
-        val large = (0 until 3).map { world.job(it, 40, cpus = 4.0, runS = 30.0, jobClass = "bulk", spot = false) }
+        val large = (0 until 3).map { world.job(it, 40, cpus = 4.0, runSeconds = 30.0, jobClass = "bulk", spot = false) }
         large.forEach { world.clock.after(20.0) { world.submit(it) } }
-        repeat(260) { i -> world.clock.after(10.0 + 2 * i) { world.submit(world.job(100 + i, 8, cpus = 4.0, runS = 25.0)) } }
+        repeat(260) { i -> world.clock.after(10.0 + 2 * i) { world.submit(world.job(100 + i, 8, cpus = 4.0, runSeconds = 25.0)) } }
         world.run(300.0)
         assertEquals(emptyList<String>(), world.rules.broken)
         large.forEach { assertTrue(world.rules.firstStart(it.id) in 0.0..260.0, "${it.id} began at ${world.rules.firstStart(it.id)}") }
@@ -143,7 +143,7 @@
 
     /** Troubles end at 100 s; what no member has answered 75 s after the first question is forgotten. */
     private fun World.unansweredOf(jobs: Int): List<String> {
-        repeat(jobs) { i -> clock.after(5.0 + i * 40.0 / jobs) { submit(job(i, 1, runS = 2.0)) } }
+        repeat(jobs) { i -> clock.after(5.0 + i * 40.0 / jobs) { submit(job(i, 1, runSeconds = 2.0)) } }
         run(110.0)
         val unknown = HashSet<String>()
         for (member in members) {
--- a/src/test/kotlin/burlridge/sim/AnswersTest.kt
+++ b/src/test/kotlin/burlridge/sim/AnswersTest.kt
@@ -36,7 +36,7 @@
     }
 
     private var met = 0
-    private val job = world.job(1, 2, runS = 20.0)
+    private val job = world.job(1, 2, runSeconds = 20.0)
 
     /** Guards the doubt about an end whose transaction is under way: its leader said `running` of a job that others called over. */
     @Test
@@ -63,7 +63,7 @@
         count: Int,
     ): List<String> =
         (0 until count).map { i ->
-            val spec = world.job(100 + i, 1 + i % 2, runS = 2.0 + i % 5)
+            val spec = world.job(100 + i, 1 + i % 2, runSeconds = 2.0 + i % 5)
             val abortAfter = if (i % 3 == 0) 0.02 + (i % 11) * 0.9 else null
             world.clock.after(20.0 + every * i) { world.submit(spec, abortAfter) }
             spec.id
@@ -84,7 +84,7 @@
     @Test
     fun `close looks at all members while transactions are carried out late, after newer ones`() {
         world.closeLooks = true
-        world.lateS = 12.0
+        world.lateSeconds = 12.0
         world.meddle = { _, call -> if (call.path == "/multi" && world.random.nextInt(5) == 0) Fate.LATE else Fate.FINE }
         val jobs = load(1.0, 60)
         repeat(3) { i -> world.clock.after(35.0 + 17 * i) { world.leader()?.let { world.crash(it, 1.0) } } }
@@ -98,7 +98,7 @@
         world.closeLooks = true
         val jobs =
             (0 until 40).map { i ->
-                val spec = world.job(i, 1, runS = 3.0)
+                val spec = world.job(i, 1, runSeconds = 3.0)
                 world.clock.after(20.0 + i) { world.submit(spec, abortAfter = 3.0 + i * 0.06) }
                 spec.id
             }
@@ -111,7 +111,7 @@
         world.closeLooks = true
         val jobs =
             (0 until 30).map { i ->
-                val spec = world.job(i, 2, runS = 10.0)
+                val spec = world.job(i, 2, runSeconds = 10.0)
                 world.clock.after(20.0 + i * 0.7) { world.submit(spec) }
                 world.clock.after(20.0 + i * 0.7 + 0.012) { world.abort(spec, world.members[i % 3]) }
                 spec.id
@@ -123,7 +123,7 @@
     /** Guards the numbers of questions between members: a reply to a member's former self named another job. */
     @Test
     fun `a member back at once takes no reply that its former self had asked for`() {
-        world.peerS = { if (world.random.nextInt(3) == 0) 0.4 else 0.001 }
+        world.peerSeconds = { if (world.random.nextInt(3) == 0) 0.4 else 0.001 }
         val jobs = load(0.5, 80)
         repeat(150) { i ->
             world.clock.after(22.0 + 0.31 * i) {
--- a/src/test/kotlin/burlridge/sim/CloudService.kt
+++ b/src/test/kotlin/burlridge/sim/CloudService.kt
@@ -28,7 +28,7 @@
     var silentBoots = false
 
     /** Seconds until a machine is up. */
-    var bootS: () -> Double = { 5 + world.random.nextDouble() * 10 }
+    var bootSeconds: () -> Double = { 5 + world.random.nextDouble() * 10 }
     var requests = ArrayList<String>()
 
     fun worker(id: String): Worker? = machines[id]?.worker
@@ -115,7 +115,7 @@
         machines[id] = rented
         atAddress[rented.worker.address] = rented.worker
         if (!silentBoots) {
-            world.clock.after(bootS()) {
+            world.clock.after(bootSeconds()) {
                 if (machines[id] === rented) {
                     rented.up = true
                     rented.worker.boot()
@@ -148,7 +148,7 @@
                     "\"loaners\":${m.worker.spot},\"standing\":\"${if (m.up) "running" else "starting"}\",\"ageS\":${now - m.at}}"
             }
         snapshots += Snapshot(now, entries)
-        while (snapshots.first().at < now - MOST_LAG_S * 2) snapshots.removeFirst()
+        while (snapshots.first().at < now - MOST_LAG_SECONDS * 2) snapshots.removeFirst()
     }
 
     /** A page of the list as it was some seconds ago. */
@@ -157,13 +157,13 @@
         val limit = asked["limit"]?.toIntOrNull() ?: Int.MAX_VALUE
         snapshot()
         val now = world.clock.now
-        val lag = world.random.nextDouble() * MOST_LAG_S
+        val lag = world.random.nextDouble() * MOST_LAG_SECONDS
         val entries = snapshots.lastOrNull { it.at <= now - lag }?.entries.orEmpty()
         val rest = entries.filter { (id, _) -> id > asked["from"].orEmpty() }
         return "{\"drovers\":[${rest.take(limit).joinToString(",") { it.second }}],\"truncated\":${rest.size > limit}}"
     }
 
     private companion object {
-        const val MOST_LAG_S = 6.0
+        const val MOST_LAG_SECONDS = 6.0
     }
 }
--- a/src/test/kotlin/burlridge/sim/Environment.kt
+++ b/src/test/kotlin/burlridge/sim/Environment.kt
@@ -10,10 +10,10 @@
     val members: List<String>
     val types: Map<String, TypeSpec>
     val zones: List<String>
-    val reportS: Double
-    val leaseS: Double
-    val gangWaitS: Double
-    val gangPeerS: Double
+    val reportSeconds: Double
+    val leaseSeconds: Double
+    val gangWaitSeconds: Double
+    val gangPeerSeconds: Double
     val rules: Rules
     val hall: GangHall
     val cloud: CloudService
@@ -25,7 +25,7 @@
     val savesFail: Boolean get() = false
 
     /** How long [worker] takes to fetch the image of [spec]. */
-    fun fetchS(
+    fun fetchSeconds(
         worker: Worker,
         spec: JobSpec,
     ): Double = random.nextDouble() * 2
@@ -40,7 +40,7 @@
         method: String,
         path: String,
         body: String,
-        timeoutS: Double,
+        timeoutSeconds: Double,
         onResult: (Int, String) -> Unit,
     )
 }
--- a/src/test/kotlin/burlridge/sim/FailureTest.kt
+++ b/src/test/kotlin/burlridge/sim/FailureTest.kt
@@ -89,7 +89,7 @@
 
     @Test
     fun `a leader cut from the state service gives way, and its workers keep their tasks`() {
-        world.clock.after(5.0) { world.submit(world.job(1, 3, runS = 40.0)) }
+        world.clock.after(5.0) { world.submit(world.job(1, 3, runSeconds = 40.0)) }
         world.clock.after(30.0) { world.leader()?.let { world.cut(it, "state", 60.0) } }
         world.run(150.0)
         verdict("j-000001")
@@ -99,7 +99,7 @@
     /** Guards the zone kept with a claim: a new leader has heard of no machine when it places the rest of the job. */
     @Test
     fun `a spread job stays spread when its leader dies half way`() {
-        repeat(6) { i -> world.clock.after(5.0 + i) { world.submit(world.job(i, 10, cpus = 2.0, spread = true, runS = 20.0)) } }
+        repeat(6) { i -> world.clock.after(5.0 + i) { world.submit(world.job(i, 10, cpus = 2.0, spread = true, runSeconds = 20.0)) } }
         repeat(6) { i -> world.clock.after(20.0 + 7 * i) { world.leader()?.let { world.crash(it, 2.0) } } }
         world.run(300.0)
         verdict("j-000000", "j-000005")
@@ -107,14 +107,14 @@
 
     @Test
     fun `a withdrawal races the start and the end of its job`() {
-        repeat(40) { i -> world.clock.after(20.0 + i) { world.submit(world.job(i, 2, runS = 2.0), abortAfter = i * 0.15) } }
+        repeat(40) { i -> world.clock.after(20.0 + i) { world.submit(world.job(i, 2, runSeconds = 2.0), abortAfter = i * 0.15) } }
         world.run(150.0)
         verdict(*Array(40) { "j-%06d".format(it) })
     }
 
     @Test
     fun `every controller dies at once, and accepted jobs run on`() {
-        repeat(5) { i -> world.clock.after(5.0 + i) { world.submit(world.job(i, 4, runS = 30.0)) } }
+        repeat(5) { i -> world.clock.after(5.0 + i) { world.submit(world.job(i, 4, runSeconds = 30.0)) } }
         world.clock.after(30.0) { world.members.forEach { world.crash(it, 6.0) } }
         world.run(200.0)
         verdict("j-000000", "j-000004")
@@ -123,7 +123,7 @@
 
     @Test
     fun `tasks outlive an outage of the state service`() {
-        world.clock.after(5.0) { world.submit(world.job(1, 3, runS = 45.0)) }
+        world.clock.after(5.0) { world.submit(world.job(1, 3, runSeconds = 45.0)) }
         world.clock.after(28.0) { world.state.outage(20.0) }
         world.run(150.0)
         verdict("j-000001")
@@ -133,7 +133,7 @@
     /** Guards the relay: without it the workers' leases lapse on the way between a leader out of reach and the others. */
     @Test
     fun `workers that cannot reach the leader are relayed to it`() {
-        world.clock.after(5.0) { world.submit(world.job(1, 3, runS = 60.0)) }
+        world.clock.after(5.0) { world.submit(world.job(1, 3, runSeconds = 60.0)) }
         world.clock.after(30.0) {
             val leader = world.leader() ?: return@after
             world.cloud.names().forEach { world.cut(it, leader, 50.0) }
@@ -162,7 +162,7 @@
                 .trim()
                 .toDouble()
         // A report that no answer came to takes four seconds and one more.
-        assertTrue(first < 40.0 + 5.0 + many.reportS, "first relayed at $first")
+        assertTrue(first < 40.0 + 5.0 + many.reportSeconds, "first relayed at $first")
         val passedByThen = passed
         many.run(120.0)
         assertTrue(passedByThen > 0 && passed - passedByThen < 20, "still relayed: ${passed - passedByThen}")
@@ -171,7 +171,7 @@
     /** Guards the question to a machine that is overdue: by its lease alone its tasks stood still three times as long. */
     @Test
     fun `a dead machine is asked, returned and its tasks run elsewhere`() {
-        world.clock.after(5.0) { world.submit(world.job(1, 8, runS = 60.0)) }
+        world.clock.after(5.0) { world.submit(world.job(1, 8, runSeconds = 60.0)) }
         world.clock.after(40.0) {
             world.cloud
                 .names()
@@ -186,13 +186,13 @@
                 .take(8)
                 .trim()
                 .toDouble()
-        assertTrue(returned < 40.0 + world.leaseS / 2, "returned at $returned")
+        assertTrue(returned < 40.0 + world.leaseSeconds / 2, "returned at $returned")
     }
 
     /** Guards the machines that only a dead leader's claims name: no report and no list will ever speak of them again. */
     @Test
     fun `machines that end together with the leader are known to be gone`() {
-        world.clock.after(5.0) { world.submit(world.job(1, 8, runS = 60.0)) }
+        world.clock.after(5.0) { world.submit(world.job(1, 8, runSeconds = 60.0)) }
         // The old leader never hears of it: the cloud is out of its reach until it dies.
         world.clock.after(40.0) {
             world.leader()?.let { world.cut(it, "cloud", 60.0) }
@@ -210,13 +210,13 @@
                 .take(8)
                 .trim()
                 .toDouble()
-        assertTrue(gone < 48.0 + world.leaseS, "gone at $gone")
+        assertTrue(gone < 48.0 + world.leaseSeconds, "gone at $gone")
     }
 
     /** Guards the record of who has led: waiting for a member that never led cost the old leader's whole bound and a lease. */
     @Test
     fun `a new leader waits only for those who led before`() {
-        world.clock.after(5.0) { world.submit(world.job(1, 8, runS = 60.0, zone = "b")) }
+        world.clock.after(5.0) { world.submit(world.job(1, 8, runSeconds = 60.0, zone = "b")) }
         world.clock.after(35.0) {
             val never = world.members.first { it != world.leader() }
             (world.members + "state").forEach { if (it != never) world.cut(never, it, 100.0) }
@@ -230,14 +230,14 @@
             world.log
                 .filter { "lease has lapsed" in it }
                 .map { it.take(8).trim().toDouble() }
-        assertTrue(leaseExpired.isNotEmpty() && leaseExpired.all { it < 45.0 + world.leaseS * 1.1 }, "lapsed at $leaseExpired")
+        assertTrue(leaseExpired.isNotEmpty() && leaseExpired.all { it < 45.0 + world.leaseSeconds * 1.1 }, "lapsed at $leaseExpired")
     }
 
     /** Guards rentals by the hundred: one call of fifty a second kept hundreds of lost machines' tasks waiting for the last. */
     @Test
     fun `what is needed by the hundred is rented within a plan or two`() {
         val many = World(9, types = mapOf("small" to TypeSpec(4.0, 16.0, 150)))
-        many.clock.after(20.0) { many.submit(many.job(1, 250, cpus = 4.0, runS = 20.0)) }
+        many.clock.after(20.0) { many.submit(many.job(1, 250, cpus = 4.0, runSeconds = 20.0)) }
         many.run(23.0)
         assertTrue(many.cloud.names().size >= 250, "${many.cloud.names().size} machines after three seconds")
     }
@@ -245,7 +245,7 @@
     /** Guards the headroom of a lane: it was paid for long after the lane's last job. */
     @Test
     fun `room is kept while jobs of a lane come, and given back when none do`() {
-        repeat(20) { i -> world.clock.after(5.0 + 3 * i) { world.submit(world.job(i, 3, runS = 4.0)) } }
+        repeat(20) { i -> world.clock.after(5.0 + 3 * i) { world.submit(world.job(i, 3, runSeconds = 4.0)) } }
         world.run(62.0)
         assertTrue(world.cloud.names().isNotEmpty())
         world.run(230.0)
@@ -256,14 +256,14 @@
     /** Guards the comparison of runs: without it the job waits for the slow machines' tasks. */
     @Test
     fun `slow machines are found out by others on the same work, and left`() {
-        world.clock.after(5.0) { world.submit(world.job(1, 2, runS = 2.0)) }
+        world.clock.after(5.0) { world.submit(world.job(1, 2, runSeconds = 2.0)) }
         world.clock.after(30.0) {
             world.cloud
                 .names()
                 .take(1)
                 .forEach { world.cloud.worker(it)?.slowness = 20.0 }
         }
-        world.clock.after(40.0) { world.submit(world.job(2, 24, runS = 20.0)) }
+        world.clock.after(40.0) { world.submit(world.job(2, 24, runSeconds = 20.0)) }
         world.run(150.0)
         verdict("j-000002")
         assertTrue(world.log.any { "is slow" in it })
--- a/src/test/kotlin/burlridge/sim/FleetTest.kt
+++ b/src/test/kotlin/burlridge/sim/FleetTest.kt
@@ -15,7 +15,7 @@
         until: Double,
         troubles: World.() -> Unit,
     ) {
-        val jobs = (0 until 36).map { world.job(it, if (it % 9 == 0) 500 else 60, cpus = if (it % 3 == 0) 4.0 else 1.0, runS = 20.0) }
+        val jobs = (0 until 36).map { world.job(it, if (it % 9 == 0) 500 else 60, cpus = if (it % 3 == 0) 4.0 else 1.0, runSeconds = 20.0) }
         jobs.forEachIndexed { i, job -> world.clock.after(30.0 + 2 * i) { world.submit(job) } }
         world.troubles()
         world.run(until)
@@ -24,7 +24,7 @@
         assertEquals(MACHINES, world.cloud.names().size)
         jobs.forEach {
             val waited = world.rules.firstStart(it.id) - 30.0 - 2 * jobs.indexOf(it)
-            assertTrue(waited < MUST_BEGIN_S, "${it.id} of ${it.tasks} tasks waited $waited s")
+            assertTrue(waited < MUST_BEGIN_SECONDS, "${it.id} of ${it.tasks} tasks waited $waited s")
         }
         // What is over leaves its end and nothing else, and the state service never sees more than it allows.
         assertEquals(jobs.size, world.state.keys("over/").size)
@@ -63,6 +63,6 @@
 
     private companion object {
         const val MACHINES = 2152
-        const val MUST_BEGIN_S = 240.0
+        const val MUST_BEGIN_SECONDS = 240.0
     }
 }
--- a/src/test/kotlin/burlridge/sim/GangHall.kt
+++ b/src/test/kotlin/burlridge/sim/GangHall.kt
@@ -53,7 +53,7 @@
         seat.becomes("gathering")
         attempt.seats += seat
         if (attempt.runningSince == null && !attempt.failed && attempt.seats.size == spec.tasks) return begin(job, run, attempt)
-        world.clock.after(world.gangWaitS) {
+        world.clock.after(world.gangWaitSeconds) {
             if (attempt.runningSince == null && seat in attempt.seats) {
                 attempt.seats -= seat
                 seat.exits("incomplete")
@@ -71,7 +71,7 @@
         attempt.slowness = attempt.seats.maxOf { it.slowness }
         begun += Triple(job, run, world.clock.now)
         attempt.seats.forEach { it.becomes("running") }
-        world.clock.after((spec.estimateS - progress(job)) * attempt.slowness) {
+        world.clock.after((spec.estimateSeconds - progress(job)) * attempt.slowness) {
             if (!attempt.failed && !attempt.ended && attempt.firstHaltAt == null) {
                 attempt.ended = true
                 attempt.seats.toList().forEach { it.exits("done") }
@@ -79,7 +79,7 @@
         }
     }
 
-    private fun ranS(attempt: Attempt): Double = (world.clock.now - (attempt.runningSince ?: world.clock.now)) / attempt.slowness
+    private fun ranSeconds(attempt: Attempt): Double = (world.clock.now - (attempt.runningSince ?: world.clock.now)) / attempt.slowness
 
     /** [seat] is gone with its machine, or has ended at once by a command. */
     fun leaves(
@@ -99,11 +99,11 @@
         if (attempt.failed) return
         attempt.failed = true
         val spec = world.rules.spec(job) ?: return
-        if (spec.checkpointS > 0 && attempt.firstHaltAt == null) {
-            saved[job] = Math.floor((progress(job) + ranS(attempt)) / spec.checkpointS) * spec.checkpointS
+        if (spec.checkpointSeconds > 0 && attempt.firstHaltAt == null) {
+            saved[job] = Math.floor((progress(job) + ranSeconds(attempt)) / spec.checkpointSeconds) * spec.checkpointSeconds
         }
         attempt.seats.toList().forEach { seat ->
-            world.clock.after(world.random.nextDouble() * world.gangPeerS) {
+            world.clock.after(world.random.nextDouble() * world.gangPeerSeconds) {
                 if (attempt.seats.remove(seat)) seat.exits("peers")
             }
         }
@@ -121,8 +121,8 @@
         attempt.told += seat
         if (attempt.firstHaltAt != null) return true
         attempt.firstHaltAt = world.clock.now
-        val reached = progress(job) + ranS(attempt)
-        world.clock.after(maxOf(spec.saveS, world.gangPeerS)) {
+        val reached = progress(job) + ranSeconds(attempt)
+        world.clock.after(maxOf(spec.saveSeconds, world.gangPeerSeconds)) {
             if (!attempt.failed && !attempt.ended) {
                 attempt.ended = true
                 val all = attempt.told.containsAll(attempt.seats)
--- a/src/test/kotlin/burlridge/sim/GangTest.kt
+++ b/src/test/kotlin/burlridge/sim/GangTest.kt
@@ -45,7 +45,7 @@
 
     @Test
     fun `a gang that loses a machine while it runs goes on from its checkpoint under the next number`() {
-        at(25.0) { world.submit(world.gang(1, 20, cpus = 2.0, runS = 30.0)) }
+        at(25.0) { world.submit(world.gang(1, 20, cpus = 2.0, runSeconds = 30.0)) }
         at(45.0) { world.cloud.worker(machinesOf("j-000001", 20).first())?.kill() }
         world.run(140.0)
         verdict("j-000001")
@@ -64,7 +64,7 @@
         assertTrue(
             world.hall.begun
                 .single()
-                .third < 25.0 + world.gangWaitS,
+                .third < 25.0 + world.gangWaitSeconds,
             "begun at ${world.hall.begun}",
         )
     }
@@ -73,7 +73,7 @@
     @Test
     fun `a start held back until after the next attempt is void`() {
         var met = 0
-        world.lateS = 60.0
+        world.lateSeconds = 60.0
         world.meddle = { _, call -> if (call.path == "/do" && "run" in call.body.orEmpty() && met++ == 0) Fate.LATE else Fate.FINE }
         at(25.0) { world.submit(world.gang(1, 20, cpus = 2.0)) }
         world.run(200.0)
@@ -100,7 +100,7 @@
     @Test
     fun `small work passing by does not starve a large gang`() {
         val small = World(23, types = mapOf("small" to TypeSpec(4.0, 16.0, 4)), guaranteed = 0.0)
-        repeat(300) { i -> small.clock.after(20.0 + 0.7 * i) { small.submit(small.job(100 + i, 7, runS = 12.0, jobClass = "bulk")) } }
+        repeat(300) { i -> small.clock.after(20.0 + 0.7 * i) { small.submit(small.job(100 + i, 7, runSeconds = 12.0, jobClass = "bulk")) } }
         small.clock.after(40.0) { small.submit(small.gang(1, 16)) }
         small.run(220.0)
         assertEquals(emptyList<String>(), small.rules.broken)
@@ -112,7 +112,7 @@
     fun `a gang that there will never be room for blocks nobody`() {
         val small = World(23, types = mapOf("small" to TypeSpec(4.0, 16.0, 4)), guaranteed = 0.0)
         small.clock.after(30.0) { small.submit(small.gang(1, 60).copy(zone = "a")) }
-        val others = (0 until 40).map { small.job(100 + it, 3, runS = 5.0, jobClass = "bulk", zone = "a", spot = false) }
+        val others = (0 until 40).map { small.job(100 + it, 3, runSeconds = 5.0, jobClass = "bulk", zone = "a", spot = false) }
         others.forEachIndexed { i, spec -> small.clock.after(31.0 + 4 * i) { small.submit(spec) } }
         small.run(240.0)
         assertEquals(emptyList<String>(), small.rules.broken)
@@ -125,7 +125,11 @@
         val tight = World(28, guaranteed = 0.0, types = mapOf("big" to TypeSpec(16.0, 64.0, 4)))
         repeat(
             200,
-        ) { i -> tight.clock.after(20.0 + i) { tight.submit(tight.job(100 + i, 4, runS = 12.0, team = "crew-x", jobClass = "bulk")) } }
+        ) { i ->
+            tight.clock.after(
+                20.0 + i,
+            ) { tight.submit(tight.job(100 + i, 4, runSeconds = 12.0, team = "crew-x", jobClass = "bulk")) }
+        }
         tight.clock.after(40.0) { tight.submit(tight.gang(1, 40, team = "crew-x")) }
         tight.run(215.0)
         assertEquals(emptyList<String>(), tight.rules.broken)
@@ -134,7 +138,7 @@
 
     /** A gang of several machines runs, and one of them gets a notice at 45 s. */
     private fun recalled() {
-        at(25.0) { world.submit(world.gang(1, 20, cpus = 2.0, runS = 40.0, spot = true)) }
+        at(25.0) { world.submit(world.gang(1, 20, cpus = 2.0, runSeconds = 40.0, spot = true)) }
         at(45.0) { machinesOf("j-000001", 20).firstOrNull()?.let { world.cloud.worker(it)?.recall(15.0) } }
     }
 
@@ -174,7 +178,7 @@
     /** Guards the check before a stop: one task that cannot be told makes the save fail for all. */
     @Test
     fun `a gang with a machine out of reach is not told to save`() {
-        at(25.0) { world.submit(world.gang(1, 20, cpus = 2.0, runS = 40.0, spot = true)) }
+        at(25.0) { world.submit(world.gang(1, 20, cpus = 2.0, runSeconds = 40.0, spot = true)) }
         at(38.5) { machinesOf("j-000001", 20).lastOrNull()?.let { m -> world.members.forEach { world.cut(m, it, 20.0) } } }
         at(45.0) { machinesOf("j-000001", 20).firstOrNull()?.let { world.cloud.worker(it)?.recall(15.0) } }
         world.run(60.0)
@@ -261,16 +265,16 @@
 
     @Test
     fun `a gang is cancelled while it fetches, gathers, runs, and as it ends`() {
-        repeat(24) { i -> at(25.0 + 3 * i) { world.submit(world.gang(i, 6, runS = 4.0), abortAfter = 0.3 * i) } }
+        repeat(24) { i -> at(25.0 + 3 * i) { world.submit(world.gang(i, 6, runSeconds = 4.0), abortAfter = 0.3 * i) } }
         world.run(200.0)
         verdict(*Array(24) { "j-%06d".format(it) })
     }
 
     @Test
     fun `an outage of the state service longer than a gang waits`() {
-        at(25.0) { world.submit(world.gang(1, 20, cpus = 2.0, runS = 50.0)) }
+        at(25.0) { world.submit(world.gang(1, 20, cpus = 2.0, runSeconds = 50.0)) }
         at(26.0) { world.cloud.worker(machinesOf("j-000001", 20).firstOrNull() ?: return@at)?.kill() }
-        at(26.2) { world.state.outage(world.gangWaitS + 5.0) }
+        at(26.2) { world.state.outage(world.gangWaitSeconds + 5.0) }
         world.run(220.0)
         verdict("j-000001")
     }
@@ -278,7 +282,7 @@
     /** Guards the wait for every task of the old attempt: with one zone for all none may start elsewhere before. */
     @Test
     fun `a whole zone is cut off with the gangs in it, which go on in the other`() {
-        repeat(4) { i -> at(25.0 + i) { world.submit(world.gang(i, 8, runS = 60.0)) } }
+        repeat(4) { i -> at(25.0 + i) { world.submit(world.gang(i, 8, runSeconds = 60.0)) } }
         at(45.0) {
             val apart = world.cloud.names().filter { world.cloud.worker(it)?.zone == "b" }
             apart.forEach { m -> world.members.forEach { world.cut(m, it, 50.0) } }
@@ -289,11 +293,11 @@
 
     @Test
     fun `a machine cut off, one deaf and one back at once, each with part of a gang`() {
-        at(25.0) { world.submit(world.gang(1, 20, cpus = 2.0, runS = 40.0)) }
+        at(25.0) { world.submit(world.gang(1, 20, cpus = 2.0, runSeconds = 40.0)) }
         at(35.0) { world.members.forEach { world.cut(machinesOf("j-000001", 20).first(), it, 40.0) } }
-        at(90.0) { world.submit(world.gang(2, 20, cpus = 2.0, runS = 30.0)) }
+        at(90.0) { world.submit(world.gang(2, 20, cpus = 2.0, runSeconds = 30.0)) }
         at(95.0) { machinesOf("j-000002", 20).firstOrNull()?.let { world.deafen(it, 60.0) } }
-        at(150.0) { world.submit(world.gang(3, 20, cpus = 2.0, runS = 30.0)) }
+        at(150.0) { world.submit(world.gang(3, 20, cpus = 2.0, runSeconds = 30.0)) }
         at(160.0) { machinesOf("j-000003", 20).firstOrNull()?.let { world.cloud.worker(it)?.restart() } }
         world.run(330.0)
         verdict("j-000001", "j-000002", "j-000003")
@@ -302,7 +306,7 @@
     @Test
     fun `late copies of reports of an attempt that is over change nothing`() {
         world.copyAfter = { listOf(2.0, 9.0, 31.0, 70.0).random(world.random) }
-        repeat(6) { i -> at(25.0 + 10 * i) { world.submit(world.gang(i, 8, runS = 12.0)) } }
+        repeat(6) { i -> at(25.0 + 10 * i) { world.submit(world.gang(i, 8, runSeconds = 12.0)) } }
         repeat(5) { i -> at(31.0 + 11 * i) { machinesOf("j-%06d".format(i), 8).firstOrNull()?.let { world.cloud.worker(it)?.restart() } } }
         repeat(2) { i -> at(50.0 + 25 * i) { world.leader()?.let { world.crash(it, 1.0) } } }
         world.run(280.0)
@@ -313,7 +317,7 @@
     @Test
     fun `states and causes that are not known are taken for no end`() {
         world.word = { mapOf("gathering" to "assembling", "fetching" to "pulling", "peers" to "bereft")[it] ?: it }
-        at(25.0) { world.submit(world.gang(1, 20, cpus = 2.0, runS = 30.0)) }
+        at(25.0) { world.submit(world.gang(1, 20, cpus = 2.0, runSeconds = 30.0)) }
         at(45.0) { machinesOf("j-000001", 20).firstOrNull()?.let { world.cloud.worker(it)?.restart() } }
         world.run(160.0)
         verdict("j-000001")
@@ -344,9 +348,9 @@
         repeat(jobs) { i ->
             val spec =
                 when (i % 4) {
-                    0 -> gang(i, 3, runS = 12.0)
-                    1 -> gang(i, 8, runS = 20.0, team = "crew-x", spot = true)
-                    2 -> gang(i, 5, cpus = 2.0, runS = 15.0, oneZone = false)
+                    0 -> gang(i, 3, runSeconds = 12.0)
+                    1 -> gang(i, 8, runSeconds = 20.0, team = "crew-x", spot = true)
+                    2 -> gang(i, 5, cpus = 2.0, runSeconds = 15.0, oneZone = false)
                     else -> job(i, 4, cpus = 2.0, team = "crew-x")
                 }
             names += spec.id
--- a/src/test/kotlin/burlridge/sim/GapTest.kt
+++ b/src/test/kotlin/burlridge/sim/GapTest.kt
@@ -15,14 +15,14 @@
         val log: List<String>,
     )
 
-    /** [distanceS] lie between the refusal and the outage. The old leader and the next one do not hear each other. */
+    /** [distanceSeconds] lie between the refusal and the outage. The old leader and the next one do not hear each other. */
     private fun gap(
         seed: Int,
         times: Times,
-        distanceS: Double,
+        distanceSeconds: Double,
     ): Outcome {
         val world = World(seed, times = times)
-        val jobs = (0 until 12).map { world.job(it, 2, runS = 200.0) }
+        val jobs = (0 until 12).map { world.job(it, 2, runSeconds = 200.0) }
         jobs.forEach { world.clock.after(5.0) { world.submit(it) } }
         val start = 60.0
         var old: String? = null
@@ -30,7 +30,7 @@
         world.clock.after(start) {
             val leader = world.leader() ?: return@after
             old = leader
-            world.refuse(leader, distanceS + 14.0)
+            world.refuse(leader, distanceSeconds + 14.0)
             // Only what a third member says tells the old leader of the next one.
             world.onLeader = { next -> if (next != leader) world.cut(leader, next, 200.0) }
             world.onCancelled = { if (world.leader() != leader && world.leader() != null) confirmed++ }
@@ -42,8 +42,8 @@
                 world.abort(job, member)
             }
         }
-        world.clock.after(start + distanceS) { world.state.outage(times.cancelS + 12.0) }
-        world.run(start + distanceS + times.cancelS * 2 + 40.0)
+        world.clock.after(start + distanceSeconds) { world.state.outage(times.cancelSeconds + 12.0) }
+        world.run(start + distanceSeconds + times.cancelSeconds * 2 + 40.0)
         return Outcome(world.rules.broken, confirmed, world.log)
     }
 
@@ -72,7 +72,7 @@
      */
     private fun keptAlone(times: Times) {
         val world = World(9, times = times)
-        val jobs = (0 until 6).map { world.job(it, 2, runS = 300.0) }
+        val jobs = (0 until 6).map { world.job(it, 2, runSeconds = 300.0) }
         jobs.forEach { world.clock.after(5.0) { world.submit(it) } }
         var confirmed = 0
         world.clock.after(60.0) {
@@ -84,10 +84,10 @@
             }
             world.cloud.names().forEach { world.cut(it, next, 200.0) }
             world.onCancelled = { confirmed++ }
-            world.clock.after(times.reportS + 1.0) { jobs.forEach { world.abort(it, next) } }
-            world.clock.after(times.reportS + 3.0) { world.state.outage(times.cancelS + 20.0) }
+            world.clock.after(times.reportSeconds + 1.0) { jobs.forEach { world.abort(it, next) } }
+            world.clock.after(times.reportSeconds + 3.0) { world.state.outage(times.cancelSeconds + 20.0) }
         }
-        world.run(60.0 + times.cancelS * 2 + 30.0)
+        world.run(60.0 + times.cancelSeconds * 2 + 30.0)
         assertEquals(jobs.size, confirmed, "not confirmed by the next leader")
         assertEquals(emptyList<String>(), world.rules.broken, world.log.takeLast(30).joinToString("\n"))
     }
@@ -105,7 +105,7 @@
     @Test
     fun `a leader that cannot read the rows keeps no cancelled task alive`() {
         val world = World(5)
-        val jobs = (0 until 6).map { world.job(it, 2, runS = 250.0) }
+        val jobs = (0 until 6).map { world.job(it, 2, runSeconds = 250.0) }
         jobs.forEach { world.clock.after(5.0) { world.submit(it) } }
         world.clock.after(60.0) {
             world.cloud.names().forEach { machine -> world.members.forEach { world.cut(machine, it, 16.0) } }
@@ -127,7 +127,7 @@
     @Test
     fun `a cancelled task on a mute machine is stopped by command though the state service is down`() {
         val world = World(6)
-        val job = world.job(1, 4, runS = 250.0)
+        val job = world.job(1, 4, runSeconds = 250.0)
         world.clock.after(5.0) { world.submit(job) }
         world.clock.after(60.0) {
             world.cloud.names().forEach {
@@ -165,7 +165,7 @@
         for (seed in 1..3) {
             // All machines are kept, so that there is room elsewhere.
             val world = World(seed, guaranteed = 0.0)
-            val jobs = (0 until 4).map { world.job(it, 2, runS = 300.0) }
+            val jobs = (0 until 4).map { world.job(it, 2, runSeconds = 300.0) }
             jobs.forEach { world.clock.after(5.0) { world.submit(it) } }
             var next: String? = null
             world.clock.after(60.0) {
@@ -192,7 +192,7 @@
     @Test
     fun `a leader that hears of the next one from a third member gives way at once`() {
         val world = World(4)
-        val job = world.job(1, 4, runS = 200.0)
+        val job = world.job(1, 4, runSeconds = 200.0)
         world.clock.after(5.0) { world.submit(job) }
         world.clock.after(60.0) {
             val old = world.leader() ?: return@after
--- a/src/test/kotlin/burlridge/sim/History.kt
+++ b/src/test/kotlin/burlridge/sim/History.kt
@@ -57,10 +57,10 @@
         stops += Stopped(task, at, ofGang)
     }
 
-    /** Starts on drained machines. What was on its way when the drain was accepted may still begin, within [slackS]. */
-    fun drainBreaches(slackS: Double): List<String> =
+    /** Starts on drained machines. What was on its way when the drain was accepted may still begin, within [slackSeconds]. */
+    fun drainBreaches(slackSeconds: Double): List<String> =
         starts.mapNotNull { start ->
-            drained.firstOrNull { it.covers(start.machine) && start.at > it.from + slackS && start.at < it.until }?.let {
+            drained.firstOrNull { it.covers(start.machine) && start.at > it.from + slackSeconds && start.at < it.until }?.let {
                 "drain forgotten: ${start.task} starts on ${start.machine} at ${start.at}, ${start.at - it.from} s after the drain"
             }
         }
@@ -71,7 +71,7 @@
         perTask: Int,
     ): List<String> {
         val alone = stops.filterNot { it.ofGang }
-        val crowded = alone.firstOrNull { first -> alone.count { it.at >= first.at && it.at < first.at + MINUTE_S } > perMinute }
+        val crowded = alone.firstOrNull { first -> alone.count { it.at >= first.at && it.at < first.at + MINUTE_SECONDS } > perMinute }
         val often = alone.groupBy { it.task }.filterValues { it.size > perTask }.keys
         return listOfNotNull(crowded?.let { "over budget: more than $perMinute stops from ${it.at} on" }) +
             often.map { "moved too often: $it" }
@@ -143,7 +143,7 @@
     private companion object {
         const val MULTIPLE_CHOICES = 300
         const val NOT_FOUND = 404
-        const val MINUTE_S = 60.0
+        const val MINUTE_SECONDS = 60.0
         val FINALS = setOf("done", "withdrawn")
     }
 }
--- a/src/test/kotlin/burlridge/sim/HistoryTest.kt
+++ b/src/test/kotlin/burlridge/sim/HistoryTest.kt
@@ -77,9 +77,9 @@
         history.drained += History.Drained({ it == "m-1" }, from = 10.0, until = 30.0)
         listOf(11.0, 31.0).forEach { history.started("j-1/0", "m-1", it) }
         history.started("j-1/1", "m-2", 20.0)
-        assertEquals(emptyList<String>(), history.drainBreaches(slackS = 2.0))
+        assertEquals(emptyList<String>(), history.drainBreaches(slackSeconds = 2.0))
         history.started("j-1/2", "m-1", 20.0)
-        assertEquals(listOf("drain forgotten"), history.drainBreaches(slackS = 2.0).map { it.substringBefore(':') })
+        assertEquals(listOf("drain forgotten"), history.drainBreaches(slackSeconds = 2.0).map { it.substringBefore(':') })
     }
 
     @Test
--- a/src/test/kotlin/burlridge/sim/MeetingsTest.kt
+++ b/src/test/kotlin/burlridge/sim/MeetingsTest.kt
@@ -18,18 +18,18 @@
             val played = world(seed)
             val jobs = played.day()
             played.sendWrongOnes(until - 20.0)
-            played.at(until - WATCHED_S) { played.watchWaiting() }
+            played.at(until - WATCHED_SECONDS) { played.watchWaiting() }
             // Troubles are long over: every member is asked about every job, and some member answers for each.
             jobs.forEachIndexed { i, id ->
                 played.members.forEachIndexed {
                     m,
                     member,
                     ->
-                    played.at(until - UNANSWERED_S + m * 5.0 + i * 0.01) { played.lookAt(id, member) }
+                    played.at(until - UNANSWERED_SECONDS + m * 5.0 + i * 0.01) { played.lookAt(id, member) }
                 }
             }
             played.run(until)
-            assertEquals(emptyList<String>(), played.rules.unanswered(until - UNANSWERED_S).filter { it in jobs }, "unanswered")
+            assertEquals(emptyList<String>(), played.rules.unanswered(until - UNANSWERED_SECONDS).filter { it in jobs }, "unanswered")
             val tail = "seed $seed\n" + played.log.takeLast(40).joinToString("\n")
             assertEquals(emptyList<String>(), played.rules.broken, tail)
             assertEquals(emptyList<String>(), jobs.filterNot { played.rules.finished(it) }, "not over, $tail")
@@ -51,12 +51,12 @@
     /** Jobs for both teams, one after another, the limited one always at its limit. */
     private fun World.crowd(
         count: Int,
-        runS: Double,
+        runSeconds: Double,
         cancelledAt: Double? = null,
     ): List<String> =
         (0 until count).map { i ->
             val team = if (i % 2 == 0) "crew-x" else "crew-y"
-            val spec = job(i, 6, cpus = 4.0, runS = runS, team = team, jobClass = if (i % 3 == 0) "urgent" else "bulk")
+            val spec = job(i, 6, cpus = 4.0, runSeconds = runSeconds, team = team, jobClass = if (i % 3 == 0) "urgent" else "bulk")
             at(5.0 + i) { submit(spec) }
             if (cancelledAt != null && i % 2 == 0) at(cancelledAt + i * 0.3) { abort(spec) }
             spec.id
@@ -65,7 +65,7 @@
     @Test
     fun `a leader cut from the state service and the other members, which workers and users still reach`() =
         meet(1..6) {
-            val jobs = (0 until 8).map { job(it, 3, runS = 60.0) }
+            val jobs = (0 until 8).map { job(it, 3, runSeconds = 60.0) }
             jobs.forEach { at(5.0) { submit(it) } }
             at(45.0) {
                 val old = leader() ?: return@at
@@ -85,7 +85,7 @@
             val jobs =
                 (0 until 12).map { i ->
                     // The second and third task wait for room behind a long one.
-                    val spec = job(i, 2 + i % 2, cpus = 4.0, runS = 8.0 + i * 3, team = "crew-x")
+                    val spec = job(i, 2 + i % 2, cpus = 4.0, runSeconds = 8.0 + i * 3, team = "crew-x")
                     at(5.0 + i) { submit(spec) }
                     spec.id
                 }
@@ -110,7 +110,7 @@
             state.limitWrites(25.0)
             val jobs =
                 (0 until 480).map { i ->
-                    val spec = job(i, 1, runS = 3.0 + i % 6)
+                    val spec = job(i, 1, runSeconds = 3.0 + i % 6)
                     at(10.0 + i * 0.25) { submit(spec, abortAfter = if (i % 4 == 0) 0.3 + i % 7 else null) }
                     spec.id
                 }
@@ -121,10 +121,10 @@
     @Test
     fun `machines up within two seconds and used at once, while writes lag and the leader ends`() =
         meet(1..8) {
-            cloud.bootS = { 0.2 + random.nextDouble() * 1.8 }
-            lateS = 12.0
+            cloud.bootSeconds = { 0.2 + random.nextDouble() * 1.8 }
+            lateSeconds = 12.0
             meddle = { _, call -> if (call.path == "/multi" && random.nextInt(4) == 0) Fate.LATE else Fate.FINE }
-            val jobs = (0 until 10).map { job(it, 4, cpus = 4.0, runS = 20.0) }
+            val jobs = (0 until 10).map { job(it, 4, cpus = 4.0, runSeconds = 20.0) }
             jobs.forEachIndexed { i, spec -> at(5.0 + 6 * i) { submit(spec) } }
             repeat(8) { i -> at(7.5 + 6 * i + random.nextDouble() * 2) { crashLeader(0.5) } }
             at(90.0) { meddle = { _, _ -> Fate.FINE } }
@@ -144,7 +144,7 @@
     @Test
     fun `a leader ends while machines with long tasks cannot be reached, or do not hear the next one`() =
         meet(1..8) {
-            val jobs = (0 until 5).map { job(it, 6, cpus = 2.0, runS = 90.0) }
+            val jobs = (0 until 5).map { job(it, 6, cpus = 2.0, runSeconds = 90.0) }
             jobs.forEach { at(5.0) { submit(it) } }
             at(50.0) {
                 machines().forEachIndexed { i, machine ->
@@ -161,7 +161,7 @@
     @Test
     fun `machines that reach no controller, while direct commands reach them`() =
         meet(1..24, until = 260.0) {
-            val jobs = (0 until 10).map { job(it, 8, cpus = 2.0, runS = 17.0 + it) }
+            val jobs = (0 until 10).map { job(it, 8, cpus = 2.0, runSeconds = 17.0 + it) }
             jobs.forEachIndexed { i, spec -> at(5.0 + 8 * i) { submit(spec) } }
             repeat(4) { i ->
                 at(30.0 + 20 * i) {
@@ -203,10 +203,10 @@
     @Test
     fun `more work than room, urgent and not, over slow links`() =
         meet(1..3, until = 420.0) {
-            peerS = { 0.05 + random.nextDouble() * 0.4 }
+            peerSeconds = { 0.05 + random.nextDouble() * 0.4 }
             val jobs =
                 (0 until 40).map { i ->
-                    val spec = job(i, 10, cpus = 4.0, runS = 12.0, jobClass = if (i % 2 == 0) "urgent" else "bulk")
+                    val spec = job(i, 10, cpus = 4.0, runSeconds = 12.0, jobClass = if (i % 2 == 0) "urgent" else "bulk")
                     at(10.0 + i) { submit(spec) }
                     spec.id
                 }
@@ -218,7 +218,7 @@
         meet(1..8) {
             val jobs =
                 (0 until 10).map { i ->
-                    val spec = job(i, 6, cpus = 2.0, runS = 25.0, zone = if (i % 3 == 0) "b" else null, oneZone = i % 3 != 0)
+                    val spec = job(i, 6, cpus = 2.0, runSeconds = 25.0, zone = if (i % 3 == 0) "b" else null, oneZone = i % 3 != 0)
                     at(5.0 + 4 * i) { submit(spec) }
                     spec.id
                 }
@@ -233,7 +233,7 @@
     fun `all controllers are away for longer than a lease`() =
         meet(1..4) {
             val jobs = crowd(10, 40.0, cancelledAt = 47.0)
-            at(50.0) { members.forEach { crash(it, leaseS + 4.0 + random.nextDouble() * 5) } }
+            at(50.0) { members.forEach { crash(it, leaseSeconds + 4.0 + random.nextDouble() * 5) } }
             jobs
         }
 
@@ -246,8 +246,8 @@
                 val inside = leader() ?: return@at
                 val apart = machines().filter { cloud.worker(it)?.zone == "b" }
                 val others = members.filter { it != inside }
-                (others + "state" + "cloud").forEach { cut(inside, it, leaseS + 12.0) }
-                apart.forEach { machine -> others.forEach { cut(machine, it, leaseS + 12.0) } }
+                (others + "state" + "cloud").forEach { cut(inside, it, leaseSeconds + 12.0) }
+                apart.forEach { machine -> others.forEach { cut(machine, it, leaseSeconds + 12.0) } }
             }
             jobs
         }
@@ -255,7 +255,7 @@
     @Test
     fun `commands are held up for seconds, and the machine then goes on`() =
         meet(1..8) {
-            lateS = 20.0
+            lateSeconds = 20.0
             meddle =
                 { _, call ->
                     if (call.path == "/do" &&
@@ -310,14 +310,14 @@
     @Test
     fun `jobs are cancelled in the seconds in which work changes hands`() =
         meet(1..6) {
-            val jobs = (0 until 24).map { job(it, 4, runS = 30.0) }
+            val jobs = (0 until 24).map { job(it, 4, runSeconds = 30.0) }
             jobs.forEachIndexed { i, spec ->
                 at(30.0 + i) { submit(spec) }
                 at(31.2 + i + (i % 5) * 0.15) { abort(spec) }
             }
             repeat(5) { i -> at(33.0 + 5 * i) { crashLeader(0.4) } }
             at(100.0) {
-                val late = rules.startsAfterCancellation.filter { it.second > reportS * 2 }
+                val late = rules.startsAfterCancellation.filter { it.second > reportSeconds * 2 }
                 assertEquals(emptyList<Pair<String, Double>>(), late, "started long after their cancellation")
             }
             jobs.map { it.id }
@@ -338,7 +338,7 @@
         }
 
     private companion object {
-        const val UNANSWERED_S = 75.0
-        const val WATCHED_S = 120.0
+        const val UNANSWERED_SECONDS = 75.0
+        const val WATCHED_SECONDS = 120.0
     }
 }
--- a/src/test/kotlin/burlridge/sim/MixedTest.kt
+++ b/src/test/kotlin/burlridge/sim/MixedTest.kt
@@ -22,9 +22,9 @@
         (0 until count).map { i ->
             val spec =
                 when (i % 3) {
-                    0 -> job(i, 20, cpus = 0.5, runS = 25.0)
+                    0 -> job(i, 20, cpus = 0.5, runSeconds = 25.0)
                     1 -> job(i, 4, cpus = 2.0, team = "crew-x", oneZone = true)
-                    else -> job(i, 5, spread = true, runS = 8.0)
+                    else -> job(i, 5, spread = true, runSeconds = 8.0)
                 }
             clock.after(5.0 + 4.0 * i) { submit(spec, abortAfter = if (i % 7 == 6) 10.0 else null) }
             spec.id
@@ -70,7 +70,7 @@
         world.upgradeAt("drover-0", 20.0)
         world.upgradeAt("drover-1", 32.0)
         listOf(28.0, 40.0, 46.0).forEachIndexed { i, at -> ask(at, i) }
-        world.onAnswer = { status, retryS -> if (status == 503 && retryS == null) retryAfter = false }
+        world.onAnswer = { status, retrySeconds -> if (status == 503 && retrySeconds == null) retryAfter = false }
         world.upgradeAt("drover-2", 50.0)
         world.clock.after(60.0) { world.crash("drover-2", 30.0) }
         world.clock.after(61.0) { world.crash("drover-0", 0.2) }
--- a/src/test/kotlin/burlridge/sim/Rules.kt
+++ b/src/test/kotlin/burlridge/sim/Rules.kt
@@ -6,7 +6,7 @@
 /** Every rule of the protocol, checked against what really happened on the stand-ins. */
 internal class Rules(
     private val clock: Clock,
-    private val cancelS: Double,
+    private val cancelSeconds: Double,
     private val teamCpus: Map<String, Double>,
     private val teamGpus: Map<String, Double> = emptyMap(),
 ) {
@@ -24,10 +24,10 @@
     var onStop: (String) -> Unit = {}
 
     /** Seconds of its run that each task has saved. */
-    val savedS = HashMap<String, Double>()
+    val savedSeconds = HashMap<String, Double>()
 
     /** Seconds of runs that were stopped and not saved. */
-    var lostS = 0.0
+    var lostSeconds = 0.0
 
     fun stopped(taskName: String) {
         if (taskName.substringBefore('/') !in abortAsked) onStop(taskName)
@@ -99,7 +99,7 @@
             val waits = told[job] == null && on.keys.none { it.substringBefore('/') == job } && !atLimit && room(spec)
             if (!waits) {
                 waitingSince.remove(job)
-            } else if (clock.now > waitingSince.getOrPut(job) { clock.now } + MOST_WAIT_S) {
+            } else if (clock.now > waitingSince.getOrPut(job) { clock.now } + MOST_WAIT_SECONDS) {
                 breach("left_waiting", "$job waits for ${clock.now - waitingSince.getValue(job)} s beside room")
                 waitingSince.remove(job)
             }
@@ -107,7 +107,7 @@
     }
 
     private companion object {
-        const val MOST_WAIT_S = 90.0
+        const val MOST_WAIT_SECONDS = 90.0
     }
 
     private val lastAnswer = HashMap<String, Double>()
@@ -184,7 +184,7 @@
         cancelledAt[job]?.let {
             startsAfterCancellation += taskName to clock.now - it
             if (clock.now >
-                it + cancelS
+                it + cancelSeconds
             ) {
                 breach("ran_cancelled", "$taskName starts ${clock.now - it} s after its cancellation")
             }
@@ -222,7 +222,7 @@
     fun sweep() {
         for ((taskName, machines) in on) {
             val at = cancelledAt[taskName.substringBefore('/')] ?: continue
-            if (clock.now > at + cancelS &&
+            if (clock.now > at + cancelSeconds &&
                 machines.isNotEmpty()
             ) {
                 breach("ran_cancelled", "$taskName is on ${machines[0].machine.id} ${clock.now - at} s after")
--- a/src/test/kotlin/burlridge/sim/ScaleTest.kt
+++ b/src/test/kotlin/burlridge/sim/ScaleTest.kt
@@ -19,7 +19,21 @@
     private fun busyFleet(machines: Int) {
         val types = mapOf("small" to TypeSpec(4.0, 16.0, machines / 6), "big" to TypeSpec(16.0, 64.0, machines / 12))
         val world = World(5, types = types, guaranteed = 0.0)
-        val jobs = (0 until 60).map { world.job(it, if (it % 10 == 0) 500 else 60, cpus = if (it % 3 == 0) 4.0 else 1.0, runS = 20.0) }
+        val jobs =
+            (0 until 60).map {
+                world.job(
+                    it,
+                    if (it % 10 ==
+                        0
+                    ) {
+                        500
+                    } else {
+                        60
+                    },
+                    cpus = if (it % 3 == 0) 4.0 else 1.0,
+                    runSeconds = 20.0,
+                )
+            }
         jobs.forEachIndexed { i, job -> world.clock.after(40.0 + i) { world.submit(job) } }
         world.run(200.0)
         assertEquals(emptyList<String>(), world.rules.broken)
@@ -40,32 +54,32 @@
         for (size in listOf(1_100, 1_650, 4_000)) {
             val types = mapOf("small" to TypeSpec(4.0, 16.0, size / 6), "big" to TypeSpec(16.0, 64.0, size / 6))
             val world = World(5, types = types, guaranteed = 0.0)
-            val jobs = (0 until 20).map { world.job(it, 60, cpus = 1.0, runS = 20.0) }
+            val jobs = (0 until 20).map { world.job(it, 60, cpus = 1.0, runSeconds = 20.0) }
             jobs.forEachIndexed { i, job -> world.clock.after(30.0 + i) { world.submit(job) } }
-            world.run(IDLE_FROM_S)
+            world.run(IDLE_FROM_SECONDS)
             assertEquals(emptyList<String>(), jobs.map { it.id }.filterNot { world.rules.finished(it) }, "not over")
             val machines = world.cloud.names().size
             assertTrue(machines >= size * 0.9, "$machines machines of $size")
             val leader = world.leader().orEmpty()
             val before = HashMap(world.work(leader))
-            world.run(IDLE_FROM_S + IDLE_S)
+            world.run(IDLE_FROM_SECONDS + IDLE_SECONDS)
             assertEquals(leader, world.leader())
             val work = world.work(leader).mapValues { (name, amount) -> amount - (before[name] ?: 0L) }
             val reports = work.getValue("worker.reports")
-            assertTrue(reports in (machines * IDLE_S / 4).toLong()..(machines * IDLE_S / 2.5).toLong(), "reports: $work")
+            assertTrue(reports in (machines * IDLE_SECONDS / 4).toLong()..(machines * IDLE_SECONDS / 2.5).toLong(), "reports: $work")
             assertTrue((work["worker.reports_read"] ?: 0L) <= reports / 100, "reports that were decoded: $work")
             assertEquals(0L, work["worker.commands"] ?: 0L, "commands: $work")
             assertEquals(0L, work["intent.rows"] ?: 0L, "rows: $work")
             val requests = work.filterKeys { it.startsWith("store.requests") }.values.sum()
-            assertTrue(requests <= IDLE_S * REQUESTS_A_SECOND, "requests to the state service: $work")
+            assertTrue(requests <= IDLE_SECONDS * REQUESTS_PER_SECOND, "requests to the state service: $work")
         }
     }
 
     private companion object {
-        const val IDLE_FROM_S = 150.0
-        const val IDLE_S = 60.0
+        const val IDLE_FROM_SECONDS = 150.0
+        const val IDLE_SECONDS = 60.0
 
         /** Watches of the leader and its renewals: a handful in each lease. */
-        const val REQUESTS_A_SECOND = 2.0
+        const val REQUESTS_PER_SECOND = 2.0
     }
 }
--- a/src/test/kotlin/burlridge/sim/Users.kt
+++ b/src/test/kotlin/burlridge/sim/Users.kt
@@ -11,7 +11,7 @@
     number: Int,
     tasks: Int,
     cpus: Double = 1.0,
-    runS: Double = 10.0,
+    runSeconds: Double = 10.0,
     team: String = "crew-y",
     jobClass: String = "urgent",
     spot: Boolean = true,
@@ -33,7 +33,7 @@
         oneZone,
         spread,
         spot,
-        runS,
+        runSeconds,
         0.0,
         0.0,
         null,
@@ -43,13 +43,13 @@
     number: Int,
     tasks: Int,
     cpus: Double = 1.0,
-    runS: Double = 20.0,
+    runSeconds: Double = 20.0,
     team: String = "crew-y",
     spot: Boolean = false,
     oneZone: Boolean = true,
 ): JobSpec =
-    job(number, tasks, cpus, runS, team, jobClass = "gang", spot = spot, oneZone = oneZone)
-        .copy(gang = true, checkpointS = 5.0, saveS = 2.0)
+    job(number, tasks, cpus, runSeconds, team, jobClass = "gang", spot = spot, oneZone = oneZone)
+        .copy(gang = true, checkpointSeconds = 5.0, saveSeconds = 2.0)
 
 /** Submits until accepted, then polls until the job is over, and sometimes after. */
 internal fun World.submit(
--- a/src/test/kotlin/burlridge/sim/WholeServiceTest.kt
+++ b/src/test/kotlin/burlridge/sim/WholeServiceTest.kt
@@ -12,10 +12,10 @@
             val spec =
                 when (i % 5) {
                     0 -> job(i, 4, cpus = 2.0, team = "crew-x")
-                    1 -> job(i, 3, oneZone = true, runS = 15.0)
-                    2 -> job(i, 5, spread = true, runS = 5.0)
-                    3 -> job(i, 2, cpus = 8.0, jobClass = "bulk", runS = 30.0, spot = false)
-                    else -> job(i, 6, cpus = 1.0, zone = "b", runS = 8.0, team = "crew-x")
+                    1 -> job(i, 3, oneZone = true, runSeconds = 15.0)
+                    2 -> job(i, 5, spread = true, runSeconds = 5.0)
+                    3 -> job(i, 2, cpus = 8.0, jobClass = "bulk", runSeconds = 30.0, spot = false)
+                    else -> job(i, 6, cpus = 1.0, zone = "b", runSeconds = 8.0, team = "crew-x")
                 }
             names += spec.id
             clock.after(5 + i * 2.0) { submit(spec, abortAfter = if (i % 7 == 6) 10.0 else null) }
--- a/src/test/kotlin/burlridge/sim/Worker.kt
+++ b/src/test/kotlin/burlridge/sim/Worker.kt
@@ -135,7 +135,7 @@
     }
 
     private fun expire() {
-        if (world.clock.now <= answeredSentAt + world.leaseS) return
+        if (world.clock.now <= answeredSentAt + world.leaseSeconds) return
         tasks.values.forEach { leave(it, false) }
         tasks.clear()
         agentEpoch++
@@ -211,7 +211,7 @@
     }
 
     private fun nextBeat() {
-        val at = world.clock.now + world.reportS * (0.75 + world.random.nextDouble() * 0.5)
+        val at = world.clock.now + world.reportSeconds * (0.75 + world.random.nextDouble() * 0.5)
 
         fun wait() {
             world.clock.after(0.5) {
@@ -266,28 +266,28 @@
 
     private fun halt(
         task: Task,
-        graceS: Double,
+        graceSeconds: Double,
     ) {
-        val saveS = world.rules.spec(task.job)?.saveS ?: 0.0
-        val saves = isGang(task) && saveS > 0 && graceS >= saveS && world.hall.saves(task.job, task.run, task)
-        if (saves || (task.standing == "saving" && graceS > 0)) return
-        if (!isGang(task) && task.standing == "running" && saveS > 0 && graceS >= saveS) return save(task, saveS)
+        val saveSeconds = world.rules.spec(task.job)?.saveSeconds ?: 0.0
+        val saves = isGang(task) && saveSeconds > 0 && graceSeconds >= saveSeconds && world.hall.saves(task.job, task.run, task)
+        if (saves || (task.standing == "saving" && graceSeconds > 0)) return
+        if (!isGang(task) && task.standing == "running" && saveSeconds > 0 && graceSeconds >= saveSeconds) return save(task, saveSeconds)
         stop(task)
     }
 
     /** How far a task had come is kept outside the machine, unless the save fails. */
     private fun save(
         task: Task,
-        saveS: Double,
+        saveSeconds: Double,
     ) {
         task.standing = "saving"
         changed = true
-        val ranS = world.clock.now - task.startedAt
-        world.clock.after(saveS) {
+        val ranSeconds = world.clock.now - task.startedAt
+        world.clock.after(saveSeconds) {
             whenAwake {
                 if (alive && task.standing == "saving" && tasks["${task.taskName}@${task.run}"] === task) {
                     task.kept = !world.savesFail
-                    if (task.kept) world.rules.savedS.merge(task.taskName, ranS / slowness, Double::plus)
+                    if (task.kept) world.rules.savedSeconds.merge(task.taskName, ranSeconds / slowness, Double::plus)
                     stop(task)
                 }
             }
@@ -295,7 +295,11 @@
     }
 
     private fun stop(task: Task) {
-        if (task.standing == "running" || (task.standing == "saving" && !task.kept)) world.rules.lostS += world.clock.now - task.startedAt
+        if (task.standing == "running" ||
+            (task.standing == "saving" && !task.kept)
+        ) {
+            world.rules.lostSeconds += world.clock.now - task.startedAt
+        }
         leave(task, false)
         exit(task, "stopped")
         world.rules.stopped(task.taskName)
@@ -329,16 +333,16 @@
                     ?.cpus ?: 0.0
             }
         if (cpus > world.types.getValue(type).cpus + 1e-6) return exit(task, "full")
-        world.clock.after(world.fetchS(this, spec)) {
+        world.clock.after(world.fetchSeconds(this, spec)) {
             images += spec.image
-            whenAwake { fetched(key, task, spec.estimateS) }
+            whenAwake { fetched(key, task, spec.estimateSeconds) }
         }
     }
 
     private fun fetched(
         key: String,
         task: Task,
-        runS: Double,
+        runSeconds: Double,
     ) {
         if (!alive || tasks[key] !== task || task.standing != "fetching") return
         world.rules.started(task.taskName, this)
@@ -346,8 +350,8 @@
         task.standing = "running"
         task.startedAt = world.clock.now
         changed = true
-        val leftS = (runS - (world.rules.savedS[task.taskName] ?: 0.0)).coerceAtLeast(0.0)
-        val need = if (world.rules.hasCompleted(task.taskName)) 0.0 else leftS * slowness
+        val leftSeconds = (runSeconds - (world.rules.savedSeconds[task.taskName] ?: 0.0)).coerceAtLeast(0.0)
+        val need = if (world.rules.hasCompleted(task.taskName)) 0.0 else leftSeconds * slowness
         world.clock.after(need) { whenAwake { complete(key, task) } }
     }
 
--- a/src/test/kotlin/burlridge/sim/World.kt
+++ b/src/test/kotlin/burlridge/sim/World.kt
@@ -15,9 +15,9 @@
 
 /** The workers' times of a deployment. */
 internal data class Times(
-    val reportS: Double = 3.0,
-    val leaseS: Double = 24.0,
-    val cancelS: Double = 54.0,
+    val reportSeconds: Double = 3.0,
+    val leaseSeconds: Double = 24.0,
+    val cancelSeconds: Double = 54.0,
 )
 
 internal data class TypeSpec(
@@ -46,14 +46,14 @@
 ) : Environment {
     override val clock = Clock()
     override val random = Random(seed)
-    override val reportS = times.reportS
-    override val leaseS = times.leaseS
-    val cancelS = times.cancelS
+    override val reportSeconds = times.reportSeconds
+    override val leaseSeconds = times.leaseSeconds
+    val cancelSeconds = times.cancelSeconds
     override val zones = listOf("a", "b")
-    override val gangWaitS = 30.0
-    override val gangPeerS = 4.0
+    override val gangWaitSeconds = 30.0
+    override val gangPeerSeconds = 4.0
     override val hall = GangHall(this)
-    override val rules = Rules(clock, cancelS, mapOf("crew-x" to 48.0, "crew-y" to 0.0))
+    override val rules = Rules(clock, cancelSeconds, mapOf("crew-x" to 48.0, "crew-y" to 0.0))
     val state = StateService(clock)
     override val cloud = CloudService(this)
     val log = ArrayList<String>()
@@ -86,10 +86,10 @@
     /** In place of the usual time that a fetch takes. */
     var fetchTime: ((Worker, JobSpec) -> Double)? = null
 
-    override fun fetchS(
+    override fun fetchSeconds(
         worker: Worker,
         spec: JobSpec,
-    ): Double = fetchTime?.invoke(worker, spec) ?: super.fetchS(worker, spec)
+    ): Double = fetchTime?.invoke(worker, spec) ?: super.fetchSeconds(worker, spec)
 
     override var word: (String) -> String = { it }
 
@@ -100,7 +100,7 @@
 
     /** Share of calls whose request, or whose answer, is held back until long after the caller gave up. */
     var lossy = 0.0
-    var lateS = 30.0
+    var lateSeconds = 30.0
 
     /** Called for each call before it is carried out; a test returns what is to become of it. */
     var meddle: (from: String, effect: Effect.HttpCall) -> Fate = { _, _ -> Fate.FINE }
@@ -147,12 +147,12 @@
     ) = clock.after(at) { upgrade(name, 2.0) }
 
     /** Told of each answer to a user. */
-    var onAnswer: (status: Int, retryAfterS: Int?) -> Unit = { _, _ -> }
+    var onAnswer: (status: Int, retryAfterSeconds: Int?) -> Unit = { _, _ -> }
 
     /** What the member [name] is started with. */
     fun settings(name: String): Settings {
         val knows = name in new
-        val gangTimes = if (knows) "\"gang_wait_s\":$gangWaitS,\"gang_peer_s\":$gangPeerS," else ""
+        val gangTimes = if (knows) "\"gang_wait_s\":$gangWaitSeconds,\"gang_peer_s\":$gangPeerSeconds," else ""
         val limitsToCome = next?.takeIf { knows }?.let { ",\"next\":$it" }.orEmpty()
         val others = members.filter { it != name }
         return Settings
@@ -162,7 +162,7 @@
             "services":{"cloud":"10.2.0.2:1","state":"10.2.0.1:1"},
             "params":{"teams":[{"name":"crew-x","cpus":$guaranteed,"cpus_max":48},{"name":"crew-y","cpus":0,"cpus_max":0}],
             "objectives":[$jobClasses],
-            "workers":{"report_s":$reportS,"lease_s":$leaseS,$gangTimes"cancel_s":$cancelS},
+            "workers":{"report_s":$reportSeconds,"lease_s":$leaseSeconds,$gangTimes"cancel_s":$cancelSeconds},
             "state":{"rps":200,"write_rps":$writeRps,"value_kb":8,"txn_ops":8$limitsToCome},"cloud":{"rps":8,"list_lag_s":3},
             "limits":{"cpu_share":0.25,"memory_mb":268.0,"max_connections":2000}}}""",
             ).copy(operator = operatorOf(name))
@@ -256,7 +256,7 @@
     var onCancelled: (String) -> Unit = {}
 
     /** How long a message from member to member takes. */
-    var peerS: () -> Double = { 0.001 }
+    var peerSeconds: () -> Double = { 0.001 }
 
     /** Moments at which more than one member might have acted as leader. */
     val rivals = ArrayList<String>()
@@ -408,7 +408,7 @@
             }
 
             is Effect.Respond -> {
-                onAnswer(effect.status, effect.retryAfterS)
+                onAnswer(effect.status, effect.retryAfterSeconds)
                 openRequests.remove(name to effect.id)?.invoke(effect.status, effect.body)
             }
 
@@ -418,7 +418,7 @@
 
             is Effect.SendToPeer -> {
                 (effect.message as? PeerMessage.ForwardedRequest)?.let { onAsk(it.path) }
-                if (!isCut(name, effect.member)) clock.after(peerS()) { step(effect.member, Input.MessageReceived(effect.message)) }
+                if (!isCut(name, effect.member)) clock.after(peerSeconds()) { step(effect.member, Input.MessageReceived(effect.message)) }
             }
 
             is Effect.HttpCall -> {
@@ -459,7 +459,7 @@
                 }
             }
         val fate = if (host == "nobody") Fate.REFUSED else drawn
-        clock.after(effect.timeoutS) { settle(CallOutcome.Unknown) }
+        clock.after(effect.timeoutSeconds) { settle(CallOutcome.Unknown) }
         when {
             host == "state" && isRefused(name) && !effect.path.startsWith("/follow") -> {
                 clock.after(0.003) { settle(CallOutcome.Responded(503, "{}")) }
@@ -479,8 +479,8 @@
             }
 
             else -> {
-                if (fate == Fate.REPEATED) clock.after(lateS) { deliver(host, effect) { _, _ -> } }
-                clock.after(if (fate == Fate.LATE) random.nextDouble() * lateS else 0.003) {
+                if (fate == Fate.REPEATED) clock.after(lateSeconds) { deliver(host, effect) { _, _ -> } }
+                clock.after(if (fate == Fate.LATE) random.nextDouble() * lateSeconds else 0.003) {
                     deliver(host, effect) { status, body ->
                         if ((fate == Fate.FINE || fate == Fate.REPEATED) &&
                             !isCut(name, host)
@@ -511,7 +511,7 @@
         method: String,
         path: String,
         body: String,
-        timeoutS: Double,
+        timeoutSeconds: Double,
         onResult: (Int, String) -> Unit,
     ) {
         var settled = false
@@ -526,7 +526,7 @@
             if (from == "user" && status != 0) remember(name, path, body, askedAt, status, text)
             onResult(status, text)
         }
-        clock.after(timeoutS) { settle(0, "") }
+        clock.after(timeoutSeconds) { settle(0, "") }
         val cut = isCut(from, name)
         if ((mute[from] ?: 0.0) > clock.now) return clock.after(0.5) { settle(0, "") }
         if (cut || controllers[name] == null) {
--- a/src/test/kotlin/burlridge/transcript/Transcript.kt
+++ b/src/test/kotlin/burlridge/transcript/Transcript.kt
@@ -32,11 +32,11 @@
         when (effect) {
             is Effect.HttpCall -> {
                 val body = effect.body?.let { " $it" }.orEmpty()
-                "call ${effect.method} ${effect.target}${effect.path}$body timeout=${effect.timeoutS}${deadline(effect)}"
+                "call ${effect.method} ${effect.target}${effect.path}$body timeout=${effect.timeoutSeconds}${deadline(effect)}"
             }
 
             is Effect.Respond -> {
-                val retryAfter = effect.retryAfterS?.let { " retry-after=$it" }.orEmpty()
+                val retryAfter = effect.retryAfterSeconds?.let { " retry-after=$it" }.orEmpty()
                 "answer #${effect.id} ${effect.status} ${effect.body}$retryAfter${deadline(effect)}"
             }
 
--- a/src/test/kotlin/burlridge/transcript/TranscriptSchedules.kt
+++ b/src/test/kotlin/burlridge/transcript/TranscriptSchedules.kt
@@ -51,10 +51,10 @@
     val spec =
         when (i % 5) {
             0 -> job(i, 4, cpus = 2.0, team = "crew-x")
-            1 -> job(i, 3, oneZone = true, runS = 15.0)
-            2 -> job(i, 5, spread = true, runS = 5.0)
-            3 -> job(i, 2, cpus = 8.0, jobClass = "bulk", runS = 30.0, spot = false)
-            else -> job(i, 6, cpus = 1.0, zone = "b", runS = 8.0, team = "crew-x")
+            1 -> job(i, 3, oneZone = true, runSeconds = 15.0)
+            2 -> job(i, 5, spread = true, runSeconds = 5.0)
+            3 -> job(i, 2, cpus = 8.0, jobClass = "bulk", runSeconds = 30.0, spot = false)
+            else -> job(i, 6, cpus = 1.0, zone = "b", runSeconds = 8.0, team = "crew-x")
         }
     at(from + i * every) { submit(spec, abortAfter = if (i % 7 == 6) 10.0 else null) }
 }
@@ -67,8 +67,8 @@
 /** Jobs that several teams submit above their limit, while some are cancelled. */
 private fun World.teamsAtTheirLimit() {
     repeat(12) { i ->
-        at(5.0 + i) { submit(job(i, 10, cpus = 2.0, runS = 20.0, team = "crew-x"), abortAfter = if (i % 4 == 3) 12.0 else null) }
-        at(5.5 + i) { submit(job(100 + i, 6, cpus = 2.0, runS = 12.0, jobClass = "bulk")) }
+        at(5.0 + i) { submit(job(i, 10, cpus = 2.0, runSeconds = 20.0, team = "crew-x"), abortAfter = if (i % 4 == 3) 12.0 else null) }
+        at(5.5 + i) { submit(job(100 + i, 6, cpus = 2.0, runSeconds = 12.0, jobClass = "bulk")) }
     }
 }
 
@@ -92,17 +92,17 @@
 )
 
 private fun World.savingJobs(count: Int): List<JobSpec> =
-    submitAll((0 until count).map { savingJob(it, 1 + it % 4, runS = 30.0) }, from = 10.0, everyS = 1.5)
+    submitAll((0 until count).map { savingJob(it, 1 + it % 4, runSeconds = 30.0) }, from = 10.0, everySeconds = 1.5)
 
 internal val TRANSCRIPT_SCHEDULES: List<TranscriptSchedule> =
     listOf(
         TranscriptSchedule("array-short", 30.0, { World(401, types = mapOf("small" to TypeSpec(4.0, 16.0, 2))) }) {
-            at(12.0) { submit(job(1, 2, runS = 3.0)) }
+            at(12.0) { submit(job(1, 2, runSeconds = 3.0)) }
         },
         TranscriptSchedule("gang-short", 38.0, {
             World(402, types = mapOf("small" to TypeSpec(4.0, 16.0, 1)), guaranteed = 0.0)
         }) {
-            at(14.0) { submit(gang(1, 2, runS = 4.0)) }
+            at(14.0) { submit(gang(1, 2, runSeconds = 4.0)) }
         },
         TranscriptSchedule("arrays", 150.0, { World(403) }) { arrays(24) },
         TranscriptSchedule("five-members-at-their-limits", 140.0, { World(404, members = (0 until 5).map { "drover-$it" }) }) {
@@ -139,7 +139,7 @@
             atLeader(95.0) { leader -> cloud.names().take(4).forEach { cut(it, leader, 30.0) } }
         },
         TranscriptSchedule("leader-refused", 160.0, { World(409) }) {
-            val long = (0 until 4).map { job(200 + it, 3, runS = 60.0) }
+            val long = (0 until 4).map { job(200 + it, 3, runSeconds = 60.0) }
             long.forEach { spec -> at(8.0) { submit(spec) } }
             arrays(12)
             atLeader(30.0) { refuse(it, 15.0) }
@@ -169,7 +169,7 @@
                     .take(3)
                     .forEach { cloud.worker(it)?.recall(10.0) }
             }
-            at(130.0) { submit(job(90, 12, cpus = 2.0, runS = 10.0)) }
+            at(130.0) { submit(job(90, 12, cpus = 2.0, runSeconds = 10.0)) }
             atLeader(45.0) { crash(it, 5.0) }
         },
         TranscriptSchedule("rolling-restart", 200.0, {
@@ -215,7 +215,7 @@
             balancedWorld(418, members = 5, failover = true, operatorOf = { balanced(failover = true) })
         }) {
             savingJobs(14)
-            repeat(2) { i -> at(22.0 + 9.0 * i) { submit(gang(60 + i, 4, runS = 25.0)) } }
+            repeat(2) { i -> at(22.0 + 9.0 * i) { submit(gang(60 + i, 4, runSeconds = 25.0)) } }
             at(32.0) { drainZone("b") }
             atLeader(40.0) { drain(it) }
             at(50.0) { cloud.names().take(2).forEach { cloud.worker(it)?.slowness = 8.0 } }
--- a/src/test/kotlin/burlridge/worker/WorkerCommandCodecTest.kt
+++ b/src/test/kotlin/burlridge/worker/WorkerCommandCodecTest.kt
@@ -7,7 +7,7 @@
 internal class WorkerCommandCodecTest {
     private val commands =
         listOf(
-            WorkerCommand.Stop("j-000377/1", 1, graceS = 10.0),
+            WorkerCommand.Stop("j-000377/1", 1, graceSeconds = 10.0),
             WorkerCommand.Start("j-000412/4", 2),
             WorkerCommand.Remove("j-000398/0", 1),
         )
