--- a/src/main/kotlin/burlridge/core/StepContext.kt
+++ b/src/main/kotlin/burlridge/core/StepContext.kt
@@ -51,7 +51,7 @@
     ) {
         this.wallMillis = wallMillis
         this.now = maxOf(now, this.now)
-        logRateLimiter.summarize(this.now).forEach(::info)
+        logRateLimiter.summarize(this.now).forEach { info(it) }
     }
 
     fun finishStep(): List<Effect> = effects.also { effects = ArrayList() }
@@ -109,12 +109,28 @@
         }
     }
 
-    fun error(text: String) {
-        effects += Effect.Log(LogLevel.ERROR, text)
+    /** Logs [event], a fixed phrase, with its [details] as `key=value`. */
+    fun error(
+        event: String,
+        vararg details: Pair<String, Any?>,
+    ) {
+        effects += Effect.Log(LogLevel.ERROR, logLine(event, details))
+    }
+
+    /** Logs [event], a fixed phrase, with its [details] as `key=value`. */
+    fun info(
+        event: String,
+        vararg details: Pair<String, Any?>,
+    ) {
+        effects += Effect.Log(LogLevel.INFO, logLine(event, details))
     }
 
-    fun info(text: String) {
-        effects += Effect.Log(LogLevel.INFO, text)
+    /** An [info] line of which hundreds may come at once: of each [event] the first of a second are logged, the others counted. */
+    fun infoLimited(
+        event: String,
+        vararg details: Pair<String, Any?>,
+    ) {
+        if (logRateLimiter.admits(event, now)) info(event, *details)
     }
 
     /** A line of which hundreds may come at once: of each [kind] the first of a second are logged, and the others summed up. */
@@ -125,8 +141,12 @@
         if (logRateLimiter.admits(kind, now)) info(text)
     }
 
-    fun debug(text: String) {
-        effects += Effect.Log(LogLevel.DEBUG, text)
+    /** Logs [event], a fixed phrase, with its [details] as `key=value`. */
+    fun debug(
+        event: String,
+        vararg details: Pair<String, Any?>,
+    ) {
+        effects += Effect.Log(LogLevel.DEBUG, logLine(event, details))
     }
 }
 
--- a/src/test/kotlin/burlridge/allocation/LimitsTest.kt
+++ b/src/test/kotlin/burlridge/allocation/LimitsTest.kt
@@ -11,8 +11,8 @@
 import burlridge.leadership.Leadership
 import burlridge.leadership.LeadershipListener
 import burlridge.settings.Settings
-import burlridge.sim.Clock
-import burlridge.sim.StateService
+import burlridge.simulation.Clock
+import burlridge.simulation.StateService
 import burlridge.store.Row
 import burlridge.store.StoreClient
 import org.junit.jupiter.api.Assertions.assertEquals
--- a/src/test/kotlin/burlridge/balance/BalanceInputTest.kt
+++ b/src/test/kotlin/burlridge/balance/BalanceInputTest.kt
@@ -10,7 +10,7 @@
 import burlridge.settings.InvalidSettingsException
 import burlridge.settings.MovePermission
 import burlridge.settings.OperatorSettings
-import burlridge.sim.World
+import burlridge.simulation.SimulatedCluster
 import burlridge.store.Row
 import burlridge.worker.Machine
 import org.junit.jupiter.api.Assertions.assertEquals
@@ -59,7 +59,7 @@
 
     @Test
     fun `a class that the platform does not know is refused by name`() {
-        val platform = World(0).settings("drover-0")
+        val platform = SimulatedCluster(0).settings("drover-0")
         BalanceSettings(classMoves = mapOf("urgent" to MovePermission.NEVER)).check(platform)
         val wrong = BalanceSettings(classMoves = mapOf("urgnet" to MovePermission.NEVER))
         val message = assertThrows(InvalidSettingsException::class.java) { wrong.check(platform) }.message.orEmpty()
@@ -140,28 +140,28 @@
 
     @Test
     fun `requests that are wrong are answered with one line, and change nothing`() {
-        val world = balancedWorld(1)
-        world.run(25.0)
+        val cluster = balancedCluster(1)
+        cluster.run(25.0)
         val drain = MachineRequests.DRAIN
-        for (member in world.members) {
-            assertEquals(400, world.answerOf(member, "POST", drain, "{").first)
-            assertEquals(400, world.answerOf(member, "POST", drain, """{"network":"10.1.0.0/40"}""").first)
-            assertEquals(405, world.answerOf(member, "GET", drain).first)
-            assertEquals(405, world.answerOf(member, "POST", MachineRequests.STATUS).first)
-            val (status, answer) = world.answerOf(member, "POST", drain, """{"machine":"m-999999"}""")
+        for (member in cluster.members) {
+            assertEquals(400, cluster.answerOf(member, "POST", drain, "{").first)
+            assertEquals(400, cluster.answerOf(member, "POST", drain, """{"network":"10.1.0.0/40"}""").first)
+            assertEquals(405, cluster.answerOf(member, "GET", drain).first)
+            assertEquals(405, cluster.answerOf(member, "POST", MachineRequests.STATUS).first)
+            val (status, answer) = cluster.answerOf(member, "POST", drain, """{"machine":"m-999999"}""")
             assertEquals(409 to "unknown machine m-999999", status to answer.path("error").asText())
             assertEquals(
                 "unknown zone q",
-                world
+                cluster
                     .answerOf(member, "POST", drain, """{"zone":"q"}""")
                     .second
                     .path("error")
                     .asText(),
             )
-            assertEquals(409, world.answerOf(member, "POST", MachineRequests.UNDRAIN, """{"zone":"a"}""").first)
+            assertEquals(409, cluster.answerOf(member, "POST", MachineRequests.UNDRAIN, """{"zone":"a"}""").first)
         }
-        assertEquals(emptyList<String>(), world.state.keys(Drain.PREFIX))
-        val off = World(1)
+        assertEquals(emptyList<String>(), cluster.state.keys(Drain.PREFIX))
+        val off = SimulatedCluster(1)
         off.run(10.0)
         assertEquals(404, off.answerOf("drover-0", "POST", drain, """{"zone":"a"}""").first)
     }
@@ -184,20 +184,20 @@
                 listOf("drain", "--force"),
             )
         wrong.forEach { assertTrue(CommandLine.parse(it + args) is CommandLine.Mistaken, "$it") }
-        val world = balancedWorld(2)
-        val jobs = world.submitAll((0 until 6).map { world.savingJob(it, 4) }, 20.0)
-        world.clock.after(40.0) { world.drainZone("a") }
-        world.run(40.4)
-        val text = BalanceReportFormatter.describe(world.report())
+        val cluster = balancedCluster(2)
+        val jobs = cluster.submitAll((0 until 6).map { cluster.savingJob(it, 4) }, 20.0)
+        cluster.clock.after(40.0) { cluster.drainZone("a") }
+        cluster.run(40.4)
+        val text = BalanceReportFormatter.describe(cluster.report())
         assertTrue("drain of zone a (operator): draining" in text && "machines and" in text, text)
         assertTrue(Regex("move 1 of j-00000\\d/\\d run 1: m-0000\\d\\d to m-0000\\d\\d").containsMatchIn(text), text)
         val task = Regex("j-00000\\d/\\d").find(text)?.value.orEmpty()
         assertEquals(CommandLine.Explain(files, task), CommandLine.parse(listOf("explain", "--task", task) + args))
-        world.run(60.0)
-        val why = BalanceReportFormatter.explain(world.answerOf("drover-1", "GET", MachineRequests.EXPLAIN + task).second)
+        cluster.run(60.0)
+        val why = BalanceReportFormatter.explain(cluster.answerOf("drover-1", "GET", MachineRequests.EXPLAIN + task).second)
         assertTrue("$task run 1 is moved from m-" in why && "room was kept there for it" in why, why)
-        world.run(140.0)
-        world.verdict(jobs)
-        assertTrue("drained, 0 machines and 0 tasks left" in BalanceReportFormatter.describe(world.report()))
+        cluster.run(140.0)
+        cluster.verdict(jobs)
+        assertTrue("drained, 0 machines and 0 tasks left" in BalanceReportFormatter.describe(cluster.report()))
     }
 }
--- a/src/test/kotlin/burlridge/balance/BalanceMeasurement.kt
+++ b/src/test/kotlin/burlridge/balance/BalanceMeasurement.kt
@@ -4,11 +4,11 @@
 import burlridge.settings.BalanceSettings
 import burlridge.settings.MovePermission
 import burlridge.settings.OperatorSettings
-import burlridge.sim.Times
-import burlridge.sim.TypeSpec
-import burlridge.sim.World
-import burlridge.sim.job
-import burlridge.sim.submit
+import burlridge.simulation.MachineTypeSpec
+import burlridge.simulation.SimulatedCluster
+import burlridge.simulation.WorkerTimes
+import burlridge.simulation.job
+import burlridge.simulation.submit
 import java.io.File
 import kotlin.math.sqrt
 import kotlin.system.exitProcess
@@ -65,41 +65,41 @@
     private var fetchedSeconds = 0.0
     private val submittedAt = HashMap<String, Double>()
 
-    private fun world(
+    private fun cluster(
         seed: Int,
         settings: BalanceSettings?,
-    ): World {
-        val types = mapOf("small" to TypeSpec(CPUS, CPUS * 4, (machines + POOLS - 1) / POOLS))
-        val world =
-            World(
+    ): SimulatedCluster {
+        val types = mapOf("small" to MachineTypeSpec(CPUS, CPUS * 4, (machines + POOLS - 1) / POOLS))
+        val cluster =
+            SimulatedCluster(
                 seed,
                 types = types,
                 guaranteed = 0.0,
-                times = Times(),
+                times = WorkerTimes(),
                 writeRps = WRITE_RPS,
                 operator = OperatorSettings(balance = settings),
             )
         // A tenth joins cold, in the middle of the burst.
-        world.cloud.bootSeconds =
+        cluster.cloud.bootSeconds =
             {
-                if (world.random.nextInt(TENTH) ==
+                if (cluster.random.nextInt(TENTH) ==
                     0
                 ) {
-                    LATE_BOOT_SECONDS + world.random.nextDouble() * 3
+                    LATE_BOOT_SECONDS + cluster.random.nextDouble() * 3
                 } else {
-                    3 + world.random.nextDouble() * 4
+                    3 + cluster.random.nextDouble() * 4
                 }
             }
         fetchedSeconds = 0.0
-        world.fetchTime = { worker, spec ->
-            val takesSeconds = if (spec.image in worker.images) 0.0 else spec.imageGb * (0.7 + world.random.nextDouble() * 0.6)
+        cluster.fetchTime = { worker, spec ->
+            val takesSeconds = if (spec.image in worker.images) 0.0 else spec.imageGb * (0.7 + cluster.random.nextDouble() * 0.6)
             fetchedSeconds += takesSeconds
             takesSeconds
         }
-        return world
+        return cluster
     }
 
-    private fun World.sweepJob(
+    private fun SimulatedCluster.sweepJob(
         number: Int,
         tasks: Int,
         runSeconds: Double,
@@ -111,7 +111,7 @@
             jobClass = SWEEP,
         ).copy(image = "img-sweep", imageGb = 4.0, checkpointSeconds = 10.0, saveSeconds = 1.0)
 
-    private fun World.previews(
+    private fun SimulatedCluster.previews(
         from: Double,
         seconds: Int,
         perSecond: Int,
@@ -126,51 +126,51 @@
         seed: Int,
         variant: Variant,
     ): BurstOutcome {
-        val world = world(seed, variant.settings)
+        val cluster = cluster(seed, variant.settings)
         // Images on a tenth of the fleet, and a tenth of the machines slow.
-        val warmUp = world.sweepJob(1, machines / TENTH * CPUS.toInt(), runSeconds = 6.0)
-        world.clock.after(12.0) { world.submit(warmUp) }
-        world.run(14.0)
-        val names = world.cloud.names()
-        names.filterIndexed { i, _ -> i % TENTH == 3 }.forEach { world.cloud.worker(it)?.slowness = SLOWNESS }
+        val warmUp = cluster.sweepJob(1, machines / TENTH * CPUS.toInt(), runSeconds = 6.0)
+        cluster.clock.after(12.0) { cluster.submit(warmUp) }
+        cluster.run(14.0)
+        val names = cluster.cloud.names()
+        names.filterIndexed { i, _ -> i % TENTH == 3 }.forEach { cluster.cloud.worker(it)?.slowness = SLOWNESS }
         // Ten jobs of one team, half of what the fleet holds, then previews for a minute and a half.
         val share = (machines * CPUS * SWEEP_PART / SWEEP_JOBS).toInt()
-        val sweep = (0 until SWEEP_JOBS).map { world.sweepJob(2 + it, share, runSeconds = 20.0 + 5 * it) }
-        sweep.forEachIndexed { i, job -> world.submitAt(BURST_AT + i, job) }
-        val previews = world.previews(BURST_AT + 5, 90, maxOf(1, machines / 50))
-        world.run(BURST_AT + 12.0)
-        val load = loads(world)
-        world.run(BURST_AT + 400.0)
+        val sweep = (0 until SWEEP_JOBS).map { cluster.sweepJob(2 + it, share, runSeconds = 20.0 + 5 * it) }
+        sweep.forEachIndexed { i, job -> cluster.submitAt(BURST_AT + i, job) }
+        val previews = cluster.previews(BURST_AT + 5, 90, maxOf(1, machines / 50))
+        cluster.run(BURST_AT + 12.0)
+        val load = loads(cluster)
+        cluster.run(BURST_AT + 400.0)
         val all = sweep + previews
         return BurstOutcome(
             variant,
             machines,
             load.max() / load.quantile(0.5).coerceAtLeast(1.0),
             variation(load),
-            mapOf(SWEEP to waits(world, sweep), PREVIEW to waits(world, previews)),
+            mapOf(SWEEP to waits(cluster, sweep), PREVIEW to waits(cluster, previews)),
             fetchedSeconds,
-            world.history.stops.size,
-            world.rules.lostSeconds,
-            world.history.ran
+            cluster.history.stops.size,
+            cluster.invariants.lostSeconds,
+            cluster.history.ran
                 .filter { run -> sweep.any { run.task.startsWith(it.id) } }
                 .maxOf { it.until } - BURST_AT,
-            breaches(world, all),
+            breaches(cluster, all),
         )
     }
 
     /** Tasks on each machine that is up now. */
-    private fun loads(world: World): List<Double> {
+    private fun loads(cluster: SimulatedCluster): List<Double> {
         val on =
-            world.history.starts
+            cluster.history.starts
                 .groupingBy { it.machine }
                 .eachCount()
         val over =
-            world.history.ran
+            cluster.history.ran
                 .groupingBy { it.machine }
                 .eachCount()
-        return world.cloud
+        return cluster.cloud
             .names()
-            .filter { (world.cloud.worker(it)?.term ?: 0) > 0 }
+            .filter { (cluster.cloud.worker(it)?.term ?: 0) > 0 }
             .map { ((on[it] ?: 0) - (over[it] ?: 0)).toDouble() }
     }
 
@@ -179,7 +179,7 @@
         return sqrt(values.sumOf { (it - mean) * (it - mean) } / values.size) / mean
     }
 
-    private fun World.submitAt(
+    private fun SimulatedCluster.submitAt(
         at: Double,
         job: JobSpec,
     ) {
@@ -189,12 +189,12 @@
 
     /** From a job's submission to each of its tasks' first start. */
     private fun waits(
-        world: World,
+        cluster: SimulatedCluster,
         jobs: List<JobSpec>,
     ): List<Double> {
         val wanted = jobs.mapTo(HashSet()) { it.id }
         val first = HashMap<String, Double>()
-        world.history.starts.forEach { first.putIfAbsent(it.task, it.at) }
+        cluster.history.starts.forEach { first.putIfAbsent(it.task, it.at) }
         return first.filterKeys { it.substringBefore('/') in wanted }.map { (task, at) ->
             at -
                 submittedAt.getValue(task.substringBefore('/'))
@@ -202,53 +202,54 @@
     }
 
     private fun breaches(
-        world: World,
+        cluster: SimulatedCluster,
         jobs: List<JobSpec>,
-    ): List<String> = world.rules.broken + world.history.breaches(jobs.map { it.id }) + world.history.drainBreaches(SLACK_SECONDS)
+    ): List<String> =
+        cluster.invariants.broken + cluster.history.breaches(jobs.map { it.id }) + cluster.history.drainBreaches(SLACK_SECONDS)
 
     /** Every third machine is drained by name, under load; the leader is killed two seconds after. */
     fun drain(
         seed: Int,
         killLeader: Boolean,
     ): DrainOutcome {
-        val world = world(seed, BalanceSettings(finishReports = 2.0))
-        world.cloud.bootSeconds = { 3 + world.random.nextDouble() * 4 }
+        val cluster = cluster(seed, BalanceSettings(finishReports = 2.0))
+        cluster.cloud.bootSeconds = { 3 + cluster.random.nextDouble() * 4 }
         val sweep =
             (0 until SWEEP_JOBS).map {
-                world.sweepJob(
+                cluster.sweepJob(
                     2 + it,
                     (machines * CPUS * DRAIN_LOAD / SWEEP_JOBS).toInt(),
                     runSeconds = 60.0,
                 )
             }
-        sweep.forEach { job -> world.clock.after(15.0) { world.submit(job) } }
-        val previews = world.previews(30.0, 60, maxOf(1, machines / 100))
-        world.run(30.0)
-        val leaving = world.cloud.names().filterIndexed { i, _ -> i % 3 == 0 }
-        leaving.forEach { drainMachine(world, it) }
-        if (killLeader) world.clock.after(2.0) { world.leader()?.let { world.crash(it, 5.0) } }
-        while (world.clock.now < 400.0 && world.cloud.names().any { it in leaving }) world.run(world.clock.now + 0.5)
-        val drainedSeconds = world.clock.now - 30.0
-        world.run(400.0)
+        sweep.forEach { job -> cluster.clock.after(15.0) { cluster.submit(job) } }
+        val previews = cluster.previews(30.0, 60, maxOf(1, machines / 100))
+        cluster.run(30.0)
+        val leaving = cluster.cloud.names().filterIndexed { i, _ -> i % 3 == 0 }
+        leaving.forEach { drainMachine(cluster, it) }
+        if (killLeader) cluster.clock.after(2.0) { cluster.leader()?.let { cluster.crash(it, 5.0) } }
+        while (cluster.clock.now < 400.0 && cluster.cloud.names().any { it in leaving }) cluster.run(cluster.clock.now + 0.5)
+        val drainedSeconds = cluster.clock.now - 30.0
+        cluster.run(400.0)
         return DrainOutcome(
             machines,
             killLeader,
             drainedSeconds,
-            waits(world, previews),
-            world.history.stops.size,
+            waits(cluster, previews),
+            cluster.history.stops.size,
             breaches(
-                world,
+                cluster,
                 sweep + previews,
             ),
         )
     }
 
     private fun drainMachine(
-        world: World,
+        cluster: SimulatedCluster,
         machine: String,
     ) {
-        world.ask(world.anyMember(), "POST", MachineRequests.DRAIN, """{"machine":"$machine","force":true}""") { status, _ ->
-            if (status == OK) world.drained(machine) else world.clock.after(1.0) { drainMachine(world, machine) }
+        cluster.ask(cluster.anyMember(), "POST", MachineRequests.DRAIN, """{"machine":"$machine","force":true}""") { status, _ ->
+            if (status == OK) cluster.drained(machine) else cluster.clock.after(1.0) { drainMachine(cluster, machine) }
         }
     }
 
--- a/src/test/kotlin/burlridge/balance/BalanceScheduleTest.kt
+++ b/src/test/kotlin/burlridge/balance/BalanceScheduleTest.kt
@@ -3,10 +3,10 @@
 import burlridge.job.JobSpec
 import burlridge.settings.BalanceSettings
 import burlridge.settings.MovePermission
-import burlridge.sim.World
-import burlridge.sim.gang
-import burlridge.sim.job
-import burlridge.sim.submit
+import burlridge.simulation.SimulatedCluster
+import burlridge.simulation.gang
+import burlridge.simulation.job
+import burlridge.simulation.submit
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Assertions.assertTrue
 import org.junit.jupiter.api.Test
@@ -15,7 +15,7 @@
 /**
  * Drawn schedules of drains, cancellations of drains and moves, with members killed, frozen, paused in the middle of a step, cut off or
  * refused, answers lost, machines lost and reports late, alone and together. More of them:
- * `mvn test -Dtest=BalanceScheduleTest -Dschedules=2000`, from seed N on with `-Dfrom=N`.
+ * `mvn test -Dtest=BalanceScheduleTest -Dsimulation.schedules=2000`, from seed N on with `-Dfrom=N`.
  */
 internal class BalanceScheduleTest {
     private class Outcome(
@@ -24,118 +24,126 @@
         val leaders: Int,
     )
 
-    private fun draw(luck: Random): BalanceSettings =
+    private fun draw(seededRandom: Random): BalanceSettings =
         BalanceSettings(
-            finishReports = if (luck.nextBoolean()) 0.5 else 5.0,
-            roomLeases = luck.nextDouble(),
-            moves = if (luck.nextInt(3) == 0) MovePermission.REPEAT else MovePermission.SAVED,
-            movesPerMinute = listOf(5, 20, 600).random(luck),
-            movesPerTask = 1 + luck.nextInt(3),
+            finishReports = if (seededRandom.nextBoolean()) 0.5 else 5.0,
+            roomLeases = seededRandom.nextDouble(),
+            moves = if (seededRandom.nextInt(3) == 0) MovePermission.REPEAT else MovePermission.SAVED,
+            movesPerMinute = listOf(5, 20, 600).random(seededRandom),
+            movesPerTask = 1 + seededRandom.nextInt(3),
         )
 
     private fun jobs(
-        world: World,
-        luck: Random,
+        cluster: SimulatedCluster,
+        seededRandom: Random,
     ): List<JobSpec> =
         (0 until 16).map { i ->
-            val runSeconds = 10.0 + luck.nextDouble() * 40
-            when (luck.nextInt(6)) {
-                0 -> world.job(i, 1 + luck.nextInt(4), runSeconds = runSeconds)
-                1 -> world.gang(i, 2 + luck.nextInt(3), runSeconds = runSeconds)
-                2 -> world.savingJob(i, 4, runSeconds).copy(spread = true)
-                3 -> world.savingJob(i, 3, runSeconds).copy(oneZone = true)
-                4 -> world.savingJob(i, 4, runSeconds, cpus = 3.0).copy(team = "crew-x")
-                else -> world.savingJob(i, 1 + luck.nextInt(8), runSeconds, cpus = 2.0)
+            val runSeconds = 10.0 + seededRandom.nextDouble() * 40
+            when (seededRandom.nextInt(6)) {
+                0 -> cluster.job(i, 1 + seededRandom.nextInt(4), runSeconds = runSeconds)
+                1 -> cluster.gang(i, 2 + seededRandom.nextInt(3), runSeconds = runSeconds)
+                2 -> cluster.savingJob(i, 4, runSeconds).copy(spread = true)
+                3 -> cluster.savingJob(i, 3, runSeconds).copy(oneZone = true)
+                4 -> cluster.savingJob(i, 4, runSeconds, cpus = 3.0).copy(team = "crew-x")
+                else -> cluster.savingJob(i, 1 + seededRandom.nextInt(8), runSeconds, cpus = 2.0)
             }
         }
 
     private fun play(seed: Int): Outcome {
-        val luck = Random(seed)
-        val settings = draw(luck)
-        val world = balancedWorld(seed, settings, if (luck.nextInt(3) == 0) 5 else 3, luck.nextBoolean())
-        val jobs = jobs(world, luck)
+        val seededRandom = Random(seed)
+        val settings = draw(seededRandom)
+        val cluster = balancedCluster(seed, settings, if (seededRandom.nextInt(3) == 0) 5 else 3, seededRandom.nextBoolean())
+        val jobs = jobs(cluster, seededRandom)
         jobs.forEachIndexed { i, job ->
-            val abort = if (luck.nextInt(5) == 0) 4.0 + luck.nextDouble() * 40 else null
-            world.clock.after(15.0 + i * 2.0) { world.submit(job, abort) }
+            val abort = if (seededRandom.nextInt(5) == 0) 4.0 + seededRandom.nextDouble() * 40 else null
+            cluster.clock.after(15.0 + i * 2.0) { cluster.submit(job, abort) }
         }
-        world.holds = luck.nextBoolean()
-        world.savesFail = luck.nextInt(4) == 0
+        cluster.cutsHoldPackets = seededRandom.nextBoolean()
+        cluster.savesFail = seededRandom.nextInt(4) == 0
         val leaders = HashSet<String>()
-        world.onLeader = { leaders += it }
-        val calledOff = luck.nextInt(3) == 0
-        world.clock.after(30.0 + luck.nextDouble() * 10) {
-            world.drainZone("a") { if (calledOff) world.clock.after(luck.nextDouble() * 20) { world.undrainZone("a") } }
+        cluster.onLeader = { leaders += it }
+        val calledOff = seededRandom.nextInt(3) == 0
+        cluster.clock.after(30.0 + seededRandom.nextDouble() * 10) {
+            cluster.drainZone("a") { if (calledOff) cluster.clock.after(seededRandom.nextDouble() * 20) { cluster.undrainZone("a") } }
         }
-        repeat(luck.nextInt(3)) {
-            world.clock.after(35.0 + luck.nextDouble() * 30) { drainSomeMachine(world, luck) }
+        repeat(seededRandom.nextInt(3)) {
+            cluster.clock.after(35.0 + seededRandom.nextDouble() * 30) { drainSomeMachine(cluster, seededRandom) }
         }
-        repeat(4 + luck.nextInt(8)) {
-            world.clock.after(30.0 + luck.nextDouble() * 45) { trouble(world, luck) }
+        repeat(4 + seededRandom.nextInt(8)) {
+            cluster.clock.after(30.0 + seededRandom.nextDouble() * 45) { trouble(cluster, seededRandom) }
         }
-        world.run(300.0)
-        val tail = "seed $seed $settings\n${world.tail()}"
-        assertEquals(emptyList<String>(), world.rules.broken, tail)
-        assertEquals(emptyList<String>(), world.rivals, tail)
-        assertEquals(emptyList<String>(), world.history.breaches(jobs.map { it.id }), tail)
-        assertEquals(emptyList<String>(), world.history.drainBreaches(DRAIN_SLACK_SECONDS), tail)
-        assertEquals(emptyList<String>(), world.history.moveBreaches(settings.movesPerMinute, settings.movesPerTask), tail)
-        assertEquals(if (calledOff) "cancelled" else "drained", world.stateOf("zone/a") ?: "cancelled", tail)
-        return Outcome(world.history.stops.size, if (calledOff) 0 else 1, leaders.size)
+        cluster.run(300.0)
+        val tail = "seed $seed $settings\n${cluster.tail()}"
+        assertEquals(emptyList<String>(), cluster.invariants.broken, tail)
+        assertEquals(emptyList<String>(), cluster.simultaneousLeaders, tail)
+        assertEquals(emptyList<String>(), cluster.history.breaches(jobs.map { it.id }), tail)
+        assertEquals(emptyList<String>(), cluster.history.drainBreaches(DRAIN_SLACK_SECONDS), tail)
+        assertEquals(emptyList<String>(), cluster.history.moveBreaches(settings.movesPerMinute, settings.movesPerTask), tail)
+        assertEquals(if (calledOff) "cancelled" else "drained", cluster.stateOf("zone/a") ?: "cancelled", tail)
+        return Outcome(cluster.history.stops.size, if (calledOff) 0 else 1, leaders.size)
     }
 
     private fun drainSomeMachine(
-        world: World,
-        luck: Random,
+        cluster: SimulatedCluster,
+        seededRandom: Random,
     ) {
-        val machine = world.cloud.names().random(luck)
-        world.ask(world.anyMember(), "POST", MachineRequests.DRAIN, """{"machine":"$machine","force":true}""") { status, _ ->
-            if (status == 200) world.drained(machine)
+        val machine = cluster.cloud.names().random(seededRandom)
+        cluster.ask(cluster.anyMember(), "POST", MachineRequests.DRAIN, """{"machine":"$machine","force":true}""") { status, _ ->
+            if (status == 200) cluster.drained(machine)
         }
     }
 
     private fun trouble(
-        world: World,
-        luck: Random,
+        cluster: SimulatedCluster,
+        seededRandom: Random,
     ) {
-        val leader = world.leader() ?: world.anyMember()
-        val whom = if (luck.nextInt(3) > 0) leader else world.members.random(luck)
-        when (luck.nextInt(11)) {
-            0 -> world.crash(whom, luck.nextDouble() * 4)
-            1 -> world.freeze(whom, 0.2 + luck.nextDouble() * 10)
-            2 -> world.pauseMidStep(whom, 1.0 + luck.nextDouble() * 30)
-            3 -> world.cut(whom, "state", 1.0 + luck.nextDouble() * 15)
-            4 -> world.peersCut(whom, 1.0 + luck.nextDouble() * 15)
-            5 -> world.refuse(whom, 1.0 + luck.nextDouble() * 10)
-            6 -> world.state.outage(0.5 + luck.nextDouble() * 10)
-            7 -> loseAnswers(world, luck)
-            8 -> world.members.forEach { world.crash(it, luck.nextDouble() * 3) }
-            9 -> world.cloud.take(world.cloud.names().random(luck))
-            else -> lateReports(world, luck)
+        val leader = cluster.leader() ?: cluster.anyMember()
+        val whom = if (seededRandom.nextInt(3) > 0) leader else cluster.members.random(seededRandom)
+        when (seededRandom.nextInt(11)) {
+            0 -> cluster.crash(whom, seededRandom.nextDouble() * 4)
+            1 -> cluster.freeze(whom, 0.2 + seededRandom.nextDouble() * 10)
+            2 -> cluster.pauseMidStep(whom, 1.0 + seededRandom.nextDouble() * 30)
+            3 -> cluster.cut(whom, "state", 1.0 + seededRandom.nextDouble() * 15)
+            4 -> cluster.peersCut(whom, 1.0 + seededRandom.nextDouble() * 15)
+            5 -> cluster.refuse(whom, 1.0 + seededRandom.nextDouble() * 10)
+            6 -> cluster.state.outage(0.5 + seededRandom.nextDouble() * 10)
+            7 -> loseAnswers(cluster, seededRandom)
+            8 -> cluster.members.forEach { cluster.crash(it, seededRandom.nextDouble() * 3) }
+            9 -> cluster.cloud.take(cluster.cloud.names().random(seededRandom))
+            else -> lateReports(cluster, seededRandom)
         }
     }
 
     private fun lateReports(
-        world: World,
-        luck: Random,
+        cluster: SimulatedCluster,
+        seededRandom: Random,
     ) {
-        val until = world.clock.now + 10.0
-        world.copyAfter = { if (world.clock.now < until) 2.0 + luck.nextDouble() * 30 else null }
+        val until = cluster.clock.now + 10.0
+        cluster.copyAfter = { if (cluster.clock.now < until) 2.0 + seededRandom.nextDouble() * 30 else null }
     }
 
     private fun loseAnswers(
-        world: World,
-        luck: Random,
+        cluster: SimulatedCluster,
+        seededRandom: Random,
     ) {
-        val until = world.clock.now + 0.5 + luck.nextDouble() * 4
-        world.meddle = { _, call ->
-            val unlucky = world.clock.now < until && !call.path.startsWith("/follow") && luck.nextBoolean()
-            if (unlucky) listOf(World.Fate.ANSWER_LOST, World.Fate.LATE, World.Fate.REFUSED).random(luck) else World.Fate.FINE
+        val until = cluster.clock.now + 0.5 + seededRandom.nextDouble() * 4
+        cluster.onCall = { _, call ->
+            val unlucky = cluster.clock.now < until && !call.path.startsWith("/follow") && seededRandom.nextBoolean()
+            if (unlucky) {
+                listOf(
+                    SimulatedCluster.CallFate.ANSWER_LOST,
+                    SimulatedCluster.CallFate.LATE,
+                    SimulatedCluster.CallFate.REFUSED,
+                ).random(seededRandom)
+            } else {
+                SimulatedCluster.CallFate.FINE
+            }
         }
     }
 
     @Test
     fun `whatever fails around drains and moves, no task runs twice or is lost, and no drain is forgotten`() {
-        val count = System.getProperty("schedules")?.toInt() ?: USUAL_SCHEDULES
+        val count = System.getProperty("simulation.schedules")?.toInt() ?: USUAL_SCHEDULES
         val first = System.getProperty("from")?.toInt() ?: 1
         val outcomes = (first until first + count).map { play(it) }
         assertTrue(outcomes.sumOf { it.stops } >= count * 5, "stops: ${outcomes.sumOf { it.stops }}")
--- a/src/test/kotlin/burlridge/balance/HotspotMitigationTest.kt
+++ b/src/test/kotlin/burlridge/balance/HotspotMitigationTest.kt
@@ -3,9 +3,9 @@
 import burlridge.allocation.Job
 import burlridge.job.JobSpec
 import burlridge.settings.BalanceSettings
-import burlridge.sim.TypeSpec
-import burlridge.sim.World
-import burlridge.sim.job
+import burlridge.simulation.MachineTypeSpec
+import burlridge.simulation.SimulatedCluster
+import burlridge.simulation.job
 import burlridge.worker.Machine
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Assertions.assertTrue
@@ -16,7 +16,7 @@
     private val settings = BalanceSettings()
     private val machine = Machine("m-1", 0.0)
 
-    private fun job(): Job = Job(World(0).job(1, 10, runSeconds = 10.0), 1, 0).also { it.ranSeconds = 40.0 }.also { it.ran = 4 }
+    private fun job(): Job = Job(SimulatedCluster(0).job(1, 10, runSeconds = 10.0), 1, 0).also { it.ranSeconds = 40.0 }.also { it.ran = 4 }
 
     private fun LoadTracker.at(
         now: Double,
@@ -77,7 +77,7 @@
     }
 
     /** Short tasks by which the pace is learned beside long ones; [hot] of the machines that run both are slow from then on. */
-    private fun World.warm(
+    private fun SimulatedCluster.warm(
         slowness: Double,
         hot: Int,
     ): Pair<Set<String>, List<JobSpec>> {
@@ -93,7 +93,7 @@
         return slow.toSet() to short + long
     }
 
-    private fun World.movedFor(reason: MoveReason): List<Pair<String, String>> =
+    private fun SimulatedCluster.movedFor(reason: MoveReason): List<Pair<String, String>> =
         state.keys(MoveBatch.PREFIX).flatMap { key ->
             state.value(key)?.path("jobs")?.flatMap { it.path(2).toList() }.orEmpty().filter { it.path(6).asText() == reason.wire }.map {
                 it.path(2).asText() to it.path(3).asText()
@@ -103,25 +103,25 @@
     @Test
     fun `a hot machine gets nothing new and is relieved, whoever leads`() {
         for (seed in 1..4) {
-            val small = mapOf("small" to TypeSpec(4.0, 16.0, 6))
-            val world = balancedWorld(seed, BalanceSettings(), if (seed % 2 == 0) 5 else 3, failover = seed % 2 == 0, types = small)
-            val (slow, jobs) = world.warm(slowness = 1.55, hot = 2)
-            while (world.clock.now < 60.0 && world.movedFor(MoveReason.HOT).isEmpty()) world.run(world.clock.now + 0.5)
-            val report = world.report()
+            val small = mapOf("small" to MachineTypeSpec(4.0, 16.0, 6))
+            val cluster = balancedCluster(seed, BalanceSettings(), if (seed % 2 == 0) 5 else 3, failover = seed % 2 == 0, types = small)
+            val (slow, jobs) = cluster.warm(slowness = 1.55, hot = 2)
+            while (cluster.clock.now < 60.0 && cluster.movedFor(MoveReason.HOT).isEmpty()) cluster.run(cluster.clock.now + 0.5)
+            val report = cluster.report()
             val hot =
                 report
                     .path("hot_machines")
                     .fieldNames()
                     .asSequence()
                     .toSet()
-            assertTrue(hot.isNotEmpty() && slow.containsAll(hot), "$hot of $slow\n${world.tail()}")
-            val moves = world.movedFor(MoveReason.HOT)
-            assertTrue(moves.isNotEmpty(), "nothing was moved: $report\n${world.tail()}")
+            assertTrue(hot.isNotEmpty() && slow.containsAll(hot), "$hot of $slow\n${cluster.tail()}")
+            val moves = cluster.movedFor(MoveReason.HOT)
+            assertTrue(moves.isNotEmpty(), "nothing was moved: $report\n${cluster.tail()}")
             assertTrue(moves.all { (from, to) -> from in slow && to !in slow }, moves.toString())
-            world.crash(world.leader() ?: "drover-0", 4.0)
-            world.run(240.0)
-            world.verdict(jobs, BalanceSettings())
-            val places = world.history.starts.groupBy({ it.task }, { it.machine })
+            cluster.crash(cluster.leader() ?: "drover-0", 4.0)
+            cluster.run(240.0)
+            cluster.verdict(jobs, BalanceSettings())
+            val places = cluster.history.starts.groupBy({ it.task }, { it.machine })
             assertTrue(
                 places.values.all {
                     it.distinct().size == it.size
@@ -134,16 +134,16 @@
     /** Guards the two bounds of the picture: a fleet that is slow throughout, and half of it unheard, tells nothing of any machine. */
     @Test
     fun `where much of the fleet looks hot, or a zone is cut off, nothing is moved for it`() {
-        val world = balancedWorld(5, BalanceSettings())
-        val (_, jobs) = world.warm(slowness = 1.5, hot = 1)
-        world.cloud.names().forEach { world.cloud.worker(it)?.slowness = 1.5 }
-        world.run(60.0)
-        assertEquals(emptyList<Any>(), world.movedFor(MoveReason.HOT))
-        assertEquals(0, world.report().path("hot_machines").size())
-        world.run(240.0)
-        world.verdict(jobs, BalanceSettings())
+        val cluster = balancedCluster(5, BalanceSettings())
+        val (_, jobs) = cluster.warm(slowness = 1.5, hot = 1)
+        cluster.cloud.names().forEach { cluster.cloud.worker(it)?.slowness = 1.5 }
+        cluster.run(60.0)
+        assertEquals(emptyList<Any>(), cluster.movedFor(MoveReason.HOT))
+        assertEquals(0, cluster.report().path("hot_machines").size())
+        cluster.run(240.0)
+        cluster.verdict(jobs, BalanceSettings())
 
-        val cut = balancedWorld(6, BalanceSettings())
+        val cut = balancedCluster(6, BalanceSettings())
         val (_, others) = cut.warm(slowness = 1.55, hot = 2)
         cut.run(36.0)
         val zone = cut.cloud.names().filter { cut.cloud.worker(it)?.zone == "b" }
@@ -157,16 +157,16 @@
     /** Guards the room that is left for those who have nothing else: a mark must never keep a job waiting. */
     @Test
     fun `a job that fits nowhere else gets the hot machine in time`() {
-        val world = balancedWorld(7, BalanceSettings(relieveHot = false))
-        val (slow, jobs) = world.warm(slowness = 1.5, hot = 1)
-        val other = world.cloud.names().filter { it !in slow }
+        val cluster = balancedCluster(7, BalanceSettings(relieveHot = false))
+        val (slow, jobs) = cluster.warm(slowness = 1.5, hot = 1)
+        val other = cluster.cloud.names().filter { it !in slow }
         // All others are full for long.
-        val full = world.submitAll((200 until 230).map { world.savingJob(it, 12, runSeconds = 200.0) }, 37.0, everySeconds = 0.1)
-        world.run(320.0)
+        val full = cluster.submitAll((200 until 230).map { cluster.savingJob(it, 12, runSeconds = 200.0) }, 37.0, everySeconds = 0.1)
+        cluster.run(320.0)
         assertTrue(other.isNotEmpty())
-        assertEquals(emptyList<String>(), world.rules.broken, world.tail())
-        assertTrue(world.history.starts.any { it.machine in slow && it.at > 60.0 }, "it was never used again")
-        world.run(700.0)
-        world.verdict(jobs + full, BalanceSettings())
+        assertEquals(emptyList<String>(), cluster.invariants.broken, cluster.tail())
+        assertTrue(cluster.history.starts.any { it.machine in slow && it.at > 60.0 }, "it was never used again")
+        cluster.run(700.0)
+        cluster.verdict(jobs + full, BalanceSettings())
     }
 }
--- a/src/test/kotlin/burlridge/balance/MoveTest.kt
+++ b/src/test/kotlin/burlridge/balance/MoveTest.kt
@@ -4,9 +4,9 @@
 import burlridge.job.JobSpec
 import burlridge.json.Json
 import burlridge.settings.MovePermission
-import burlridge.sim.World
-import burlridge.sim.abort
-import burlridge.sim.gang
+import burlridge.simulation.SimulatedCluster
+import burlridge.simulation.abort
+import burlridge.simulation.gang
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Assertions.assertTrue
 import org.junit.jupiter.api.Test
@@ -26,7 +26,7 @@
 
     private enum class Trouble { KILLED, FROZEN, CUT_OFF, REFUSED, ANSWER_LOST, LATE }
 
-    private fun World.strike(
+    private fun SimulatedCluster.strike(
         name: String,
         trouble: Trouble,
     ) {
@@ -41,25 +41,25 @@
 
     /** Strikes the leader at the first [step] after the drain, and its successor at the same step. */
     private fun strikeAt(
-        world: World,
+        cluster: SimulatedCluster,
         step: Step,
         trouble: Trouble,
         before: Boolean,
     ): () -> Int {
         val struck = HashSet<String>()
-        world.meddle = { name, call ->
-            val hit = world.clock.now > 40.0 && step.isIt(call) && struck.size < 2 && struck.add(name)
-            if (hit) world.clock.after(if (before) 0.0 else 0.004) { world.strike(name, trouble) }
+        cluster.onCall = { name, call ->
+            val hit = cluster.clock.now > 40.0 && step.isIt(call) && struck.size < 2 && struck.add(name)
+            if (hit) cluster.clock.after(if (before) 0.0 else 0.004) { cluster.strike(name, trouble) }
             when {
-                hit && trouble == Trouble.ANSWER_LOST -> World.Fate.ANSWER_LOST
-                hit && trouble == Trouble.LATE -> World.Fate.LATE
-                else -> World.Fate.FINE
+                hit && trouble == Trouble.ANSWER_LOST -> SimulatedCluster.CallFate.ANSWER_LOST
+                hit && trouble == Trouble.LATE -> SimulatedCluster.CallFate.LATE
+                else -> SimulatedCluster.CallFate.FINE
             }
         }
         return { struck.size }
     }
 
-    private fun World.movedTo(job: JobSpec): List<Pair<String, Int>> =
+    private fun SimulatedCluster.movedTo(job: JobSpec): List<Pair<String, Int>> =
         state
             .keys(MoveBatch.PREFIX)
             .flatMap {
@@ -77,21 +77,21 @@
         for (step in Step.entries) {
             for (trouble in Trouble.entries) {
                 val seed = step.ordinal * 10 + trouble.ordinal
-                val world = balancedWorld(seed + 1, members = if (seed % 2 == 0) 3 else 5, failover = seed % 3 == 0)
-                val jobs = world.submitAll((0 until 6).map { world.savingJob(it, 4) }, 20.0)
-                world.clock.after(40.0) { world.drainZone("a") }
-                val struck = strikeAt(world, step, trouble, before = seed % 4 < 2)
-                world.run(200.0)
-                world.verdict(jobs)
+                val cluster = balancedCluster(seed + 1, members = if (seed % 2 == 0) 3 else 5, failover = seed % 3 == 0)
+                val jobs = cluster.submitAll((0 until 6).map { cluster.savingJob(it, 4) }, 20.0)
+                cluster.clock.after(40.0) { cluster.drainZone("a") }
+                val struck = strikeAt(cluster, step, trouble, before = seed % 4 < 2)
+                cluster.run(200.0)
+                cluster.verdict(jobs)
                 assertTrue(struck() > 0, "$step was not reached with $trouble")
-                assertTrue(world.history.stops.isNotEmpty(), "$step $trouble: nothing was moved\n${world.tail()}")
+                assertTrue(cluster.history.stops.isNotEmpty(), "$step $trouble: nothing was moved\n${cluster.tail()}")
                 val often =
-                    world.history.stops
+                    cluster.history.stops
                         .groupBy { it.task }
                         .filterValues { it.size > 1 }
-                assertEquals(emptySet<String>(), often.keys, "$step $trouble: moved twice out of one zone\n${world.tail()}")
-                assertEquals("drained", world.stateOf("zone/a"), "$step $trouble\n${world.tail()}")
-                assertEquals(emptyList<String>(), world.state.keys(MoveBatch.PREFIX), "$step $trouble: rows are left")
+                assertEquals(emptySet<String>(), often.keys, "$step $trouble: moved twice out of one zone\n${cluster.tail()}")
+                assertEquals("drained", cluster.stateOf("zone/a"), "$step $trouble\n${cluster.tail()}")
+                assertEquals(emptyList<String>(), cluster.state.keys(MoveBatch.PREFIX), "$step $trouble: rows are left")
             }
         }
     }
@@ -99,30 +99,30 @@
     /** Guards the room that is kept: the tasks of a crowd that waits would take it. */
     @Test
     fun `a moved task starts where room was kept for it, and nothing of its run is lost`() {
-        val world = balancedWorld(1)
-        val moved = world.savingJob(1, 12, runSeconds = 60.0, cpus = 2.0)
+        val cluster = balancedCluster(1)
+        val moved = cluster.savingJob(1, 12, runSeconds = 60.0, cpus = 2.0)
         val crowd =
-            world.submitAll(
-                (2 until 30).map { world.savingJob(it, 8, runSeconds = 20.0, cpus = 2.0).copy(zone = "b") },
+            cluster.submitAll(
+                (2 until 30).map { cluster.savingJob(it, 8, runSeconds = 20.0, cpus = 2.0).copy(zone = "b") },
                 41.0,
                 everySeconds = 0.2,
             )
-        world.submitAll(listOf(moved), 20.0)
-        world.clock.after(41.0) { world.drainZone("a") }
-        world.run(46.0)
-        val targets = world.movedTo(moved).filter { it.first != "null" }
-        assertTrue(targets.isNotEmpty(), world.tail())
-        world.run(70.0)
+        cluster.submitAll(listOf(moved), 20.0)
+        cluster.clock.after(41.0) { cluster.drainZone("a") }
+        cluster.run(46.0)
+        val targets = cluster.movedTo(moved).filter { it.first != "null" }
+        assertTrue(targets.isNotEmpty(), cluster.tail())
+        cluster.run(70.0)
         for ((machine, task) in targets) {
-            val starts = world.history.starts.filter { it.task == "${moved.id}/$task" }
+            val starts = cluster.history.starts.filter { it.task == "${moved.id}/$task" }
             assertEquals(2, starts.size, starts.toString())
-            assertEquals(machine, starts.last().machine, world.tail())
+            assertEquals(machine, starts.last().machine, cluster.tail())
             assertTrue(starts.last().at < 46.0 + 8.0, "$starts")
         }
-        world.run(300.0)
-        world.verdict(crowd + moved)
+        cluster.run(300.0)
+        cluster.verdict(crowd + moved)
         val longest =
-            world.history.ran
+            cluster.history.ran
                 .filter { it.task.startsWith(moved.id) }
                 .maxOf { it.until }
         assertTrue(longest < 20.0 + 60.0 + 20.0, "a task was over only at $longest: its progress was lost")
@@ -130,58 +130,67 @@
 
     @Test
     fun `a save that fails, or whose stop's answer is lost, costs work and nothing else`() {
-        val world = balancedWorld(2)
-        world.savesFail = true
-        val jobs = world.submitAll((0 until 6).map { world.savingJob(it, 4) }, 20.0)
-        world.clock.after(40.0) { world.drainZone("a") }
+        val cluster = balancedCluster(2)
+        cluster.savesFail = true
+        val jobs = cluster.submitAll((0 until 6).map { cluster.savingJob(it, 4) }, 20.0)
+        cluster.clock.after(40.0) { cluster.drainZone("a") }
         var lost = 0
-        world.meddle = { _, call -> if (Step.STOP.isIt(call) && lost++ % 2 == 0) World.Fate.ANSWER_LOST else World.Fate.FINE }
-        world.run(220.0)
-        world.verdict(jobs)
+        cluster.onCall =
+            { _, call ->
+                if (Step.STOP.isIt(call) &&
+                    lost++ % 2 == 0
+                ) {
+                    SimulatedCluster.CallFate.ANSWER_LOST
+                } else {
+                    SimulatedCluster.CallFate.FINE
+                }
+            }
+        cluster.run(220.0)
+        cluster.verdict(jobs)
         assertTrue(lost > 2)
-        assertEquals("drained", world.stateOf("zone/a"), world.tail())
+        assertEquals("drained", cluster.stateOf("zone/a"), cluster.tail())
     }
 
     @Test
     fun `the target is drained, and source and target are lost, in the middle of a move`() {
         for (seed in 1..6) {
-            val world = balancedWorld(seed, members = 5)
-            val jobs = world.submitAll((0 until 8).map { world.savingJob(it, 4) }, 20.0)
-            world.clock.after(40.0) { world.drainZone("a") }
-            world.clock.after(40.6) {
-                val targets = jobs.flatMap { world.movedTo(it) }.map { it.first }.distinct()
+            val cluster = balancedCluster(seed, members = 5)
+            val jobs = cluster.submitAll((0 until 8).map { cluster.savingJob(it, 4) }, 20.0)
+            cluster.clock.after(40.0) { cluster.drainZone("a") }
+            cluster.clock.after(40.6) {
+                val targets = jobs.flatMap { cluster.movedTo(it) }.map { it.first }.distinct()
                 targets.take(2).forEach { target ->
-                    world.ask(world.anyMember(), "POST", MachineRequests.DRAIN, """{"machine":"$target","force":true}""") { _, _ -> }
+                    cluster.ask(cluster.anyMember(), "POST", MachineRequests.DRAIN, """{"machine":"$target","force":true}""") { _, _ -> }
                 }
-                targets.drop(2).take(2).forEach { world.cloud.take(it) }
-                world.cloud
+                targets.drop(2).take(2).forEach { cluster.cloud.take(it) }
+                cluster.cloud
                     .names()
-                    .filter { world.cloud.worker(it)?.zone == "a" }
+                    .filter { cluster.cloud.worker(it)?.zone == "a" }
                     .take(3)
-                    .forEach { world.cloud.take(it) }
-                world.leader()?.let { world.crash(it, 5.0) }
+                    .forEach { cluster.cloud.take(it) }
+                cluster.leader()?.let { cluster.crash(it, 5.0) }
             }
-            world.run(240.0)
-            world.verdict(jobs)
-            assertEquals("drained", world.stateOf("zone/a"), world.tail())
+            cluster.run(240.0)
+            cluster.verdict(jobs)
+            assertEquals("drained", cluster.stateOf("zone/a"), cluster.tail())
         }
     }
 
     /** A late copy of a report that still shows the task must neither start it twice nor stop it twice. */
     @Test
     fun `reports of the source that come a lease late change nothing`() {
-        val world = balancedWorld(3)
-        world.copyAfter = { if (world.clock.now in 38.0..60.0) 2.0 + world.random.nextDouble() * 30 else null }
-        val jobs = world.submitAll((0 until 8).map { world.savingJob(it, 4) }, 20.0)
-        world.clock.after(40.0) { world.drainZone("a") }
-        world.clock.after(44.0) { world.leader()?.let { world.freeze(it, 10.0) } }
-        world.run(200.0)
-        world.verdict(jobs)
+        val cluster = balancedCluster(3)
+        cluster.copyAfter = { if (cluster.clock.now in 38.0..60.0) 2.0 + cluster.random.nextDouble() * 30 else null }
+        val jobs = cluster.submitAll((0 until 8).map { cluster.savingJob(it, 4) }, 20.0)
+        cluster.clock.after(40.0) { cluster.drainZone("a") }
+        cluster.clock.after(44.0) { cluster.leader()?.let { cluster.freeze(it, 10.0) } }
+        cluster.run(200.0)
+        cluster.verdict(jobs)
         assertTrue(
-            world.history.stops
+            cluster.history.stops
                 .groupBy { it.task }
                 .all { it.value.size == 1 },
-            world.tail(),
+            cluster.tail(),
         )
     }
 
@@ -189,46 +198,46 @@
     @Test
     fun `budgets hold over all leaders together, and classes keep what is permitted`() {
         val settings = EAGER.copy(movesPerMinute = 6, movesPerTask = 1, classMoves = mapOf("urgent" to MovePermission.SAVED))
-        val world = balancedWorld(4, settings)
-        val jobs = world.submitAll((0 until 10).map { world.savingJob(it, 4, runSeconds = 100.0) }, 20.0)
+        val cluster = balancedCluster(4, settings)
+        val jobs = cluster.submitAll((0 until 10).map { cluster.savingJob(it, 4, runSeconds = 100.0) }, 20.0)
         val kept =
-            world.submitAll(
-                listOf(world.savingJob(50, 4, runSeconds = 100.0).copy(checkpointSeconds = 0.0, saveSeconds = 0.0)),
+            cluster.submitAll(
+                listOf(cluster.savingJob(50, 4, runSeconds = 100.0).copy(checkpointSeconds = 0.0, saveSeconds = 0.0)),
                 20.0,
             )
-        world.clock.after(40.0) { world.drainZone("a") }
-        for (turn in 0 until 8) world.clock.after(42.0 + turn * 7) { world.leader()?.let { world.crash(it, 2.0) } }
-        world.run(260.0)
-        world.verdict(jobs + kept, settings)
-        assertTrue(world.history.stops.size >= 6, world.history.stops.toString())
-        assertTrue(world.history.stops.none { it.task.startsWith(kept.first().id) }, "what does not save runs to its end")
-        assertEquals("drained", world.stateOf("zone/a"), world.tail())
+        cluster.clock.after(40.0) { cluster.drainZone("a") }
+        for (turn in 0 until 8) cluster.clock.after(42.0 + turn * 7) { cluster.leader()?.let { cluster.crash(it, 2.0) } }
+        cluster.run(260.0)
+        cluster.verdict(jobs + kept, settings)
+        assertTrue(cluster.history.stops.size >= 6, cluster.history.stops.toString())
+        assertTrue(cluster.history.stops.none { it.task.startsWith(kept.first().id) }, "what does not save runs to its end")
+        assertEquals("drained", cluster.stateOf("zone/a"), cluster.tail())
     }
 
     @Test
     fun `a cancelled task's move ends with the cancellation`() {
-        val world = balancedWorld(5)
-        val jobs = world.submitAll((0 until 8).map { world.savingJob(it, 4) }, 20.0)
-        world.clock.after(40.0) { world.drainZone("a") }
-        jobs.take(4).forEachIndexed { i, job -> world.clock.after(40.1 + i * 0.3) { world.abort(job) } }
-        world.clock.after(40.9) { world.leader()?.let { world.crash(it, 3.0) } }
-        world.run(160.0)
-        world.verdict(jobs)
-        assertEquals(emptyList<Any>(), world.rules.startsAfterCancellation.filter { it.second > 2.5 })
-        assertEquals(0, world.report().path("open_moves").asInt())
+        val cluster = balancedCluster(5)
+        val jobs = cluster.submitAll((0 until 8).map { cluster.savingJob(it, 4) }, 20.0)
+        cluster.clock.after(40.0) { cluster.drainZone("a") }
+        jobs.take(4).forEachIndexed { i, job -> cluster.clock.after(40.1 + i * 0.3) { cluster.abort(job) } }
+        cluster.clock.after(40.9) { cluster.leader()?.let { cluster.crash(it, 3.0) } }
+        cluster.run(160.0)
+        cluster.verdict(jobs)
+        assertEquals(emptyList<Any>(), cluster.invariants.startsAfterCancellation.filter { it.second > 2.5 })
+        assertEquals(0, cluster.report().path("open_moves").asInt())
     }
 
     @Test
     fun `a gang is moved whole, or not`() {
         for (seed in 1..4) {
-            val world = balancedWorld(seed)
-            val gangs = world.submitAll((0 until 4).map { world.gang(it, 3, runSeconds = 60.0) }, 20.0, everySeconds = 2.0)
-            world.clock.after(45.0) { world.drainZone("a") }
-            world.clock.after(45.2 + seed * 0.4) { world.leader()?.let { world.crash(it, 4.0) } }
-            world.run(260.0)
-            world.verdict(gangs)
-            assertEquals("drained", world.stateOf("zone/a"), world.tail())
-            val stops = world.history.stops.groupBy { it.task.substringBefore('/') }
+            val cluster = balancedCluster(seed)
+            val gangs = cluster.submitAll((0 until 4).map { cluster.gang(it, 3, runSeconds = 60.0) }, 20.0, everySeconds = 2.0)
+            cluster.clock.after(45.0) { cluster.drainZone("a") }
+            cluster.clock.after(45.2 + seed * 0.4) { cluster.leader()?.let { cluster.crash(it, 4.0) } }
+            cluster.run(260.0)
+            cluster.verdict(gangs)
+            assertEquals("drained", cluster.stateOf("zone/a"), cluster.tail())
+            val stops = cluster.history.stops.groupBy { it.task.substringBefore('/') }
             assertTrue(stops.values.all { it.size == 3 }, "stopped in part: $stops")
         }
     }
@@ -237,53 +246,53 @@
     @Test
     fun `a spread job never crowds a zone while some of its tasks move there and others wait`() {
         for (seed in 1..12) {
-            val world = balancedWorld(seed, EAGER.copy(finishReports = 0.0))
-            val jobs = world.submitAll((0 until 10).map { world.savingJob(it, 4).copy(spread = true) }, 20.0, everySeconds = 0.3)
-            world.clock.after(40.0) { world.drainZone("a") }
+            val cluster = balancedCluster(seed, EAGER.copy(finishReports = 0.0))
+            val jobs = cluster.submitAll((0 until 10).map { cluster.savingJob(it, 4).copy(spread = true) }, 20.0, everySeconds = 0.3)
+            cluster.clock.after(40.0) { cluster.drainZone("a") }
             // Its tasks in the other zone are lost while those in the drained one are told to stop.
             repeat(8) { turn ->
-                world.clock.after(40.0 + turn * 0.2) {
-                    world.cloud
+                cluster.clock.after(40.0 + turn * 0.2) {
+                    cluster.cloud
                         .names()
-                        .mapNotNull { world.cloud.worker(it) }
+                        .mapNotNull { cluster.cloud.worker(it) }
                         .filter { it.zone == "b" }
-                        .random(world.random)
+                        .random(cluster.random)
                         .restart()
                 }
             }
-            world.run(160.0)
-            world.verdict(jobs)
+            cluster.run(160.0)
+            cluster.verdict(jobs)
         }
     }
 
     /** Guards the limit while a task counts in both places: room is kept only as far as its team may use it. */
     @Test
     fun `a team at its limit is moved without room kept, and never exceeds it`() {
-        val world = balancedWorld(6, EAGER.copy(roomLeases = 0.2))
-        val jobs = world.submitAll((0 until 14).map { world.savingJob(it, 4, runSeconds = 50.0).copy(team = "crew-x") }, 20.0)
-        world.clock.after(45.0) { world.drainZone("a") }
-        listOf(46.0, 52.0, 61.0).forEach { at -> world.clock.after(at) { world.leader()?.let { world.crash(it, 3.0) } } }
-        jobs.take(3).forEach { job -> world.clock.after(50.0) { world.abort(job) } }
-        world.run(300.0)
-        world.verdict(jobs)
-        assertEquals("drained", world.stateOf("zone/a"), world.tail())
+        val cluster = balancedCluster(6, EAGER.copy(roomLeases = 0.2))
+        val jobs = cluster.submitAll((0 until 14).map { cluster.savingJob(it, 4, runSeconds = 50.0).copy(team = "crew-x") }, 20.0)
+        cluster.clock.after(45.0) { cluster.drainZone("a") }
+        listOf(46.0, 52.0, 61.0).forEach { at -> cluster.clock.after(at) { cluster.leader()?.let { cluster.crash(it, 3.0) } } }
+        jobs.take(3).forEach { job -> cluster.clock.after(50.0) { cluster.abort(job) } }
+        cluster.run(300.0)
+        cluster.verdict(jobs)
+        assertEquals("drained", cluster.stateOf("zone/a"), cluster.tail())
     }
 
     @Test
     fun `damaged rows stop nothing but themselves and are shown`() {
-        val world = balancedWorld(7)
-        val jobs = world.submitAll((0 until 6).map { world.savingJob(it, 4) }, 20.0)
+        val cluster = balancedCluster(7)
+        val jobs = cluster.submitAll((0 until 6).map { cluster.savingJob(it, 4) }, 20.0)
         listOf("drain/zone/b", "drain/machine/x", "move/9-9", "move/9-8").forEachIndexed { i, key ->
             val value = listOf("{}", """{"st":"draining","target":{"machine":"y"}}""", """{"at":1,"jobs":{"j-1":[1]}}""", "[]")[i]
-            world.state.handle("POST", "/multi", """{"if":[],"then":[{"set":"$key","value":$value}]}""") { _, _ -> }
+            cluster.state.handle("POST", "/multi", """{"if":[],"then":[{"set":"$key","value":$value}]}""") { _, _ -> }
         }
-        world.clock.after(40.0) { world.drainZone("a") }
-        world.run(150.0)
-        world.verdict(jobs)
-        val report = world.report()
+        cluster.clock.after(40.0) { cluster.drainZone("a") }
+        cluster.run(150.0)
+        cluster.verdict(jobs)
+        val report = cluster.report()
         assertEquals(4, report.path("damaged_rows").size(), report.toString())
-        assertEquals(Json.parse("{}"), world.state.value("drain/zone/b"))
-        val (status, answer) = world.answerOf("drover-0", "POST", MachineRequests.DRAIN, """{"zone":"b","force":true}""")
+        assertEquals(Json.parse("{}"), cluster.state.value("drain/zone/b"))
+        val (status, answer) = cluster.answerOf("drover-0", "POST", MachineRequests.DRAIN, """{"zone":"b","force":true}""")
         assertTrue(status == 409 && "damaged" in answer.path("error").asText(), answer.toString())
     }
 }
--- a/src/test/kotlin/burlridge/balance/Operators.kt
+++ b/src/test/kotlin/burlridge/balance/OperatorActions.kt
@@ -5,11 +5,11 @@
 import burlridge.settings.BalanceSettings
 import burlridge.settings.FailoverSettings
 import burlridge.settings.OperatorSettings
-import burlridge.sim.History
-import burlridge.sim.TypeSpec
-import burlridge.sim.World
-import burlridge.sim.job
-import burlridge.sim.submit
+import burlridge.simulation.ExecutionHistory
+import burlridge.simulation.MachineTypeSpec
+import burlridge.simulation.SimulatedCluster
+import burlridge.simulation.job
+import burlridge.simulation.submit
 import com.fasterxml.jackson.databind.JsonNode
 import org.junit.jupiter.api.Assertions.assertEquals
 
@@ -24,30 +24,30 @@
 ) = OperatorSettings(balance = settings, failover = if (failover) FailoverSettings() else null)
 
 /** A fleet that does not shrink: no team is guaranteed anything, so all that the cloud gives is kept. */
-internal fun balancedWorld(
+internal fun balancedCluster(
     seed: Int,
     settings: BalanceSettings = EAGER,
     members: Int = 3,
     failover: Boolean = false,
-    types: Map<String, TypeSpec> = mapOf("small" to TypeSpec(4.0, 16.0, 6), "big" to TypeSpec(16.0, 64.0, 3)),
+    types: Map<String, MachineTypeSpec> = mapOf("small" to MachineTypeSpec(4.0, 16.0, 6), "big" to MachineTypeSpec(16.0, 64.0, 3)),
     operatorOf: (String) -> OperatorSettings = { balanced(settings, failover) },
-) = World(seed, members = (0 until members).map { "drover-$it" }, types = types, guaranteed = 0.0, operatorOf = operatorOf)
+) = SimulatedCluster(seed, members = (0 until members).map { "drover-$it" }, types = types, guaranteed = 0.0, operatorOf = operatorOf)
 
 /** A job whose tasks save their progress when they are stopped. */
-internal fun World.savingJob(
+internal fun SimulatedCluster.savingJob(
     number: Int,
     tasks: Int,
     runSeconds: Double = 40.0,
     cpus: Double = 1.0,
 ): JobSpec = job(number, tasks, cpus = cpus, runSeconds = runSeconds).copy(checkpointSeconds = 5.0, saveSeconds = 1.0)
 
-internal fun World.submitAll(
+internal fun SimulatedCluster.submitAll(
     jobs: List<JobSpec>,
     from: Double,
     everySeconds: Double = 0.5,
 ): List<JobSpec> = jobs.onEachIndexed { i, job -> clock.after(from + i * everySeconds) { submit(job) } }
 
-internal fun World.ask(
+internal fun SimulatedCluster.ask(
     member: String,
     method: String,
     path: String,
@@ -56,14 +56,14 @@
 ) = request("operator", member, method, path, body, 5.0) { status, text -> onResult(status, Json.parseOrNull(text) ?: Json.obj {}) }
 
 /** Asks until it is accepted, as an operator would, and holds the service to it from then on. */
-internal fun World.drainZone(
+internal fun SimulatedCluster.drainZone(
     zone: String,
     member: () -> String = ::anyMember,
-    onAccepted: (History.Drained) -> Unit = {},
+    onAccepted: (ExecutionHistory.Drained) -> Unit = {},
 ) {
     ask(member(), "POST", MachineRequests.DRAIN, """{"zone":"$zone","force":true,"asked_ms":${nowMillis()}}""") { status, _ ->
         if (status == 200) {
-            history.drained += History.Drained({ zoneOf[it] == zone }, clock.now).also(onAccepted)
+            history.drained += ExecutionHistory.Drained({ zoneOf[it] == zone }, clock.now).also(onAccepted)
         } else {
             clock.after(1.0) { drainZone(zone, member, onAccepted) }
         }
@@ -71,11 +71,11 @@
 }
 
 /** The service is held to the drain of [machine] from now on. */
-internal fun World.drained(machine: String) {
-    history.drained += History.Drained({ it == machine }, clock.now)
+internal fun SimulatedCluster.drained(machine: String) {
+    history.drained += ExecutionHistory.Drained({ it == machine }, clock.now)
 }
 
-internal fun World.undrainZone(
+internal fun SimulatedCluster.undrainZone(
     zone: String,
     member: () -> String = ::anyMember,
     onAccepted: () -> Unit = {},
@@ -88,7 +88,7 @@
 }
 
 /** Asks [member] now and runs on until it answers. */
-internal fun World.answerOf(
+internal fun SimulatedCluster.answerOf(
     member: String,
     method: String,
     path: String,
@@ -100,20 +100,20 @@
     return answer ?: error("no answer")
 }
 
-internal fun World.report(): JsonNode = answerOf(leader() ?: anyMember(), "GET", MachineRequests.STATUS).second
+internal fun SimulatedCluster.report(): JsonNode = answerOf(leader() ?: anyMember(), "GET", MachineRequests.STATUS).second
 
-private fun World.nowMillis(): Long = (clock.now * 1000).toLong()
+private fun SimulatedCluster.nowMillis(): Long = (clock.now * 1000).toLong()
 
-internal fun World.stateOf(key: String): String? = state.value(Drain.PREFIX + key)?.path("st")?.asText()
+internal fun SimulatedCluster.stateOf(key: String): String? = state.value(Drain.PREFIX + key)?.path("st")?.asText()
 
-internal fun World.tail(): String = log.filterNot { "state service" in it }.takeLast(60).joinToString("\n")
+internal fun SimulatedCluster.tail(): String = log.filterNot { "state service" in it }.takeLast(60).joinToString("\n")
 
-internal fun World.verdict(
+internal fun SimulatedCluster.verdict(
     jobs: List<JobSpec>,
     settings: BalanceSettings = EAGER,
 ) {
-    assertEquals(emptyList<String>(), rules.broken, tail())
-    assertEquals(emptyList<String>(), rivals, tail())
+    assertEquals(emptyList<String>(), invariants.broken, tail())
+    assertEquals(emptyList<String>(), simultaneousLeaders, tail())
     assertEquals(emptyList<String>(), history.breaches(jobs.map { it.id }), tail())
     assertEquals(emptyList<String>(), history.drainBreaches(SLACK_SECONDS), tail())
     assertEquals(emptyList<String>(), history.moveBreaches(settings.movesPerMinute, settings.movesPerTask), tail())
--- a/src/test/kotlin/burlridge/failover/FailoverInputTest.kt
+++ b/src/test/kotlin/burlridge/failover/FailoverInputTest.kt
@@ -10,7 +10,7 @@
 import burlridge.settings.FailoverSettings
 import burlridge.settings.InvalidSettingsException
 import burlridge.settings.OperatorSettings
-import burlridge.sim.World
+import burlridge.simulation.SimulatedCluster
 import com.fasterxml.jackson.databind.JsonNode
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Assertions.assertThrows
@@ -21,7 +21,7 @@
 internal class FailoverInputTest {
     private val on = OperatorSettings(failover = FailoverSettings())
 
-    private fun World.ask(
+    private fun SimulatedCluster.ask(
         member: String,
         method: String,
         path: String,
@@ -63,22 +63,22 @@
 
     @Test
     fun `heartbeats that are copies, from the future or of strangers are refused, counted and logged once`() {
-        val world = World(1, operator = on)
-        world.run(10.0)
+        val cluster = SimulatedCluster(1, operator = on)
+        cluster.run(10.0)
         val status = FailoverStatus(incarnation = 1, sequence = 1)
 
         fun heartbeat(
             from: String,
             failover: FailoverStatus,
-        ) = world.tell("drover-0", PeerMessage.Status(from, 0, "", false, false, true, emptyList(), failover))
+        ) = cluster.tell("drover-0", PeerMessage.Status(from, 0, "", false, false, true, emptyList(), failover))
         repeat(50) { heartbeat("drover-1", status) }
         heartbeat("drover-1", status.copy(incarnation = Long.MAX_VALUE, sequence = 9))
         heartbeat("drover-9", status)
         heartbeat("", status.copy(incarnation = -5, sequence = Long.MIN_VALUE))
-        assertEquals(53, world.work("drover-0")["failover.heartbeats_refused"])
-        world.run(20.0)
-        assertEquals(1, world.log.count { "heartbeats refused" in it }, world.log.filter { "heartbeat" in it }.toString())
-        val views = world.ask("drover-0", "GET", MemberRequests.STATUS).second.path("members")
+        assertEquals(53, cluster.work("drover-0")["failover.heartbeats_refused"])
+        cluster.run(20.0)
+        assertEquals(1, cluster.log.count { "heartbeats refused" in it }, cluster.log.filter { "heartbeat" in it }.toString())
+        val views = cluster.ask("drover-0", "GET", MemberRequests.STATUS).second.path("members")
         assertEquals(listOf("drover-1", "drover-2"), views.map { it.path("member").asText() })
         assertTrue(views.all { it.path("state").asText() == "alive" }, views.toString())
     }
@@ -86,10 +86,10 @@
     /** None of these may move the leadership, whatever the order: each names an attempt, a term or a member that is not the one. */
     @Test
     fun `steps of a handover that was never offered change nothing`() {
-        val world = World(2, operator = on)
-        world.run(10.0)
-        val leader = world.leader()!!
-        val term = Json.parse(world.state.value("term").toString()).path("n").asLong()
+        val cluster = SimulatedCluster(2, operator = on)
+        cluster.run(10.0)
+        val leader = cluster.leader()!!
+        val term = Json.parse(cluster.state.value("term").toString()).path("n").asLong()
         val steps =
             listOf(
                 HandoverMessage.Accept(7, term, 1),
@@ -99,65 +99,65 @@
                 HandoverMessage.Withdraw(7, ""),
                 HandoverMessage.Offer(7, term, "not the leader's"),
             )
-        for (member in world.members) {
-            for (from in world.members + "drover-9") steps.forEach { world.tell(member, PeerMessage.Handover(from, it)) }
+        for (member in cluster.members) {
+            for (from in cluster.members + "drover-9") steps.forEach { cluster.tell(member, PeerMessage.Handover(from, it)) }
         }
         // An offer that the leader did not make leaves a lease that nobody uses.
-        world.run(60.0)
-        assertEquals(leader, world.leader())
+        cluster.run(60.0)
+        assertEquals(leader, cluster.leader())
         assertEquals(
             term,
-            world.state
+            cluster.state
                 .value("term")
                 ?.path("n")
                 ?.asLong(),
         )
         // From a stranger, and in its own name.
-        assertEquals(setOf(steps.size * 2L), world.members.map { world.work(it)["failover.messages_refused"] }.toSet())
+        assertEquals(setOf(steps.size * 2L), cluster.members.map { cluster.work(it)["failover.messages_refused"] }.toSet())
     }
 
     @Test
     fun `status and drain answer what they are asked and say why not`() {
-        val world = World(3, operator = on)
-        world.run(10.0)
-        val leader = world.leader()!!
-        val (other, third) = world.members.filter { it != leader }
-        val (status, report) = world.ask(other, "GET", MemberRequests.STATUS)
+        val cluster = SimulatedCluster(3, operator = on)
+        cluster.run(10.0)
+        val leader = cluster.leader()!!
+        val (other, third) = cluster.members.filter { it != leader }
+        val (status, report) = cluster.ask(other, "GET", MemberRequests.STATUS)
         assertEquals(200, status)
         assertEquals(leader, report.path("leader").asText())
         val text = FailoverReportFormatter.describe(report)
         assertTrue("leader $leader, term 1" in text && "$third alive" in text, text)
-        assertEquals(405, world.ask(other, "POST", MemberRequests.STATUS).first)
-        assertEquals(405, world.ask(other, "GET", MemberRequests.DRAIN).first)
-        assertEquals(404, world.ask(other, "GET", "/admin/other").first)
-        val (unknown, why) = world.ask(other, "POST", MemberRequests.DRAIN + "/drover-9")
+        assertEquals(405, cluster.ask(other, "POST", MemberRequests.STATUS).first)
+        assertEquals(405, cluster.ask(other, "GET", MemberRequests.DRAIN).first)
+        assertEquals(404, cluster.ask(other, "GET", "/admin/other").first)
+        val (unknown, why) = cluster.ask(other, "POST", MemberRequests.DRAIN + "/drover-9")
         assertEquals(409 to "drover-9 is not drained: there is no member drover-9", unknown to why.path("error").asText())
-        world.crash(third, 1000.0)
-        world.run(world.clock.now + 10.0)
-        val (dead, reason) = world.ask(other, "POST", MemberRequests.DRAIN + "/$third")
+        cluster.crash(third, 1000.0)
+        cluster.run(cluster.clock.now + 10.0)
+        val (dead, reason) = cluster.ask(other, "POST", MemberRequests.DRAIN + "/$third")
         assertEquals(409, dead)
         assertTrue("$third is suspected" in reason.path("error").asText(), reason.toString())
-        assertEquals(200, world.ask(other, "POST", MemberRequests.DRAIN + "/$leader").first)
-        world.run(world.clock.now + 5.0)
-        assertEquals(other, world.leader(), world.log.takeLast(20).joinToString("\n"))
-        assertEquals(200, world.ask(leader, "POST", MemberRequests.DRAIN).first, "asked for twice it is one drain")
+        assertEquals(200, cluster.ask(other, "POST", MemberRequests.DRAIN + "/$leader").first)
+        cluster.run(cluster.clock.now + 5.0)
+        assertEquals(other, cluster.leader(), cluster.log.takeLast(20).joinToString("\n"))
+        assertEquals(200, cluster.ask(leader, "POST", MemberRequests.DRAIN).first, "asked for twice it is one drain")
         assertTrue(
-            world
+            cluster
                 .ask(leader, "GET", MemberRequests.STATUS)
                 .second
                 .path("drained")
                 .asBoolean(),
         )
-        val (last, lastWhy) = world.ask(other, "POST", MemberRequests.DRAIN)
+        val (last, lastWhy) = cluster.ask(other, "POST", MemberRequests.DRAIN)
         assertEquals(409 to "$other is not drained: no other member is alive to take over", last to lastWhy.path("error").asText())
     }
 
     @Test
     fun `without failover there are no such paths`() {
-        val world = World(4)
-        world.run(10.0)
-        assertEquals(404, world.ask("drover-0", "GET", MemberRequests.STATUS).first)
-        assertEquals(404, world.ask("drover-0", "POST", MemberRequests.DRAIN).first)
+        val cluster = SimulatedCluster(4)
+        cluster.run(10.0)
+        assertEquals(404, cluster.ask("drover-0", "GET", MemberRequests.STATUS).first)
+        assertEquals(404, cluster.ask("drover-0", "POST", MemberRequests.DRAIN).first)
     }
 
     @Test
--- a/src/test/kotlin/burlridge/loopback/BalanceLoopbackTest.kt
+++ b/src/test/kotlin/burlridge/loopback/BalanceLoopbackTest.kt
@@ -1,8 +1,8 @@
 package burlridge.loopback
 
 import burlridge.balance.MachineRequests
-import burlridge.sim.History
-import burlridge.sim.Times
+import burlridge.simulation.ExecutionHistory
+import burlridge.simulation.WorkerTimes
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Test
 import org.junit.jupiter.api.io.TempDir
@@ -21,73 +21,80 @@
             LoopbackPlan(
                 controllers = 3,
                 machines = 16,
-                times = Times(reportSeconds = 1.0, leaseSeconds = 6.0, cancelSeconds = 14.0),
+                times = WorkerTimes(reportSeconds = 1.0, leaseSeconds = 6.0, cancelSeconds = 14.0),
                 operatorSettings = "[balance]\nfinish_reports = 0.5\n",
                 directory = directory,
                 jvmFlags = listOf("-XX:+UseSerialGC", "-XX:TieredStopAtLevel=1", "-Xmx96m"),
             )
-        LoopbackWorld(plan, 2).use { world ->
-            await("the machines are up") { world.answered(1) >= 12 }
-            world.onLoop {
-                repeat(JOBS) { i -> world.clock.after(i * 0.4) { world.submit(savingJob(world, i)) } }
+        LoopbackCluster(plan, 2).use { cluster ->
+            await("the machines are up") { cluster.answered(1) >= 12 }
+            cluster.onLoop {
+                repeat(JOBS) { i -> cluster.clock.after(i * 0.4) { cluster.submit(savingJob(cluster, i)) } }
             }
-            await("jobs run") { world.onLoop { busyMachines(world).size == MACHINES_DRAINED }.takeIf { it } }
-            val leaving = world.onLoop { busyMachines(world) }
-            world.onLoop { leaving.forEach { drain(world, it) } }
-            await("the drains are accepted") { world.onLoop { world.history.drained.size == leaving.size }.takeIf { it } }
+            await("jobs run") { cluster.onLoop { busyMachines(cluster).size == MACHINES_DRAINED }.takeIf { it } }
+            val leaving = cluster.onLoop { busyMachines(cluster) }
+            cluster.onLoop { leaving.forEach { drain(cluster, it) } }
+            await("the drains are accepted") { cluster.onLoop { cluster.history.drained.size == leaving.size }.takeIf { it } }
             // However slow this machine is, the tasks run for long enough that some are still there to be moved.
-            await("the first move") { world.onLoop { world.history.stops.isNotEmpty() }.takeIf { it } }
-            val first = leaderOf(world)
-            world.process(first).kill()
-            val second = await("a leader after the kill") { leaderOrNull(world)?.takeIf { it != first } }
-            world.process(first).start()
-            world.process(second).freeze()
-            await("a leader after the freeze") { leaderOrNull(world)?.takeIf { it != second } }
-            await("the drained machines are gone") { world.onLoop { world.cloud.names().none { it in leaving } }.takeIf { it } }
-            world.process(second).wake()
-            await("all jobs are over") { world.onLoop { world.unfinished.isEmpty() && world.jobs.size == JOBS }.takeIf { it } }
-            await("all controllers answer") { world.controllers.all { it.isUp }.takeIf { it } }
-            world.onLoop { world.askEverywhere() }
+            await("the first move") { cluster.onLoop { cluster.history.stops.isNotEmpty() }.takeIf { it } }
+            val first = leaderOf(cluster)
+            cluster.process(first).kill()
+            val second = await("a leader after the kill") { leaderOrNull(cluster)?.takeIf { it != first } }
+            cluster.process(first).start()
+            cluster.process(second).freeze()
+            await("a leader after the freeze") { leaderOrNull(cluster)?.takeIf { it != second } }
+            await("the drained machines are gone") { cluster.onLoop { cluster.cloud.names().none { it in leaving } }.takeIf { it } }
+            cluster.process(second).wake()
+            await("all jobs are over") { cluster.onLoop { cluster.unfinished.isEmpty() && cluster.jobs.size == JOBS }.takeIf { it } }
+            await("all controllers answer") { cluster.controllers.all { it.isUp }.takeIf { it } }
+            cluster.onLoop { cluster.askEverywhere() }
             val breaches =
-                world.onLoop {
-                    world.rules.broken + world.history.breaches(world.jobs) +
-                        world.history.drainBreaches(SLACK_SECONDS)
+                cluster.onLoop {
+                    cluster.invariants.broken + cluster.history.breaches(cluster.jobs) +
+                        cluster.history.drainBreaches(SLACK_SECONDS)
                 }
             assertEquals(emptyList<String>(), breaches)
         }
     }
 
     /** The machines on which something started last. */
-    private fun busyMachines(world: LoopbackWorld): List<String> =
-        world.history.starts
+    private fun busyMachines(cluster: LoopbackCluster): List<String> =
+        cluster.history.starts
             .reversed()
             .map { it.machine }
             .distinct()
             .take(MACHINES_DRAINED)
 
     private fun savingJob(
-        world: LoopbackWorld,
+        cluster: LoopbackCluster,
         number: Int,
-    ) = world.job(number, 1 + number % 3, runSeconds = 20.0 + number % 5).copy(checkpointSeconds = 1.0, saveSeconds = 0.3)
+    ) = cluster.job(number, 1 + number % 3, runSeconds = 20.0 + number % 5).copy(checkpointSeconds = 1.0, saveSeconds = 0.3)
 
     /** Asks until it is accepted, as an operator would. */
     private fun drain(
-        world: LoopbackWorld,
+        cluster: LoopbackCluster,
         machine: String,
     ) {
         val body = """{"machine":"$machine","force":true}"""
-        world.request("operator", world.members.random(world.random), "POST", MachineRequests.DRAIN, body, ANSWER_SECONDS) { status, _ ->
+        cluster.request(
+            "operator",
+            cluster.members.random(cluster.random),
+            "POST",
+            MachineRequests.DRAIN,
+            body,
+            ANSWER_SECONDS,
+        ) { status, _ ->
             if (status == OK) {
-                world.history.drained += History.Drained({ it == machine }, world.clock.now)
+                cluster.history.drained += ExecutionHistory.Drained({ it == machine }, cluster.clock.now)
             } else {
-                world.clock.after(0.5) { drain(world, machine) }
+                cluster.clock.after(0.5) { drain(cluster, machine) }
             }
         }
     }
 
-    private fun leaderOrNull(world: LoopbackWorld): String? = world.onLoop { world.leader()?.first }
+    private fun leaderOrNull(cluster: LoopbackCluster): String? = cluster.onLoop { cluster.leader()?.first }
 
-    private fun leaderOf(world: LoopbackWorld): String = await("a leader") { leaderOrNull(world) }
+    private fun leaderOf(cluster: LoopbackCluster): String = await("a leader") { leaderOrNull(cluster) }
 
     private companion object {
         const val JOBS = 20
--- a/src/test/kotlin/burlridge/loopback/ControllerProcess.kt
+++ b/src/test/kotlin/burlridge/loopback/ControllerProcess.kt
@@ -6,7 +6,7 @@
 import java.util.concurrent.ConcurrentLinkedQueue
 import java.util.concurrent.TimeUnit
 
-/** What a controller of a [LoopbackWorld] is started with. */
+/** What a controller of a [LoopbackCluster] is started with. */
 internal class ControllerPlan(
     val member: String,
     val serveOn: Endpoint,
--- a/src/test/kotlin/burlridge/loopback/FailoverMeasurement.kt
+++ b/src/test/kotlin/burlridge/loopback/FailoverMeasurement.kt
@@ -1,7 +1,7 @@
 package burlridge.loopback
 
 import burlridge.json.Json
-import burlridge.sim.Times
+import burlridge.simulation.WorkerTimes
 import java.io.File
 import java.nio.file.Files
 import kotlin.system.exitProcess
@@ -34,16 +34,16 @@
     flags: List<String>,
 ) {
     private val directory: File = Files.createTempDirectory("burlridge-measurement").toFile()
-    private val times = Times(reportSeconds = 3.0, leaseSeconds = 24.0, cancelSeconds = 54.0)
+    private val times = WorkerTimes(reportSeconds = 3.0, leaseSeconds = 24.0, cancelSeconds = 54.0)
     private val plan =
         LoopbackPlan(controllers, machines, times, if (on) "[failover]\n" else null, directory, flags, classPath)
-    private val world = LoopbackWorld(plan, 1)
+    private val cluster = LoopbackCluster(plan, 1)
     private val changes = ArrayList<Change>()
     private var number = 0
 
     fun run() {
         val begun = System.nanoTime()
-        await("the machines are up", UP_SECONDS) { (world.onLoop { world.answered(1) } >= machines * MOST_OF_THEM).takeIf { it } }
+        await("the machines are up", UP_SECONDS) { (cluster.onLoop { cluster.answered(1) } >= machines * MOST_OF_THEM).takeIf { it } }
         println("$machines machines up after %.0f s".format((System.nanoTime() - begun) / NANOS_PER_SECOND))
         load()
         Thread.sleep(SETTLE_MILLIS)
@@ -51,13 +51,13 @@
         // Each freeze takes a minute, so there are fewer of them.
         repeat(rounds) { round -> kinds.filter { it != Loss.FREEZE || round < rounds * FREEZES_PER_ROUND }.forEach { lose(it) } }
         report()
-        world.onLoop { stopLoad = true }
-        await("all jobs are over", UP_SECONDS) { world.onLoop { world.unfinished.isEmpty() }.takeIf { it } }
-        world.onLoop { world.askEverywhere() }
+        cluster.onLoop { stopLoad = true }
+        await("all jobs are over", UP_SECONDS) { cluster.onLoop { cluster.unfinished.isEmpty() }.takeIf { it } }
+        cluster.onLoop { cluster.askEverywhere() }
         Thread.sleep(SETTLE_MILLIS)
-        val breaches = world.onLoop { world.rules.broken + world.history.breaches(world.jobs) }
-        println("jobs ${world.onLoop { world.jobs.size }}, starts ${world.onLoop { world.rules.starts }}, breaches $breaches")
-        println("false suspicions: ${world.controllers.sumOf { c -> c.log.count { it.text.endsWith("is alive: heard again") } }}")
+        val breaches = cluster.onLoop { cluster.invariants.broken + cluster.history.breaches(cluster.jobs) }
+        println("jobs ${cluster.onLoop { cluster.jobs.size }}, starts ${cluster.onLoop { cluster.invariants.starts }}, breaches $breaches")
+        println("false suspicions: ${cluster.controllers.sumOf { c -> c.log.count { it.text.endsWith("is alive: heard again") } }}")
     }
 
     private var stopLoad = false
@@ -66,35 +66,38 @@
     private fun load() {
         fun next() {
             if (stopLoad) return
-            world.submit(world.job(number++, TASKS, runSeconds = RUN_SECONDS))
-            world.clock.after(1.0 / JOBS_PER_SECOND) { next() }
+            cluster.submit(cluster.job(number++, TASKS, runSeconds = RUN_SECONDS))
+            cluster.clock.after(1.0 / JOBS_PER_SECOND) { next() }
         }
-        world.onLoop { next() }
+        cluster.onLoop { next() }
     }
 
     private fun lose(loss: Loss) {
-        val (leader, term) = await("a leader") { world.onLoop { world.leader() } }
-        val old = world.process(leader)
-        val cpuBefore = world.controllers.associateWith { it.cpuSeconds() }
-        val lostAt = world.onLoop { world.clock.now }
+        val (leader, term) = await("a leader") { cluster.onLoop { cluster.leader() } }
+        val old = cluster.process(leader)
+        val cpuBefore = cluster.controllers.associateWith { it.cpuSeconds() }
+        val lostAt = cluster.onLoop { cluster.clock.now }
         when (loss) {
             Loss.KILL -> old.kill()
             Loss.FREEZE -> old.freeze()
             Loss.DRAIN -> Thread { old.terminate(UP_SECONDS) }.start()
         }
-        val next = await("the next term", UP_SECONDS) { world.onLoop { world.leader() }?.second?.takeIf { it > term } }
+        val next = await("the next term", UP_SECONDS) { cluster.onLoop { cluster.leader() }?.second?.takeIf { it > term } }
         val started =
             await("its first start", UP_SECONDS) {
-                world.onLoop {
-                    world.firstStarts
+                cluster.onLoop {
+                    cluster.firstStarts
                         .filterKeys { it >= next }
                         .values
                         .minOrNull()
                 }
             }
-        await("all workers answered", UP_SECONDS) { (world.onLoop { world.answered(next) == world.cloud.names().size }).takeIf { it } }
-        val answered = world.onLoop { world.clock.now }
-        val successor = world.process(world.onLoop { world.leader() }!!.first)
+        await(
+            "all workers answered",
+            UP_SECONDS,
+        ) { (cluster.onLoop { cluster.answered(next) == cluster.cloud.names().size }).takeIf { it } }
+        val answered = cluster.onLoop { cluster.clock.now }
+        val successor = cluster.process(cluster.onLoop { cluster.leader() }!!.first)
         val cpu = successor.cpuSeconds() - (cpuBefore[successor] ?: 0.0)
         changes += Change(loss, started - lostAt, answered - lostAt, cpu, successor.residentMb())
         println(describe(changes.last()))
@@ -135,7 +138,7 @@
         return "%.2f (worst %.2f)".format(sorted[sorted.size / 2], sorted.last())
     }
 
-    fun close() = world.close()
+    fun close() = cluster.close()
 
     private companion object {
         const val MOST_OF_THEM = 0.95
--- a/src/test/kotlin/burlridge/loopback/LoopbackWorld.kt
+++ b/src/test/kotlin/burlridge/loopback/LoopbackCluster.kt
@@ -12,15 +12,15 @@
 import burlridge.net.HttpClient
 import burlridge.net.HttpServer
 import burlridge.settings.Endpoint
-import burlridge.sim.Clock
-import burlridge.sim.CloudService
-import burlridge.sim.Environment
-import burlridge.sim.GangHall
-import burlridge.sim.History
-import burlridge.sim.Rules
-import burlridge.sim.StateService
-import burlridge.sim.Times
-import burlridge.sim.TypeSpec
+import burlridge.simulation.Clock
+import burlridge.simulation.CloudService
+import burlridge.simulation.ExecutionHistory
+import burlridge.simulation.GangBarrier
+import burlridge.simulation.InvariantChecker
+import burlridge.simulation.MachineTypeSpec
+import burlridge.simulation.SimulationEnvironment
+import burlridge.simulation.StateService
+import burlridge.simulation.WorkerTimes
 import kotlinx.coroutines.CoroutineScope
 import kotlinx.coroutines.SupervisorJob
 import kotlinx.coroutines.delay
@@ -32,11 +32,11 @@
 import java.util.concurrent.ConcurrentLinkedQueue
 import kotlin.random.Random
 
-/** The size of a [LoopbackWorld] and what its controllers run with. */
+/** The size of a [LoopbackCluster] and what its controllers run with. */
 internal class LoopbackPlan(
     val controllers: Int,
     val machines: Int,
-    val times: Times,
+    val times: WorkerTimes,
     val operatorSettings: String?,
     val directory: File,
     val jvmFlags: List<String> = emptyList(),
@@ -50,26 +50,26 @@
  * Controllers as real processes on loopback, among the stand-ins of the simulation driven by the real clock. All stand-ins live on one
  * event loop; [onLoop] is the only way in from outside.
  */
-internal class LoopbackWorld(
+internal class LoopbackCluster(
     private val plan: LoopbackPlan,
     seed: Int,
-) : Environment,
+) : SimulationEnvironment,
     AutoCloseable {
     override val clock = Clock()
     override val random = Random(seed)
     override val members = (0 until plan.controllers).map { "drover-$it" }
-    override val types = mapOf("small" to TypeSpec(4.0, 16.0, (plan.machines + POOLS - 1) / POOLS))
+    override val types = mapOf("small" to MachineTypeSpec(4.0, 16.0, (plan.machines + POOLS - 1) / POOLS))
     override val zones = listOf("a", "b")
     override val reportSeconds = plan.times.reportSeconds
     override val leaseSeconds = plan.times.leaseSeconds
     override val gangWaitSeconds = 30.0
     override val gangPeerSeconds = 4.0
-    override val rules = Rules(clock, plan.times.cancelSeconds, emptyMap())
-    override val hall = GangHall(this)
+    override val invariants = InvariantChecker(clock, plan.times.cancelSeconds, emptyMap())
+    override val gangBarrier = GangBarrier(this)
     override val cloud = CloudService(this)
     override val word: (String) -> String = { it }
     val state = StateService(clock)
-    val history = History()
+    val history = ExecutionHistory()
     private val loop = EventLoop()
     private val scope = CoroutineScope(loop + SupervisorJob())
     private val startedAt = System.nanoTime()
@@ -84,12 +84,12 @@
     val firstStarts = HashMap<Long, Double>()
 
     init {
-        rules.onStart = { task, worker ->
+        invariants.onStart = { task, worker ->
             history.started(task, worker.id, clock.now)
             firstStarts.putIfAbsent(worker.term, clock.now)
         }
-        rules.onEnd = { task, worker -> history.ended(task, worker.id, clock.now) }
-        rules.onStop = { task -> history.stopped(task, clock.now) }
+        invariants.onEnd = { task, worker -> history.ended(task, worker.id, clock.now) }
+        invariants.onStop = { task -> history.stopped(task, clock.now) }
         cloud.bootSeconds = { random.nextDouble() }
         Thread({ runLoop() }, "stand-ins").also { it.isDaemon = true }.start()
         controllers.forEach { it.start() }
@@ -137,7 +137,7 @@
             while (true) {
                 clock.runUntil((System.nanoTime() - startedAt) / NANOS_PER_SECOND)
                 while (true) commands.poll()?.invoke() ?: break
-                rules.sweep()
+                invariants.sweep()
                 delay(STEP_MILLIS)
             }
         }
@@ -213,7 +213,7 @@
         answer: CallOutcome.Responded,
     ) {
         val job = if (path == "/api/jobs") Json.parseOrNull(body)?.path("id")?.asText() else path.split('/').getOrNull(3)
-        history.told += History.Told(job.orEmpty(), member, answer.status, standing(answer.body), askedAt, clock.now)
+        history.told += ExecutionHistory.Told(job.orEmpty(), member, answer.status, standing(answer.body), askedAt, clock.now)
     }
 
     private fun standing(body: String): String? =
@@ -231,7 +231,7 @@
     val jobs: Set<String> get() = submitted
 
     fun submit(spec: JobSpec) {
-        rules.submitted(spec)
+        invariants.submitted(spec)
         submitted += spec.id
         attempt(spec)
     }
--- a/src/test/kotlin/burlridge/sim/Clock.kt
+++ b/src/test/kotlin/burlridge/simulation/Clock.kt
@@ -1,4 +1,4 @@
-package burlridge.sim
+package burlridge.simulation
 
 import java.util.PriorityQueue
 
--- a/src/test/kotlin/burlridge/sim/CloudService.kt
+++ b/src/test/kotlin/burlridge/simulation/CloudService.kt
@@ -1,11 +1,11 @@
-package burlridge.sim
+package burlridge.simulation
 
 import burlridge.json.Json
 import com.fasterxml.jackson.databind.JsonNode
 
 /** A stand-in for the cloud: lists lag and may go backwards, rentals are remembered by name. */
 internal class CloudService(
-    private val world: Environment,
+    private val cluster: SimulationEnvironment,
 ) {
     private class Rented(
         val worker: Worker,
@@ -28,7 +28,7 @@
     var silentBoots = false
 
     /** Seconds until a machine is up. */
-    var bootSeconds: () -> Double = { 5 + world.random.nextDouble() * 10 }
+    var bootSeconds: () -> Double = { 5 + cluster.random.nextDouble() * 10 }
     var requests = ArrayList<String>()
 
     fun worker(id: String): Worker? = machines[id]?.worker
@@ -71,7 +71,7 @@
         Json
             .obj {
                 val list = putArray("breeds")
-                world.types.forEach { (name, type) ->
+                cluster.types.forEach { (name, type) ->
                     list
                         .addObject()
                         .put("sku", name)
@@ -82,7 +82,7 @@
                         .put("spotPrice", type.cpus / 3)
                         .put("bootS", 10.0)
                         .put("pullGbPerS", 1.0)
-                        .also { o -> o.putArray("yards").also { yards -> world.zones.forEach(yards::add) } }
+                        .also { o -> o.putArray("yards").also { yards -> cluster.zones.forEach(yards::add) } }
                 }
             }.toString()
 
@@ -97,7 +97,7 @@
         val zone = request.path("yard").asText()
         val spot = request.path("loaners").asBoolean()
         val taken = machines.values.count { it.worker.type == type && it.worker.zone == zone && it.worker.spot == spot }
-        val count = minOf(request.path("number").asInt(), world.types.getValue(type).capacity - taken)
+        val count = minOf(request.path("number").asInt(), cluster.types.getValue(type).capacity - taken)
         if (count <= 0) return reply(503, "{\"error\":\"no capacity\"}")
         val names = (1..count).map { add(type, zone, spot) }
         val answer = "{\"drovers\":[${names.joinToString(",") { "\"$it\"" }}]}"
@@ -111,11 +111,11 @@
         spot: Boolean,
     ): String {
         val id = "m-%06d".format(next)
-        val rented = Rented(Worker(world, id, type, zone, spot, world.addressOf(next++)), world.clock.now)
+        val rented = Rented(Worker(cluster, id, type, zone, spot, cluster.addressOf(next++)), cluster.clock.now)
         machines[id] = rented
         atAddress[rented.worker.address] = rented.worker
         if (!silentBoots) {
-            world.clock.after(bootSeconds()) {
+            cluster.clock.after(bootSeconds()) {
                 if (machines[id] === rented) {
                     rented.up = true
                     rented.worker.boot()
@@ -134,14 +134,14 @@
     }
 
     private fun keepListing() {
-        world.clock.after(1.0) {
+        cluster.clock.after(1.0) {
             snapshot()
             keepListing()
         }
     }
 
     private fun snapshot() {
-        val now = world.clock.now
+        val now = cluster.clock.now
         val entries =
             machines.entries.map { (id, m) ->
                 id to "{\"id\":\"$id\",\"addr\":\"${m.worker.address}\",\"breed\":\"${m.worker.type}\",\"yard\":\"${m.worker.zone}\"," +
@@ -156,8 +156,8 @@
         val asked = query.split('&').associate { it.substringBefore('=') to it.substringAfter('=') }
         val limit = asked["limit"]?.toIntOrNull() ?: Int.MAX_VALUE
         snapshot()
-        val now = world.clock.now
-        val lag = world.random.nextDouble() * MOST_LAG_SECONDS
+        val now = cluster.clock.now
+        val lag = cluster.random.nextDouble() * MOST_LAG_SECONDS
         val entries = snapshots.lastOrNull { it.at <= now - lag }?.entries.orEmpty()
         val rest = entries.filter { (id, _) -> id > asked["from"].orEmpty() }
         return "{\"drovers\":[${rest.take(limit).joinToString(",") { it.second }}],\"truncated\":${rest.size > limit}}"
--- a/src/test/kotlin/burlridge/sim/History.kt
+++ b/src/test/kotlin/burlridge/simulation/ExecutionHistory.kt
@@ -1,7 +1,7 @@
-package burlridge.sim
+package burlridge.simulation
 
 /** What users were told and what ran where, in the order of time. */
-internal class History {
+internal class ExecutionHistory {
     data class Told(
         val job: String,
         val member: String,
--- a/src/test/kotlin/burlridge/sim/HistoryTest.kt
+++ b/src/test/kotlin/burlridge/simulation/ExecutionHistoryTest.kt
@@ -1,11 +1,11 @@
-package burlridge.sim
+package burlridge.simulation
 
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Test
 
 /** Shows that the checker of histories catches a planted breach of each kind, and nothing else. */
-internal class HistoryTest {
-    private val history = History()
+internal class ExecutionHistoryTest {
+    private val history = ExecutionHistory()
 
     private fun told(
         job: String,
@@ -15,7 +15,7 @@
         askedAt: Double = at - 0.01,
         member: String = "drover-0",
     ) {
-        history.told += History.Told(job, member, status, standing, askedAt, at)
+        history.told += ExecutionHistory.Told(job, member, status, standing, askedAt, at)
     }
 
     private fun breaches() = history.breaches(listOf("j-1")).map { it.substringBefore(':') }
@@ -74,7 +74,7 @@
 
     @Test
     fun `a drain that is forgotten`() {
-        history.drained += History.Drained({ it == "m-1" }, from = 10.0, until = 30.0)
+        history.drained += ExecutionHistory.Drained({ it == "m-1" }, from = 10.0, until = 30.0)
         listOf(11.0, 31.0).forEach { history.started("j-1/0", "m-1", it) }
         history.started("j-1/1", "m-2", 20.0)
         assertEquals(emptyList<String>(), history.drainBreaches(slackSeconds = 2.0))
--- a/src/test/kotlin/burlridge/sim/GangHall.kt
+++ b/src/test/kotlin/burlridge/simulation/GangBarrier.kt
@@ -1,11 +1,11 @@
-package burlridge.sim
+package burlridge.simulation
 
 /**
  * Where the tasks of a gang find each other, by our own reading of the page: they start together when the last one has its
  * image, notice a loss within a while, save together and complete together.
  */
-internal class GangHall(
-    private val world: Environment,
+internal class GangBarrier(
+    private val cluster: SimulationEnvironment,
 ) {
     /** A gang task on its machine, as its attempt sees it. */
     internal interface Seat {
@@ -48,12 +48,12 @@
         run: Int,
         seat: Seat,
     ) {
-        val spec = world.rules.spec(job) ?: return
+        val spec = cluster.invariants.spec(job) ?: return
         val attempt = attempts.getOrPut(job to run) { Attempt() }
         seat.becomes("gathering")
         attempt.seats += seat
         if (attempt.runningSince == null && !attempt.failed && attempt.seats.size == spec.tasks) return begin(job, run, attempt)
-        world.clock.after(world.gangWaitSeconds) {
+        cluster.clock.after(cluster.gangWaitSeconds) {
             if (attempt.runningSince == null && seat in attempt.seats) {
                 attempt.seats -= seat
                 seat.exits("incomplete")
@@ -66,12 +66,12 @@
         run: Int,
         attempt: Attempt,
     ) {
-        val spec = world.rules.spec(job) ?: return
-        attempt.runningSince = world.clock.now
+        val spec = cluster.invariants.spec(job) ?: return
+        attempt.runningSince = cluster.clock.now
         attempt.slowness = attempt.seats.maxOf { it.slowness }
-        begun += Triple(job, run, world.clock.now)
+        begun += Triple(job, run, cluster.clock.now)
         attempt.seats.forEach { it.becomes("running") }
-        world.clock.after((spec.estimateSeconds - progress(job)) * attempt.slowness) {
+        cluster.clock.after((spec.estimateSeconds - progress(job)) * attempt.slowness) {
             if (!attempt.failed && !attempt.ended && attempt.firstHaltAt == null) {
                 attempt.ended = true
                 attempt.seats.toList().forEach { it.exits("done") }
@@ -79,7 +79,7 @@
         }
     }
 
-    private fun ranSeconds(attempt: Attempt): Double = (world.clock.now - (attempt.runningSince ?: world.clock.now)) / attempt.slowness
+    private fun ranSeconds(attempt: Attempt): Double = (cluster.clock.now - (attempt.runningSince ?: cluster.clock.now)) / attempt.slowness
 
     /** [seat] is gone with its machine, or has ended at once by a command. */
     fun leaves(
@@ -98,12 +98,12 @@
     ) {
         if (attempt.failed) return
         attempt.failed = true
-        val spec = world.rules.spec(job) ?: return
+        val spec = cluster.invariants.spec(job) ?: return
         if (spec.checkpointSeconds > 0 && attempt.firstHaltAt == null) {
             saved[job] = Math.floor((progress(job) + ranSeconds(attempt)) / spec.checkpointSeconds) * spec.checkpointSeconds
         }
         attempt.seats.toList().forEach { seat ->
-            world.clock.after(world.random.nextDouble() * world.gangPeerSeconds) {
+            cluster.clock.after(cluster.random.nextDouble() * cluster.gangPeerSeconds) {
                 if (attempt.seats.remove(seat)) seat.exits("peers")
             }
         }
@@ -116,13 +116,13 @@
         seat: Seat,
     ): Boolean {
         val attempt = attempts[job to run] ?: return false
-        val spec = world.rules.spec(job) ?: return false
+        val spec = cluster.invariants.spec(job) ?: return false
         if (attempt.runningSince == null || attempt.failed || attempt.ended) return false
         attempt.told += seat
         if (attempt.firstHaltAt != null) return true
-        attempt.firstHaltAt = world.clock.now
+        attempt.firstHaltAt = cluster.clock.now
         val reached = progress(job) + ranSeconds(attempt)
-        world.clock.after(maxOf(spec.saveSeconds, world.gangPeerSeconds)) {
+        cluster.clock.after(maxOf(spec.saveSeconds, cluster.gangPeerSeconds)) {
             if (!attempt.failed && !attempt.ended) {
                 attempt.ended = true
                 val all = attempt.told.containsAll(attempt.seats)
--- a/src/test/kotlin/burlridge/sim/Rules.kt
+++ b/src/test/kotlin/burlridge/simulation/InvariantChecker.kt
@@ -1,10 +1,10 @@
-package burlridge.sim
+package burlridge.simulation
 
 import burlridge.job.JobSpec
 import burlridge.job.Resources
 
 /** Every rule of the protocol, checked against what really happened on the stand-ins. */
-internal class Rules(
+internal class InvariantChecker(
     private val clock: Clock,
     private val cancelSeconds: Double,
     private val teamCpus: Map<String, Double>,
--- a/src/test/kotlin/burlridge/sim/MeetingsTest.kt
+++ b/src/test/kotlin/burlridge/simulation/OverlappingFailuresTest.kt
@@ -1,21 +1,21 @@
-package burlridge.sim
+package burlridge.simulation
 
-import burlridge.sim.World.Fate
+import burlridge.simulation.SimulatedCluster.CallFate
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Assertions.assertTrue
 import org.junit.jupiter.api.Test
 
 /** Two troubles at a time, each meeting at its worst moment and with several seeds; docs/meetings.md lists them. */
-internal class MeetingsTest {
+internal class OverlappingFailuresTest {
     /** Plays [day] with each of [seeds]; every rule holds and every job that [day] names is over in the end. */
     private fun meet(
         seeds: IntRange,
         until: Double = 240.0,
-        world: (Int) -> World = { World(it) },
-        day: World.() -> List<String>,
+        cluster: (Int) -> SimulatedCluster = { SimulatedCluster(it) },
+        day: SimulatedCluster.() -> List<String>,
     ) {
         for (seed in seeds) {
-            val played = world(seed)
+            val played = cluster(seed)
             val jobs = played.day()
             played.sendWrongOnes(until - 20.0)
             played.at(until - WATCHED_SECONDS) { played.watchWaiting() }
@@ -29,27 +29,27 @@
                 }
             }
             played.run(until)
-            assertEquals(emptyList<String>(), played.rules.unanswered(until - UNANSWERED_SECONDS).filter { it in jobs }, "unanswered")
+            assertEquals(emptyList<String>(), played.invariants.unanswered(until - UNANSWERED_SECONDS).filter { it in jobs }, "unanswered")
             val tail = "seed $seed\n" + played.log.takeLast(40).joinToString("\n")
-            assertEquals(emptyList<String>(), played.rules.broken, tail)
-            assertEquals(emptyList<String>(), jobs.filterNot { played.rules.finished(it) }, "not over, $tail")
-            assertTrue(played.rules.starts > 0, "nothing ran")
+            assertEquals(emptyList<String>(), played.invariants.broken, tail)
+            assertEquals(emptyList<String>(), jobs.filterNot { played.invariants.finished(it) }, "not over, $tail")
+            assertTrue(played.invariants.starts > 0, "nothing ran")
         }
     }
 
-    private fun World.at(
+    private fun SimulatedCluster.at(
         seconds: Double,
         work: () -> Unit,
     ) = clock.after(seconds, work)
 
-    private fun World.machines(): List<String> = cloud.names()
+    private fun SimulatedCluster.machines(): List<String> = cloud.names()
 
-    private fun World.crashLeader(backAfter: Double) {
+    private fun SimulatedCluster.crashLeader(backAfter: Double) {
         leader()?.let { crash(it, backAfter) }
     }
 
     /** Jobs for both teams, one after another, the limited one always at its limit. */
-    private fun World.crowd(
+    private fun SimulatedCluster.crowd(
         count: Int,
         runSeconds: Double,
         cancelledAt: Double? = null,
@@ -106,7 +106,7 @@
     /** Guards the reads: they waited behind writes that the budget held up, and polls went unanswered. */
     @Test
     fun `one-task jobs four a second for minutes, a quarter of them cancelled`() =
-        meet(1..2, until = 300.0, world = { World(it, writeRps = 25) }) {
+        meet(1..2, until = 300.0, cluster = { SimulatedCluster(it, writeRps = 25) }) {
             state.limitWrites(25.0)
             val jobs =
                 (0 until 480).map { i ->
@@ -123,11 +123,11 @@
         meet(1..8) {
             cloud.bootSeconds = { 0.2 + random.nextDouble() * 1.8 }
             lateSeconds = 12.0
-            meddle = { _, call -> if (call.path == "/multi" && random.nextInt(4) == 0) Fate.LATE else Fate.FINE }
+            onCall = { _, call -> if (call.path == "/multi" && random.nextInt(4) == 0) CallFate.LATE else CallFate.FINE }
             val jobs = (0 until 10).map { job(it, 4, cpus = 4.0, runSeconds = 20.0) }
             jobs.forEachIndexed { i, spec -> at(5.0 + 6 * i) { submit(spec) } }
             repeat(8) { i -> at(7.5 + 6 * i + random.nextDouble() * 2) { crashLeader(0.5) } }
-            at(90.0) { meddle = { _, _ -> Fate.FINE } }
+            at(90.0) { onCall = { _, _ -> CallFate.FINE } }
             jobs.map { it.id }
         }
 
@@ -240,7 +240,7 @@
     @Test
     fun `a zone with workers and a controller is cut off for longer than a lease`() =
         meet(1..6) {
-            holds = random.nextBoolean()
+            cutsHoldPackets = random.nextBoolean()
             val jobs = crowd(10, 40.0, cancelledAt = 56.0)
             at(50.0) {
                 val inside = leader() ?: return@at
@@ -256,14 +256,14 @@
     fun `commands are held up for seconds, and the machine then goes on`() =
         meet(1..8) {
             lateSeconds = 20.0
-            meddle =
+            onCall =
                 { _, call ->
                     if (call.path == "/do" &&
                         random.nextInt(4) == 0
                     ) {
-                        listOf(Fate.LATE, Fate.ANSWER_LOST).random(random)
+                        listOf(CallFate.LATE, CallFate.ANSWER_LOST).random(random)
                     } else {
-                        Fate.FINE
+                        CallFate.FINE
                     }
                 }
             val jobs = crowd(12, 14.0, cancelledAt = 40.0)
@@ -275,7 +275,7 @@
                 }
             }
             at(60.0) { crashLeader(1.0) }
-            at(110.0) { meddle = { _, _ -> Fate.FINE } }
+            at(110.0) { onCall = { _, _ -> CallFate.FINE } }
             jobs
         }
 
@@ -317,7 +317,7 @@
             }
             repeat(5) { i -> at(33.0 + 5 * i) { crashLeader(0.4) } }
             at(100.0) {
-                val late = rules.startsAfterCancellation.filter { it.second > reportSeconds * 2 }
+                val late = invariants.startsAfterCancellation.filter { it.second > reportSeconds * 2 }
                 assertEquals(emptyList<Pair<String, Double>>(), late, "started long after their cancellation")
             }
             jobs.map { it.id }
--- a/src/test/kotlin/burlridge/sim/FleetTest.kt
+++ b/src/test/kotlin/burlridge/simulation/ScaleInOutTest.kt
@@ -1,37 +1,51 @@
-package burlridge.sim
+package burlridge.simulation
 
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Assertions.assertTrue
 import org.junit.jupiter.api.Test
 
 /** Half as many machines again as the operators have, the largest arrays, and the troubles that hit all of them at once. */
-internal class FleetTest {
+internal class ScaleInOutTest {
     private val members = List(5) { "drover-$it" }
-    private val types = mapOf("small" to TypeSpec(4.0, 16.0, 360), "big" to TypeSpec(16.0, 64.0, 178))
-    private val world = World(21, members, types = types, guaranteed = 0.0)
+    private val types = mapOf("small" to MachineTypeSpec(4.0, 16.0, 360), "big" to MachineTypeSpec(16.0, 64.0, 178))
+    private val cluster = SimulatedCluster(21, members, types = types, guaranteed = 0.0)
 
     /** A burst of jobs, among them the largest there are, from 30 s on; every one must be told done, the largest begun in time. */
     private fun day(
         until: Double,
-        troubles: World.() -> Unit,
+        troubles: SimulatedCluster.() -> Unit,
     ) {
-        val jobs = (0 until 36).map { world.job(it, if (it % 9 == 0) 500 else 60, cpus = if (it % 3 == 0) 4.0 else 1.0, runSeconds = 20.0) }
-        jobs.forEachIndexed { i, job -> world.clock.after(30.0 + 2 * i) { world.submit(job) } }
-        world.troubles()
-        world.run(until)
-        assertEquals(emptyList<String>(), world.rules.broken)
-        assertEquals(emptyList<String>(), jobs.map { it.id }.filterNot { world.rules.finished(it) }, "not over")
-        assertEquals(MACHINES, world.cloud.names().size)
+        val jobs =
+            (0 until 36).map {
+                cluster.job(
+                    it,
+                    if (it % 9 ==
+                        0
+                    ) {
+                        500
+                    } else {
+                        60
+                    },
+                    cpus = if (it % 3 == 0) 4.0 else 1.0,
+                    runSeconds = 20.0,
+                )
+            }
+        jobs.forEachIndexed { i, job -> cluster.clock.after(30.0 + 2 * i) { cluster.submit(job) } }
+        cluster.troubles()
+        cluster.run(until)
+        assertEquals(emptyList<String>(), cluster.invariants.broken)
+        assertEquals(emptyList<String>(), jobs.map { it.id }.filterNot { cluster.invariants.finished(it) }, "not over")
+        assertEquals(MACHINES, cluster.cloud.names().size)
         jobs.forEach {
-            val waited = world.rules.firstStart(it.id) - 30.0 - 2 * jobs.indexOf(it)
+            val waited = cluster.invariants.firstStart(it.id) - 30.0 - 2 * jobs.indexOf(it)
             assertTrue(waited < MUST_BEGIN_SECONDS, "${it.id} of ${it.tasks} tasks waited $waited s")
         }
         // What is over leaves its end and nothing else, and the state service never sees more than it allows.
-        assertEquals(jobs.size, world.state.keys("over/").size)
-        assertEquals(emptyList<String>(), world.state.keys("live/") + world.state.keys("round/") + world.state.keys("prog/"))
-        assertTrue(world.state.writes < 25 * until, "writes: ${world.state.writes}")
-        assertTrue(world.state.mostRequests <= 2 * 200, "requests in a second: ${world.state.mostRequests}")
-        assertTrue(world.state.mostWrites <= 2 * 50, "changes in a second: ${world.state.mostWrites}")
+        assertEquals(jobs.size, cluster.state.keys("over/").size)
+        assertEquals(emptyList<String>(), cluster.state.keys("live/") + cluster.state.keys("round/") + cluster.state.keys("prog/"))
+        assertTrue(cluster.state.writes < 25 * until, "writes: ${cluster.state.writes}")
+        assertTrue(cluster.state.mostRequests <= 2 * 200, "requests in a second: ${cluster.state.mostRequests}")
+        assertTrue(cluster.state.mostWrites <= 2 * 50, "changes in a second: ${cluster.state.mostWrites}")
     }
 
     @Test
@@ -46,7 +60,7 @@
     @Test
     fun `a zone is cut off for longer than a lease, its packets are held back, and the leader crashes`() =
         day(260.0) {
-            holds = true
+            cutsHoldPackets = true
             clock.after(60.0) {
                 val apart = cloud.names().filter { cloud.worker(it)?.zone == "b" }
                 apart.forEach { machine -> members.forEach { cut(machine, it, 45.0) } }
--- a/src/test/kotlin/burlridge/sim/ScaleTest.kt
+++ b/src/test/kotlin/burlridge/simulation/ScaleTest.kt
@@ -1,4 +1,4 @@
-package burlridge.sim
+package burlridge.simulation
 
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Assertions.assertTrue
@@ -17,11 +17,11 @@
     fun `the same holds for six thousand machines`() = busyFleet(6_000)
 
     private fun busyFleet(machines: Int) {
-        val types = mapOf("small" to TypeSpec(4.0, 16.0, machines / 6), "big" to TypeSpec(16.0, 64.0, machines / 12))
-        val world = World(5, types = types, guaranteed = 0.0)
+        val types = mapOf("small" to MachineTypeSpec(4.0, 16.0, machines / 6), "big" to MachineTypeSpec(16.0, 64.0, machines / 12))
+        val cluster = SimulatedCluster(5, types = types, guaranteed = 0.0)
         val jobs =
             (0 until 60).map {
-                world.job(
+                cluster.job(
                     it,
                     if (it % 10 ==
                         0
@@ -34,37 +34,37 @@
                     runSeconds = 20.0,
                 )
             }
-        jobs.forEachIndexed { i, job -> world.clock.after(40.0 + i) { world.submit(job) } }
-        world.run(200.0)
-        assertEquals(emptyList<String>(), world.rules.broken)
-        assertEquals(emptyList<String>(), jobs.map { it.id }.filterNot { world.rules.finished(it) }, "not over")
-        assertEquals(machines / 12 * 12, world.cloud.names().size)
+        jobs.forEachIndexed { i, job -> cluster.clock.after(40.0 + i) { cluster.submit(job) } }
+        cluster.run(200.0)
+        assertEquals(emptyList<String>(), cluster.invariants.broken)
+        assertEquals(emptyList<String>(), jobs.map { it.id }.filterNot { cluster.invariants.finished(it) }, "not over")
+        assertEquals(machines / 12 * 12, cluster.cloud.names().size)
         val tasks = jobs.sumOf { it.tasks }
-        val work = world.work(world.leader().orEmpty())
-        assertEquals(tasks, world.rules.starts)
+        val work = cluster.work(cluster.leader().orEmpty())
+        assertEquals(tasks, cluster.invariants.starts)
         assertTrue(work.getValue("intent.rows") < tasks / 8, "claim rows: $work")
         assertTrue(work.getValue("worker.commands") <= tasks * 1.1, "commands: $work")
         assertTrue(work.getValue("placement.candidates") < tasks * 400L, "candidates: $work")
-        assertTrue(world.state.writes < 25 * 200 / 2, "writes: ${world.state.writes}")
+        assertTrue(cluster.state.writes < 25 * 200 / 2, "writes: ${cluster.state.writes}")
     }
 
     /** Guards the cost of a fleet that has nothing to do, which is what a small controller has least room for. */
     @Test
     fun `an idle fleet costs reports that are compared, and little else`() {
         for (size in listOf(1_100, 1_650, 4_000)) {
-            val types = mapOf("small" to TypeSpec(4.0, 16.0, size / 6), "big" to TypeSpec(16.0, 64.0, size / 6))
-            val world = World(5, types = types, guaranteed = 0.0)
-            val jobs = (0 until 20).map { world.job(it, 60, cpus = 1.0, runSeconds = 20.0) }
-            jobs.forEachIndexed { i, job -> world.clock.after(30.0 + i) { world.submit(job) } }
-            world.run(IDLE_FROM_SECONDS)
-            assertEquals(emptyList<String>(), jobs.map { it.id }.filterNot { world.rules.finished(it) }, "not over")
-            val machines = world.cloud.names().size
+            val types = mapOf("small" to MachineTypeSpec(4.0, 16.0, size / 6), "big" to MachineTypeSpec(16.0, 64.0, size / 6))
+            val cluster = SimulatedCluster(5, types = types, guaranteed = 0.0)
+            val jobs = (0 until 20).map { cluster.job(it, 60, cpus = 1.0, runSeconds = 20.0) }
+            jobs.forEachIndexed { i, job -> cluster.clock.after(30.0 + i) { cluster.submit(job) } }
+            cluster.run(IDLE_FROM_SECONDS)
+            assertEquals(emptyList<String>(), jobs.map { it.id }.filterNot { cluster.invariants.finished(it) }, "not over")
+            val machines = cluster.cloud.names().size
             assertTrue(machines >= size * 0.9, "$machines machines of $size")
-            val leader = world.leader().orEmpty()
-            val before = HashMap(world.work(leader))
-            world.run(IDLE_FROM_SECONDS + IDLE_SECONDS)
-            assertEquals(leader, world.leader())
-            val work = world.work(leader).mapValues { (name, amount) -> amount - (before[name] ?: 0L) }
+            val leader = cluster.leader().orEmpty()
+            val before = HashMap(cluster.work(leader))
+            cluster.run(IDLE_FROM_SECONDS + IDLE_SECONDS)
+            assertEquals(leader, cluster.leader())
+            val work = cluster.work(leader).mapValues { (name, amount) -> amount - (before[name] ?: 0L) }
             val reports = work.getValue("worker.reports")
             assertTrue(reports in (machines * IDLE_SECONDS / 4).toLong()..(machines * IDLE_SECONDS / 2.5).toLong(), "reports: $work")
             assertTrue((work["worker.reports_read"] ?: 0L) <= reports / 100, "reports that were decoded: $work")
--- a/src/test/kotlin/burlridge/sim/World.kt
+++ b/src/test/kotlin/burlridge/simulation/SimulatedCluster.kt
@@ -1,4 +1,4 @@
-package burlridge.sim
+package burlridge.simulation
 
 import burlridge.app.Controller
 import burlridge.core.CallOutcome
@@ -14,36 +14,40 @@
 import kotlin.random.Random
 
 /** The workers' times of a deployment. */
-internal data class Times(
+internal data class WorkerTimes(
     val reportSeconds: Double = 3.0,
     val leaseSeconds: Double = 24.0,
     val cancelSeconds: Double = 54.0,
 )
 
-internal data class TypeSpec(
+internal data class MachineTypeSpec(
     val cpus: Double,
     val memoryGb: Double,
     val capacity: Int,
 )
 
 /** A whole service in virtual time: real controllers, stand-ins for everything else, and faults on the links between them. */
-internal class World(
+internal class SimulatedCluster(
     seed: Int,
     override val members: List<String> = listOf("drover-0", "drover-1", "drover-2"),
     private val waitAim: Double = 10.0,
-    override val types: Map<String, TypeSpec> = mapOf("small" to TypeSpec(4.0, 16.0, 6), "big" to TypeSpec(16.0, 64.0, 3)),
+    override val types: Map<String, MachineTypeSpec> =
+        mapOf(
+            "small" to MachineTypeSpec(4.0, 16.0, 6),
+            "big" to MachineTypeSpec(16.0, 64.0, 3),
+        ),
     /** Guaranteed to the team that is guaranteed something; 0 for a deployment that guarantees nothing. */
     private val guaranteed: Double = 24.0,
     /** Limits that the state service may have from some moment on. */
     private val next: String? = null,
     /** Whether members start as of the version before: it knows neither gangs nor limits to come. */
     old: Boolean = false,
-    val times: Times = Times(),
+    val times: WorkerTimes = WorkerTimes(),
     private val writeRps: Int = 50,
     private val jobClasses: String = """{"kind":"wait","class":"urgent","within_s":$waitAim,"share":0.9}""",
     operator: OperatorSettings = OperatorSettings(),
     private val operatorOf: (member: String) -> OperatorSettings = { operator },
-) : Environment {
+) : SimulationEnvironment {
     override val clock = Clock()
     override val random = Random(seed)
     override val reportSeconds = times.reportSeconds
@@ -52,8 +56,8 @@
     override val zones = listOf("a", "b")
     override val gangWaitSeconds = 30.0
     override val gangPeerSeconds = 4.0
-    override val hall = GangHall(this)
-    override val rules = Rules(clock, cancelSeconds, mapOf("crew-x" to 48.0, "crew-y" to 0.0))
+    override val gangBarrier = GangBarrier(this)
+    override val invariants = InvariantChecker(clock, cancelSeconds, mapOf("crew-x" to 48.0, "crew-y" to 0.0))
     val state = StateService(clock)
     override val cloud = CloudService(this)
     val log = ArrayList<String>()
@@ -79,7 +83,7 @@
     private val heldInputs = HashMap<String, ArrayList<Input>>()
 
     /** Whether a cut holds back what is sent across it, to be delivered in the end, long given up. */
-    var holds = false
+    var cutsHoldPackets = false
 
     override var savesFail = false
 
@@ -103,7 +107,7 @@
     var lateSeconds = 30.0
 
     /** Called for each call before it is carried out; a test returns what is to become of it. */
-    var meddle: (from: String, effect: Effect.HttpCall) -> Fate = { _, _ -> Fate.FINE }
+    var onCall: (from: String, effect: Effect.HttpCall) -> CallFate = { _, _ -> CallFate.FINE }
 
     /** Told of everything that a member's step returns, before any of it is carried out. */
     var onEffect: (member: String, effect: Effect) -> Unit = { _, _ -> }
@@ -111,16 +115,16 @@
     /** Told the path of each request that one member passes on to another. */
     var onAsk: (path: String) -> Unit = {}
 
-    /** [Fate.REPEATED]: carried out and answered, and long after that carried out once more. */
-    enum class Fate { FINE, ANSWER_LOST, LATE, REFUSED, REPEATED }
+    /** [CallFate.REPEATED]: carried out and answered, and long after that carried out once more. */
+    enum class CallFate { FINE, ANSWER_LOST, LATE, REFUSED, REPEATED }
 
     init {
-        rules.onStart = { task, worker ->
+        invariants.onStart = { task, worker ->
             zoneOf[worker.id] = worker.zone
             history.started(task, worker.id, clock.now)
         }
-        rules.onEnd = { task, worker -> history.ended(task, worker.id, clock.now) }
-        rules.onStop = { task -> history.stopped(task, clock.now, rules.spec(task.substringBefore('/'))?.gang == true) }
+        invariants.onEnd = { task, worker -> history.ended(task, worker.id, clock.now) }
+        invariants.onStop = { task -> history.stopped(task, clock.now, invariants.spec(task.substringBefore('/'))?.gang == true) }
         members.forEachIndexed { i, name -> clock.after(0.1 * i) { start(name) } }
     }
 
@@ -259,11 +263,11 @@
     var peerSeconds: () -> Double = { 0.001 }
 
     /** Moments at which more than one member might have acted as leader. */
-    val rivals = ArrayList<String>()
+    val simultaneousLeaders = ArrayList<String>()
 
     private fun watchLeader() {
         val leaders = members.filter { controllers[it]?.isActiveLeader == true && it !in frozen }
-        if (leaders.size > 1) rivals += "$leaders at ${clock.now}"
+        if (leaders.size > 1) simultaneousLeaders += "$leaders at ${clock.now}"
         val now = leader() ?: return
         if (now != ledBy) onLeader(now)
         if (now != ledBy && ledBy != null) {
@@ -451,38 +455,38 @@
         val drawn =
             when {
                 lossy > 0 && effect.path.startsWith("/follow").not() && random.nextDouble() < lossy -> {
-                    listOf(Fate.ANSWER_LOST, Fate.LATE, Fate.REFUSED).random(random)
+                    listOf(CallFate.ANSWER_LOST, CallFate.LATE, CallFate.REFUSED).random(random)
                 }
 
                 else -> {
-                    meddle(name, effect)
+                    onCall(name, effect)
                 }
             }
-        val fate = if (host == "nobody") Fate.REFUSED else drawn
+        val fate = if (host == "nobody") CallFate.REFUSED else drawn
         clock.after(effect.timeoutSeconds) { settle(CallOutcome.Unknown) }
         when {
             host == "state" && isRefused(name) && !effect.path.startsWith("/follow") -> {
                 clock.after(0.003) { settle(CallOutcome.Responded(503, "{}")) }
             }
 
-            isDeaf(host) || (isCut(name, host) && fate != Fate.LATE) -> {
+            isDeaf(host) || (isCut(name, host) && fate != CallFate.LATE) -> {
                 // On a connection that stood before the cut it is held back; where there is none, none can be made.
-                if (holds && calls % 2 == 0) {
+                if (cutsHoldPackets && calls % 2 == 0) {
                     atEndOfCut(name, host) { deliver(host, effect) { _, _ -> } }
                 } else {
                     clock.after(1.0) { settle(CallOutcome.NotSent) }
                 }
             }
 
-            fate == Fate.REFUSED -> {
+            fate == CallFate.REFUSED -> {
                 clock.after(0.01) { settle(CallOutcome.NotSent) }
             }
 
             else -> {
-                if (fate == Fate.REPEATED) clock.after(lateSeconds) { deliver(host, effect) { _, _ -> } }
-                clock.after(if (fate == Fate.LATE) random.nextDouble() * lateSeconds else 0.003) {
+                if (fate == CallFate.REPEATED) clock.after(lateSeconds) { deliver(host, effect) { _, _ -> } }
+                clock.after(if (fate == CallFate.LATE) random.nextDouble() * lateSeconds else 0.003) {
                     deliver(host, effect) { status, body ->
-                        if ((fate == Fate.FINE || fate == Fate.REPEATED) &&
+                        if ((fate == CallFate.FINE || fate == CallFate.REPEATED) &&
                             !isCut(name, host)
                         ) {
                             clock.after(0.003) { settle(CallOutcome.Responded(status, body)) }
@@ -531,7 +535,7 @@
         if ((mute[from] ?: 0.0) > clock.now) return clock.after(0.5) { settle(0, "") }
         if (cut || controllers[name] == null) {
             val late = Input.Request(nextRequest++, method, path, "", body)
-            if (cut && holds) atEndOfCut(from, name) { step(name, late) } else clock.after(0.5) { settle(0, "") }
+            if (cut && cutsHoldPackets) atEndOfCut(from, name) { step(name, late) } else clock.after(0.5) { settle(0, "") }
             return
         }
         val id = nextRequest++
@@ -560,7 +564,7 @@
             ?.asText()
 
     /** Everything that users were told and that ran, for a checker of its own. */
-    val history = History()
+    val history = ExecutionHistory()
 
     private fun remember(
         member: String,
@@ -571,13 +575,13 @@
         answer: String,
     ) {
         val job = if (path == "/api/jobs") Json.parseOrNull(body)?.path("id")?.asText() else path.split('/').getOrNull(3)
-        history.told += History.Told(job.orEmpty(), member, status, standing(answer), askedAt, clock.now)
+        history.told += ExecutionHistory.Told(job.orEmpty(), member, status, standing(answer), askedAt, clock.now)
     }
 
     fun run(until: Double) {
         while (clock.now < until) {
             clock.runUntil(minOf(until, clock.now + 1.0))
-            rules.sweep()
+            invariants.sweep()
         }
     }
 }
--- a/src/test/kotlin/burlridge/sim/Users.kt
+++ b/src/test/kotlin/burlridge/simulation/SimulatedUsers.kt
@@ -1,4 +1,4 @@
-package burlridge.sim
+package burlridge.simulation
 
 import burlridge.job.JobSpec
 import burlridge.job.Priority
@@ -7,7 +7,7 @@
 
 // The users of a simulated world: what they submit, ask and cancel. Every answer goes to the checker of rules.
 
-internal fun World.job(
+internal fun SimulatedCluster.job(
     number: Int,
     tasks: Int,
     cpus: Double = 1.0,
@@ -39,7 +39,7 @@
         null,
     )
 
-internal fun World.gang(
+internal fun SimulatedCluster.gang(
     number: Int,
     tasks: Int,
     cpus: Double = 1.0,
@@ -52,77 +52,77 @@
         .copy(gang = true, checkpointSeconds = 5.0, saveSeconds = 2.0)
 
 /** Submits until accepted, then polls until the job is over, and sometimes after. */
-internal fun World.submit(
+internal fun SimulatedCluster.submit(
     spec: JobSpec,
     abortAfter: Double? = null,
 ) {
-    rules.submitted(spec)
+    invariants.submitted(spec)
     attempt(spec)
     abortAfter?.let { clock.after(it) { abort(spec) } }
 }
 
-private fun World.attempt(spec: JobSpec) {
+private fun SimulatedCluster.attempt(spec: JobSpec) {
     val askedAt = clock.now
     request("user", anyMember(), "POST", "/api/jobs", spec.encode().toString(), 5.0) { status, body ->
-        rules.answered(spec.id, status, standing(body), submission = true, askedAt)
+        invariants.answered(spec.id, status, standing(body), submission = true, askedAt)
         if (status == 201) lookClosely(spec)
         if (status == 200 || status == 201) poll(spec, 0) else clock.after(1.0) { attempt(spec) }
     }
 }
 
-private fun World.poll(
+private fun SimulatedCluster.poll(
     spec: JobSpec,
     afterEnd: Int,
 ) {
     clock.after(2.0 + random.nextDouble()) {
         val askedAt = clock.now
         request("user", anyMember(), "GET", "/api/jobs/${spec.id}", "", 2.0) { status, body ->
-            val wasOver = rules.finished(spec.id)
-            rules.answered(spec.id, status, standing(body), submission = false, askedAt)
-            if (!wasOver && rules.finished(spec.id)) lookClosely(spec)
-            val ended = if (rules.finished(spec.id)) afterEnd + 1 else 0
+            val wasOver = invariants.finished(spec.id)
+            invariants.answered(spec.id, status, standing(body), submission = false, askedAt)
+            if (!wasOver && invariants.finished(spec.id)) lookClosely(spec)
+            val ended = if (invariants.finished(spec.id)) afterEnd + 1 else 0
             if (ended == 3) resubmit(spec) else poll(spec, ended)
         }
     }
 }
 
-private fun World.resubmit(spec: JobSpec) = submitOnce(spec, anyMember())
+private fun SimulatedCluster.resubmit(spec: JobSpec) = submitOnce(spec, anyMember())
 
-internal fun World.submitOnce(
+internal fun SimulatedCluster.submitOnce(
     spec: JobSpec,
     member: String,
 ) {
     val askedAt = clock.now
     request("user", member, "POST", "/api/jobs", spec.encode().toString(), 5.0) { status, body ->
-        rules.answered(spec.id, status, standing(body), submission = true, askedAt)
+        invariants.answered(spec.id, status, standing(body), submission = true, askedAt)
     }
 }
 
 /** A question that does not care for what it finds. */
-internal fun World.look(
+internal fun SimulatedCluster.look(
     spec: JobSpec,
     member: String,
 ) {
     val askedAt = clock.now
     request("user", member, "GET", "/api/jobs/${spec.id}", "", 2.0) { status, body ->
-        rules.answered(spec.id, status, standing(body), submission = false, askedAt)
+        invariants.answered(spec.id, status, standing(body), submission = false, askedAt)
     }
 }
 
 /** A question about a job known by its name alone; the answer must be about that job. */
-internal fun World.lookAt(
+internal fun SimulatedCluster.lookAt(
     id: String,
     member: String,
 ) {
     val askedAt = clock.now
     request("user", member, "GET", "/api/jobs/$id", "", 2.0) { status, body ->
         val named = Json.parseOrNull(body)?.path("id")?.asText()
-        rules.answered(if (status == 200) named ?: id else id, status, standing(body), submission = false, askedAt)
-        if (status == 200 && named != id) rules.broken += "went_back at ${clock.now}: asked for $id, told of $named"
+        invariants.answered(if (status == 200) named ?: id else id, status, standing(body), submission = false, askedAt)
+        if (status == 200 && named != id) invariants.broken += "went_back at ${clock.now}: asked for $id, told of $named"
     }
 }
 
-private fun World.lookClosely(spec: JobSpec) {
+private fun SimulatedCluster.lookClosely(spec: JobSpec) {
     if (!closeLooks) return
     members.forEachIndexed { i, member ->
         listOf(0.0, 0.002, 0.02, 0.3, 1.5).forEach { delay -> clock.after(delay + i * 0.0007) { look(spec, member) } }
@@ -130,16 +130,16 @@
     }
 }
 
-internal fun World.abort(
+internal fun SimulatedCluster.abort(
     spec: JobSpec,
     member: String? = null,
 ) {
-    rules.askedToAbort(spec.id)
+    invariants.askedToAbort(spec.id)
     val askedAt = clock.now
     request("user", member ?: anyMember(), "POST", "/api/jobs/${spec.id}/abort", "", 5.0) { status, body ->
         if (status == 200) {
             if (standing(body) == "withdrawn") onCancelled(spec.id)
-            rules.answered(spec.id, status, standing(body), submission = false, askedAt)
+            invariants.answered(spec.id, status, standing(body), submission = false, askedAt)
             lookClosely(spec)
         } else {
             clock.after(1.0) { abort(spec, member) }
@@ -148,7 +148,7 @@
 }
 
 /** Users send what lacks a field, and what fits no machine, every few seconds from now on. */
-internal fun World.sendWrongOnes(until: Double) {
+internal fun SimulatedCluster.sendWrongOnes(until: Double) {
     if (clock.now > until) return
     val number = 900_000 + (clock.now * 10).toInt()
     val lacking = job(number, 1).encode().toString().replace("\"crew\":\"crew-y\",", "")
@@ -161,14 +161,14 @@
             "/api/jobs",
             body,
             5.0,
-        ) { status, _ -> rules.answeredWrongOne("j-%06d".format(id), status) }
+        ) { status, _ -> invariants.answeredWrongOne("j-%06d".format(id), status) }
     }
     clock.after(4.0) { sendWrongOnes(until) }
 }
 
 /** Watches from now on that no job waits beside room that it might use. */
-internal fun World.watchWaiting() {
-    rules.waiting { spec ->
+internal fun SimulatedCluster.watchWaiting() {
+    invariants.waiting { spec ->
         !spec.gang && !spec.oneZone && !spec.spread &&
             cloud.names().any { cloud.worker(it)?.hasRoomFor(spec) == true }
     }
--- a/src/test/kotlin/burlridge/sim/Environment.kt
+++ b/src/test/kotlin/burlridge/simulation/SimulationEnvironment.kt
@@ -1,21 +1,21 @@
-package burlridge.sim
+package burlridge.simulation
 
 import burlridge.job.JobSpec
 import kotlin.random.Random
 
 /** What the stand-ins for workers, gangs and the cloud need of the world they live in: a simulated one, or real processes on loopback. */
-internal interface Environment {
+internal interface SimulationEnvironment {
     val clock: Clock
     val random: Random
     val members: List<String>
-    val types: Map<String, TypeSpec>
+    val types: Map<String, MachineTypeSpec>
     val zones: List<String>
     val reportSeconds: Double
     val leaseSeconds: Double
     val gangWaitSeconds: Double
     val gangPeerSeconds: Double
-    val rules: Rules
-    val hall: GangHall
+    val invariants: InvariantChecker
+    val gangBarrier: GangBarrier
     val cloud: CloudService
 
     /** What a worker calls a state or a cause; a later version may have words of its own. */
--- a/src/test/kotlin/burlridge/sim/StateService.kt
+++ b/src/test/kotlin/burlridge/simulation/StateService.kt
@@ -1,4 +1,4 @@
-package burlridge.sim
+package burlridge.simulation
 
 import burlridge.json.Json
 import com.fasterxml.jackson.databind.JsonNode
--- a/src/test/kotlin/burlridge/sim/SubmissionTest.kt
+++ b/src/test/kotlin/burlridge/simulation/SubmissionTest.kt
@@ -1,4 +1,4 @@
-package burlridge.sim
+package burlridge.simulation
 
 import burlridge.job.JobSpec
 import org.junit.jupiter.api.Assertions.assertEquals
@@ -6,7 +6,7 @@
 
 /** The verdict on a submission, the same for every repeat of it and from every member. */
 internal class SubmissionTest {
-    private fun World.verdicts(spec: JobSpec): Set<Int> {
+    private fun SimulatedCluster.verdicts(spec: JobSpec): Set<Int> {
         val answers = HashSet<Int>()
         members.forEach { member ->
             repeat(2) { i ->
@@ -19,29 +19,29 @@
         return answers
     }
 
-    private fun world() = World(41, next = """{"value_kb":2,"txn_ops":4}""")
+    private fun cluster() = SimulatedCluster(41, next = """{"value_kb":2,"txn_ops":4}""")
 
     @Test
     fun `a gang that needs more than its team's limit for all can never run, an array of the same size can`() {
-        assertEquals(setOf(422), world().verdicts(world().gang(1, 60, team = "crew-x")))
-        assertEquals(setOf(201, 200), world().verdicts(world().job(1, 60, team = "crew-x")))
+        assertEquals(setOf(422), cluster().verdicts(cluster().gang(1, 60, team = "crew-x")))
+        assertEquals(setOf(201, 200), cluster().verdicts(cluster().job(1, 60, team = "crew-x")))
     }
 
     @Test
     fun `a gang that must be in one zone and spread over two can never run`() {
-        assertEquals(setOf(422), world().verdicts(world().gang(1, 4).copy(spread = true)))
-        assertEquals(setOf(201, 200), world().verdicts(world().gang(1, 4, oneZone = false).copy(spread = true)))
+        assertEquals(setOf(422), cluster().verdicts(cluster().gang(1, 4).copy(spread = true)))
+        assertEquals(setOf(201, 200), cluster().verdicts(cluster().gang(1, 4, oneZone = false).copy(spread = true)))
     }
 
     /** Guards the state service's value size: such a row would be refused at every retry. */
     @Test
     fun `a description longer than a row can never run`() {
-        val long = world().job(1, 2).copy(types = listOf("small") + (1..29).map { "type-%0195d".format(it) })
-        assertEquals(setOf(422), world().verdicts(long))
+        val long = cluster().job(1, 2).copy(types = listOf("small") + (1..29).map { "type-%0195d".format(it) })
+        assertEquals(setOf(422), cluster().verdicts(long))
     }
 
     @Test
     fun `where the platform knows no gangs they are refused with a reason`() {
-        assertEquals(setOf(400), World(42, old = true).verdicts(world().gang(1, 2)))
+        assertEquals(setOf(400), SimulatedCluster(42, old = true).verdicts(cluster().gang(1, 2)))
     }
 }
--- a/src/test/kotlin/burlridge/sim/WholeServiceTest.kt
+++ b/src/test/kotlin/burlridge/simulation/WholeServiceTest.kt
@@ -1,4 +1,4 @@
-package burlridge.sim
+package burlridge.simulation
 
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Assertions.assertTrue
@@ -6,7 +6,7 @@
 
 /** The whole service in virtual time. Every test ends by asking the checker of rules. */
 internal class WholeServiceTest {
-    private fun World.load(jobs: Int): List<String> {
+    private fun SimulatedCluster.load(jobs: Int): List<String> {
         val names = ArrayList<String>()
         repeat(jobs) { i ->
             val spec =
@@ -23,34 +23,34 @@
         return names
     }
 
-    private fun World.verdict(jobs: List<String>) {
-        assertEquals(emptyList<String>(), rules.broken)
-        assertTrue(rules.starts > 0, "nothing ran")
-        assertEquals(emptyList<String>(), jobs.filterNot { rules.finished(it) }, "jobs never over")
+    private fun SimulatedCluster.verdict(jobs: List<String>) {
+        assertEquals(emptyList<String>(), invariants.broken)
+        assertTrue(invariants.starts > 0, "nothing ran")
+        assertEquals(emptyList<String>(), jobs.filterNot { invariants.finished(it) }, "jobs never over")
     }
 
     @Test
     fun `a quiet day finishes every job`() {
-        val world = World(1)
-        val jobs = world.load(30)
-        world.run(240.0)
-        world.verdict(jobs)
+        val cluster = SimulatedCluster(1)
+        val jobs = cluster.load(30)
+        cluster.run(240.0)
+        cluster.verdict(jobs)
     }
 
-    /** More luck on demand: `mvn test -Dluck=300`. */
+    /** More seeds on demand: `mvn test -Dsimulation.seeds=300`. */
     @Test
     fun `whatever fails, the rules hold and every job ends`() {
-        val days = System.getProperty("luck")?.toInt() ?: 12
+        val days = System.getProperty("simulation.seeds")?.toInt() ?: 12
         for (seed in (System.getProperty("from")?.toInt() ?: 1)..days) {
-            val world = World(seed)
-            val jobs = world.load(30)
-            Troubles(world, seed).draw(10, 20.0, 140.0)
-            world.run(400.0)
+            val cluster = SimulatedCluster(seed)
+            val jobs = cluster.load(30)
+            RandomFaults(cluster, seed).draw(10, 20.0, 140.0)
+            cluster.run(400.0)
             try {
-                world.verdict(jobs)
+                cluster.verdict(jobs)
             } catch (e: AssertionError) {
                 throw AssertionError(
-                    "seed $seed: ${e.message}\n${world.log.takeLast(System.getProperty("tail")?.toInt() ?: 60).joinToString("\n")}",
+                    "seed $seed: ${e.message}\n${cluster.log.takeLast(System.getProperty("tail")?.toInt() ?: 60).joinToString("\n")}",
                     e,
                 )
             }
--- a/src/test/kotlin/burlridge/sim/Worker.kt
+++ b/src/test/kotlin/burlridge/simulation/Worker.kt
@@ -1,4 +1,4 @@
-package burlridge.sim
+package burlridge.simulation
 
 import burlridge.job.JobSpec
 import burlridge.json.Json
@@ -6,7 +6,7 @@
 
 /** A stand-in for a worker: reports, executes commands, keeps its lease. */
 internal class Worker(
-    private val world: Environment,
+    private val cluster: SimulationEnvironment,
     val id: String,
     val type: String,
     val zone: String,
@@ -19,7 +19,7 @@
         var standing: String,
         var cause: String? = null,
         var kept: Boolean = false,
-    ) : GangHall.Seat {
+    ) : GangBarrier.Seat {
         val job: String get() = taskName.substringBefore('/')
         var startedAt = 0.0
         val onMachine: Boolean get() = standing == "running" || standing == "gathering" || standing == "saving"
@@ -36,7 +36,7 @@
         ) {
             if (!alive || tasks["$taskName@$run"] !== this || standing == "exited") return
             this.kept = kept
-            world.rules.ended(taskName, this@Worker, cause == "done")
+            cluster.invariants.ended(taskName, this@Worker, cause == "done")
             exit(this, cause)
         }
     }
@@ -45,8 +45,8 @@
     private var sequence = 0L
     private var token = 0L
     private val tasks = LinkedHashMap<String, Task>()
-    private var node = world.random.nextInt(world.members.size)
-    private var answeredSentAt = world.clock.now
+    private var node = cluster.random.nextInt(cluster.members.size)
+    private var answeredSentAt = cluster.clock.now
     private var alive = true
 
     /** How many times as long as usual its tasks take. */
@@ -70,7 +70,7 @@
         tasks.values.forEach { leave(it, false) }
         tasks.clear()
         agentEpoch++
-        answeredSentAt = world.clock.now
+        answeredSentAt = cluster.clock.now
         changed = true
     }
 
@@ -78,9 +78,9 @@
 
     /** The cloud takes the machine back after [seconds], and says so. */
     fun recall(seconds: Double) {
-        recalledAt = world.clock.now + seconds
+        recalledAt = cluster.clock.now + seconds
         changed = true
-        world.clock.after(seconds) { world.cloud.take(id) }
+        cluster.clock.after(seconds) { cluster.cloud.take(id) }
     }
 
     fun has(taskName: String): Boolean = tasks.values.any { it.taskName == taskName && it.standing != "exited" }
@@ -90,23 +90,23 @@
         val active = tasks.values.filter { it.standing != "exited" }
         val used =
             active.sumOf { t ->
-                world.rules
+                cluster.invariants
                     .spec(t.job)
                     ?.size
                     ?.cpus ?: 0.0
             }
-        val fits = used + spec.size.cpus <= world.types.getValue(type).cpus + 1e-6
+        val fits = used + spec.size.cpus <= cluster.types.getValue(type).cpus + 1e-6
         return alive && !hung && token > 0 && recalledAt == null && fits && (spec.spot || !spot) && (spec.zone == null || spec.zone == zone)
     }
 
     private var hungUntil = 0.0
-    private val hung: Boolean get() = world.clock.now < hungUntil
+    private val hung: Boolean get() = cluster.clock.now < hungUntil
     private val held = ArrayList<() -> Unit>()
 
     /** It stands still with all that is on it; what comes meanwhile is carried out when it goes on. */
     fun hang(seconds: Double) {
-        hungUntil = world.clock.now + seconds
-        world.clock.after(seconds + 0.001) {
+        hungUntil = cluster.clock.now + seconds
+        cluster.clock.after(seconds + 0.001) {
             if (alive) {
                 expire()
                 held.toList().also { held.clear() }.forEach { it() }
@@ -126,7 +126,7 @@
     }
 
     private fun watchLease() {
-        world.clock.after(0.1) {
+        cluster.clock.after(0.1) {
             if (alive) {
                 if (!hung) expire()
                 watchLease()
@@ -135,22 +135,22 @@
     }
 
     private fun expire() {
-        if (world.clock.now <= answeredSentAt + world.leaseSeconds) return
+        if (cluster.clock.now <= answeredSentAt + cluster.leaseSeconds) return
         tasks.values.forEach { leave(it, false) }
         tasks.clear()
         agentEpoch++
-        answeredSentAt = world.clock.now
+        answeredSentAt = cluster.clock.now
     }
 
     private fun leave(
         task: Task,
         done: Boolean,
     ) {
-        if (task.onMachine) world.rules.ended(task.taskName, this, done)
-        if (task.onMachine && isGang(task)) world.hall.leaves(task.job, task.run, task)
+        if (task.onMachine) cluster.invariants.ended(task.taskName, this, done)
+        if (task.onMachine && isGang(task)) cluster.gangBarrier.leaves(task.job, task.run, task)
     }
 
-    private fun isGang(task: Task): Boolean = world.rules.spec(task.job)?.gang == true
+    private fun isGang(task: Task): Boolean = cluster.invariants.spec(task.job)?.gang == true
 
     private fun report(): JsonNode =
         Json.obj {
@@ -162,11 +162,11 @@
             put("stint", agentEpoch)
             put("tally", ++sequence)
             put("baton", token)
-            recalledAt?.let { put("recallS", it - world.clock.now) }
+            recalledAt?.let { put("recallS", it - cluster.clock.now) }
             val list = putArray("pieces")
             tasks.values.forEach { t ->
-                list.addObject().put("piece", t.taskName).put("try", t.run).put("standing", world.word(t.standing)).also { o ->
-                    t.cause?.let { o.put("cause", world.word(it)) }
+                list.addObject().put("piece", t.taskName).put("try", t.run).put("standing", cluster.word(t.standing)).also { o ->
+                    t.cause?.let { o.put("cause", cluster.word(it)) }
                     if (t.kept) o.put("kept", true)
                 }
             }
@@ -177,10 +177,10 @@
         if (hung) return whenAwake { heartbeat() }
         inFlight = true
         changed = false
-        val sentAt = world.clock.now
+        val sentAt = cluster.clock.now
         val sentSession = agentEpoch
-        val name = world.members[node]
-        world.request(id, name, "POST", "/agent/beat", report().toString(), 4.0) { status, body ->
+        val name = cluster.members[node]
+        cluster.request(id, name, "POST", "/agent/beat", report().toString(), 4.0) { status, body ->
             inFlight = false
             if (!alive) return@request
             if (hung) return@request whenAwake { nextBeat() }
@@ -196,27 +196,27 @@
                 }
 
                 421 -> {
-                    val herder = world.members.indexOf(answer?.path("herder")?.asText(""))
+                    val herder = cluster.members.indexOf(answer?.path("herder")?.asText(""))
                     val known = herder >= 0 && herder != node
-                    node = if (known) herder else (node + 1) % world.members.size
-                    world.clock.after(if (known) world.random.nextDouble() * 0.5 else 1.0) { heartbeat() }
+                    node = if (known) herder else (node + 1) % cluster.members.size
+                    cluster.clock.after(if (known) cluster.random.nextDouble() * 0.5 else 1.0) { heartbeat() }
                 }
 
                 else -> {
-                    node = (node + 1) % world.members.size
-                    world.clock.after(1.0) { heartbeat() }
+                    node = (node + 1) % cluster.members.size
+                    cluster.clock.after(1.0) { heartbeat() }
                 }
             }
         }
     }
 
     private fun nextBeat() {
-        val at = world.clock.now + world.reportSeconds * (0.75 + world.random.nextDouble() * 0.5)
+        val at = cluster.clock.now + cluster.reportSeconds * (0.75 + cluster.random.nextDouble() * 0.5)
 
         fun wait() {
-            world.clock.after(0.5) {
+            cluster.clock.after(0.5) {
                 if (alive && !inFlight) {
-                    if (changed || world.clock.now >= at) {
+                    if (changed || cluster.clock.now >= at) {
                         heartbeat()
                     } else {
                         wait()
@@ -268,8 +268,8 @@
         task: Task,
         graceSeconds: Double,
     ) {
-        val saveSeconds = world.rules.spec(task.job)?.saveSeconds ?: 0.0
-        val saves = isGang(task) && saveSeconds > 0 && graceSeconds >= saveSeconds && world.hall.saves(task.job, task.run, task)
+        val saveSeconds = cluster.invariants.spec(task.job)?.saveSeconds ?: 0.0
+        val saves = isGang(task) && saveSeconds > 0 && graceSeconds >= saveSeconds && cluster.gangBarrier.saves(task.job, task.run, task)
         if (saves || (task.standing == "saving" && graceSeconds > 0)) return
         if (!isGang(task) && task.standing == "running" && saveSeconds > 0 && graceSeconds >= saveSeconds) return save(task, saveSeconds)
         stop(task)
@@ -282,12 +282,12 @@
     ) {
         task.standing = "saving"
         changed = true
-        val ranSeconds = world.clock.now - task.startedAt
-        world.clock.after(saveSeconds) {
+        val ranSeconds = cluster.clock.now - task.startedAt
+        cluster.clock.after(saveSeconds) {
             whenAwake {
                 if (alive && task.standing == "saving" && tasks["${task.taskName}@${task.run}"] === task) {
-                    task.kept = !world.savesFail
-                    if (task.kept) world.rules.savedSeconds.merge(task.taskName, ranSeconds / slowness, Double::plus)
+                    task.kept = !cluster.savesFail
+                    if (task.kept) cluster.invariants.savedSeconds.merge(task.taskName, ranSeconds / slowness, Double::plus)
                     stop(task)
                 }
             }
@@ -298,11 +298,11 @@
         if (task.standing == "running" ||
             (task.standing == "saving" && !task.kept)
         ) {
-            world.rules.lostSeconds += world.clock.now - task.startedAt
+            cluster.invariants.lostSeconds += cluster.clock.now - task.startedAt
         }
         leave(task, false)
         exit(task, "stopped")
-        world.rules.stopped(task.taskName)
+        cluster.invariants.stopped(task.taskName)
     }
 
     private fun exit(
@@ -321,19 +321,19 @@
     ) {
         val task = Task(taskName, run, "fetching")
         tasks[key] = task
-        val spec = world.rules.spec(taskName.substringBefore('/'))
+        val spec = cluster.invariants.spec(taskName.substringBefore('/'))
         if (spec == null) return exit(task, "unknown")
         if (tasks.values.any { it !== task && it.taskName == taskName && it.standing != "exited" }) return exit(task, "in_use")
         val active = tasks.values.filter { it.standing != "exited" }
         val cpus =
             active.sumOf {
-                world.rules
+                cluster.invariants
                     .spec(it.taskName.substringBefore('/'))
                     ?.size
                     ?.cpus ?: 0.0
             }
-        if (cpus > world.types.getValue(type).cpus + 1e-6) return exit(task, "full")
-        world.clock.after(world.fetchSeconds(this, spec)) {
+        if (cpus > cluster.types.getValue(type).cpus + 1e-6) return exit(task, "full")
+        cluster.clock.after(cluster.fetchSeconds(this, spec)) {
             images += spec.image
             whenAwake { fetched(key, task, spec.estimateSeconds) }
         }
@@ -345,14 +345,14 @@
         runSeconds: Double,
     ) {
         if (!alive || tasks[key] !== task || task.standing != "fetching") return
-        world.rules.started(task.taskName, this)
-        if (isGang(task) && !world.rules.hasCompleted(task.taskName)) return world.hall.enter(task.job, task.run, task)
+        cluster.invariants.started(task.taskName, this)
+        if (isGang(task) && !cluster.invariants.hasCompleted(task.taskName)) return cluster.gangBarrier.enter(task.job, task.run, task)
         task.standing = "running"
-        task.startedAt = world.clock.now
+        task.startedAt = cluster.clock.now
         changed = true
-        val leftSeconds = (runSeconds - (world.rules.savedSeconds[task.taskName] ?: 0.0)).coerceAtLeast(0.0)
-        val need = if (world.rules.hasCompleted(task.taskName)) 0.0 else leftSeconds * slowness
-        world.clock.after(need) { whenAwake { complete(key, task) } }
+        val leftSeconds = (runSeconds - (cluster.invariants.savedSeconds[task.taskName] ?: 0.0)).coerceAtLeast(0.0)
+        val need = if (cluster.invariants.hasCompleted(task.taskName)) 0.0 else leftSeconds * slowness
+        cluster.clock.after(need) { whenAwake { complete(key, task) } }
     }
 
     private fun complete(
--- a/src/test/kotlin/burlridge/transcript/Transcript.kt
+++ b/src/test/kotlin/burlridge/transcript/Transcript.kt
@@ -3,29 +3,29 @@
 import burlridge.core.Effect
 import burlridge.message.HandoverMessage
 import burlridge.message.PeerMessage
-import burlridge.sim.World
+import burlridge.simulation.SimulatedCluster
 import java.security.MessageDigest
 import java.util.HexFormat
 import java.util.zip.CRC32
 
 /**
- * Everything that leaves `Controller.step` of every member of a [World], in order and with its virtual time, and in the end all rows of the
+ * Everything that leaves `Controller.step` of every member of a [SimulatedCluster], in order and with its virtual time, and in the end all rows of the
  * key-value store. Log lines are left out. The words written here are the transcript's own, so that renaming the code changes no line.
  */
 internal class Transcript(
-    private val world: World,
+    private val cluster: SimulatedCluster,
 ) {
     private val lines = ArrayList<String>()
 
     init {
-        world.onEffect = { member, effect -> describe(effect)?.let { record(member, it) } }
+        cluster.onEffect = { member, effect -> describe(effect)?.let { record(member, it) } }
     }
 
     private fun record(
         member: String,
         text: String,
     ) {
-        lines += "%9.3f %s %s".format(world.clock.now, member, text)
+        lines += "%9.3f %s %s".format(cluster.clock.now, member, text)
     }
 
     private fun describe(effect: Effect): String? =
@@ -83,7 +83,7 @@
 
     /** The whole transcript; the rows are those that the store holds now. */
     fun text(): String {
-        val rows = world.state.keys("").map { "row $it ${world.state.value(it)}" }
+        val rows = cluster.state.keys("").map { "row $it ${cluster.state.value(it)}" }
         return (lines + rows).joinToString("\n", postfix = "\n")
     }
 
--- a/src/test/kotlin/burlridge/transcript/TranscriptSchedules.kt
+++ b/src/test/kotlin/burlridge/transcript/TranscriptSchedules.kt
@@ -1,7 +1,7 @@
 package burlridge.transcript
 
 import burlridge.balance.balanced
-import burlridge.balance.balancedWorld
+import burlridge.balance.balancedCluster
 import burlridge.balance.drainZone
 import burlridge.balance.savingJob
 import burlridge.balance.submitAll
@@ -9,25 +9,25 @@
 import burlridge.job.JobSpec
 import burlridge.settings.FailoverSettings
 import burlridge.settings.OperatorSettings
-import burlridge.sim.Troubles
-import burlridge.sim.TypeSpec
-import burlridge.sim.World
-import burlridge.sim.World.Fate
-import burlridge.sim.abort
-import burlridge.sim.gang
-import burlridge.sim.job
-import burlridge.sim.sendWrongOnes
-import burlridge.sim.submit
+import burlridge.simulation.MachineTypeSpec
+import burlridge.simulation.RandomFaults
+import burlridge.simulation.SimulatedCluster
+import burlridge.simulation.SimulatedCluster.CallFate
+import burlridge.simulation.abort
+import burlridge.simulation.gang
+import burlridge.simulation.job
+import burlridge.simulation.sendWrongOnes
+import burlridge.simulation.submit
 
 /** A world with a load and failures at set times, played until [endsAt]. */
 internal class TranscriptSchedule(
     val name: String,
     private val endsAt: Double,
-    private val world: () -> World,
-    private val prepare: World.() -> Unit,
+    private val cluster: () -> SimulatedCluster,
+    private val prepare: SimulatedCluster.() -> Unit,
 ) {
     fun play(): Transcript {
-        val prepared = world()
+        val prepared = cluster()
         val transcript = Transcript(prepared)
         prepared.prepare()
         prepared.run(endsAt)
@@ -37,13 +37,13 @@
     override fun toString(): String = name
 }
 
-private fun World.at(
+private fun SimulatedCluster.at(
     seconds: Double,
     action: () -> Unit,
 ) = clock.after(seconds, action)
 
 /** Arrays of two teams, one of which has a guarantee and a limit; every seventh is cancelled. */
-private fun World.arrays(
+private fun SimulatedCluster.arrays(
     count: Int,
     from: Double = 5.0,
     every: Double = 2.0,
@@ -59,77 +59,77 @@
     at(from + i * every) { submit(spec, abortAfter = if (i % 7 == 6) 10.0 else null) }
 }
 
-private fun World.atLeader(
+private fun SimulatedCluster.atLeader(
     seconds: Double,
     action: (leader: String) -> Unit,
 ) = at(seconds) { leader()?.let(action) }
 
 /** Jobs that several teams submit above their limit, while some are cancelled. */
-private fun World.teamsAtTheirLimit() {
+private fun SimulatedCluster.teamsAtTheirLimit() {
     repeat(12) { i ->
         at(5.0 + i) { submit(job(i, 10, cpus = 2.0, runSeconds = 20.0, team = "crew-x"), abortAfter = if (i % 4 == 3) 12.0 else null) }
         at(5.5 + i) { submit(job(100 + i, 6, cpus = 2.0, runSeconds = 12.0, jobClass = "bulk")) }
     }
 }
 
-private fun World.lateWrites(
+private fun SimulatedCluster.lateWrites(
     from: Double,
     until: Double,
 ) {
-    meddle = { _, call ->
+    onCall = { _, call ->
         val hit = clock.now in from..until && call.path == "/multi" && random.nextInt(3) == 0
-        if (hit) listOf(Fate.LATE, Fate.ANSWER_LOST).random(random) else Fate.FINE
+        if (hit) listOf(CallFate.LATE, CallFate.ANSWER_LOST).random(random) else CallFate.FINE
     }
 }
 
-private fun failoverWorld(
+private fun failoverCluster(
     seed: Int,
     members: Int,
-) = World(
+) = SimulatedCluster(
     seed,
     members = (0 until members).map { "drover-$it" },
     operator = OperatorSettings(failover = FailoverSettings(standbys = 1)),
 )
 
-private fun World.savingJobs(count: Int): List<JobSpec> =
+private fun SimulatedCluster.savingJobs(count: Int): List<JobSpec> =
     submitAll((0 until count).map { savingJob(it, 1 + it % 4, runSeconds = 30.0) }, from = 10.0, everySeconds = 1.5)
 
 internal val TRANSCRIPT_SCHEDULES: List<TranscriptSchedule> =
     listOf(
-        TranscriptSchedule("array-short", 30.0, { World(401, types = mapOf("small" to TypeSpec(4.0, 16.0, 2))) }) {
+        TranscriptSchedule("array-short", 30.0, { SimulatedCluster(401, types = mapOf("small" to MachineTypeSpec(4.0, 16.0, 2))) }) {
             at(12.0) { submit(job(1, 2, runSeconds = 3.0)) }
         },
         TranscriptSchedule("gang-short", 38.0, {
-            World(402, types = mapOf("small" to TypeSpec(4.0, 16.0, 1)), guaranteed = 0.0)
+            SimulatedCluster(402, types = mapOf("small" to MachineTypeSpec(4.0, 16.0, 1)), guaranteed = 0.0)
         }) {
             at(14.0) { submit(gang(1, 2, runSeconds = 4.0)) }
         },
-        TranscriptSchedule("arrays", 150.0, { World(403) }) { arrays(24) },
-        TranscriptSchedule("five-members-at-their-limits", 140.0, { World(404, members = (0 until 5).map { "drover-$it" }) }) {
+        TranscriptSchedule("arrays", 150.0, { SimulatedCluster(403) }) { arrays(24) },
+        TranscriptSchedule("five-members-at-their-limits", 140.0, { SimulatedCluster(404, members = (0 until 5).map { "drover-$it" }) }) {
             teamsAtTheirLimit()
             sendWrongOnes(60.0)
             atLeader(30.0) { crash(it, 5.0) }
         },
-        TranscriptSchedule("gangs-lose-machines", 170.0, { World(405, guaranteed = 0.0) }) {
+        TranscriptSchedule("gangs-lose-machines", 170.0, { SimulatedCluster(405, guaranteed = 0.0) }) {
             repeat(5) { i -> at(20.0 + 6.0 * i) { submit(gang(i, 4 + 3 * i, cpus = 2.0)) } }
             at(45.0) { cloud.take(cloud.names().first()) }
             at(60.0) { cloud.worker(cloud.names().last())?.kill() }
             at(70.0) { cloud.worker(cloud.names().first())?.recall(12.0) }
         },
-        TranscriptSchedule("leader-killed", 150.0, { World(406) }) {
+        TranscriptSchedule("leader-killed", 150.0, { SimulatedCluster(406) }) {
             arrays(20)
             atLeader(25.0) { crash(it, 2.0) }
             atLeader(50.0) { crash(it, 0.2) }
             at(80.0) { members.forEach { crash(it, 3.0) } }
         },
-        TranscriptSchedule("leader-frozen", 150.0, { World(407) }) {
+        TranscriptSchedule("leader-frozen", 150.0, { SimulatedCluster(407) }) {
             arrays(20)
             atLeader(25.0) { freeze(it, 3.0) }
             atLeader(45.0) { freeze(it, 20.0) }
             atLeader(80.0) { pauseMidStep(it, 15.0) }
         },
-        TranscriptSchedule("leader-cut", 170.0, { World(408) }) {
-            holds = true
+        TranscriptSchedule("leader-cut", 170.0, { SimulatedCluster(408) }) {
+            cutsHoldPackets = true
             arrays(20)
             atLeader(25.0) { cut(it, "state", 20.0) }
             atLeader(60.0) {
@@ -138,7 +138,7 @@
             }
             atLeader(95.0) { leader -> cloud.names().take(4).forEach { cut(it, leader, 30.0) } }
         },
-        TranscriptSchedule("leader-refused", 160.0, { World(409) }) {
+        TranscriptSchedule("leader-refused", 160.0, { SimulatedCluster(409) }) {
             val long = (0 until 4).map { job(200 + it, 3, runSeconds = 60.0) }
             long.forEach { spec -> at(8.0) { submit(spec) } }
             arrays(12)
@@ -147,18 +147,18 @@
             at(33.0) { state.outage(25.0) }
             at(34.0) { long.drop(2).forEach { abort(it) } }
         },
-        TranscriptSchedule("store-outage", 160.0, { World(410) }) {
+        TranscriptSchedule("store-outage", 160.0, { SimulatedCluster(410) }) {
             arrays(20)
             at(28.0) { state.outage(20.0) }
             at(70.0) { state.outage(3.0) }
             state.limitWrites(10.0)
         },
-        TranscriptSchedule("late-writes", 170.0, { World(411) }) {
+        TranscriptSchedule("late-writes", 170.0, { SimulatedCluster(411) }) {
             arrays(20)
             lateWrites(15.0, 60.0)
             atLeader(40.0) { crash(it, 4.0) }
         },
-        TranscriptSchedule("rentals-and-returns", 230.0, { World(412) }) {
+        TranscriptSchedule("rentals-and-returns", 230.0, { SimulatedCluster(412) }) {
             arrays(12)
             at(15.0) { cloud.down = true }
             at(30.0) { cloud.down = false }
@@ -173,14 +173,14 @@
             atLeader(45.0) { crash(it, 5.0) }
         },
         TranscriptSchedule("rolling-restart", 200.0, {
-            World(413, next = """{"value_kb":2,"txn_ops":4,"write_rps":30}""", old = true)
+            SimulatedCluster(413, next = """{"value_kb":2,"txn_ops":4,"write_rps":30}""", old = true)
         }) {
             arrays(24)
             members.forEachIndexed { i, member -> upgradeAt(member, 25.0 + 12.0 * i) }
             at(75.0) { state.lower(valueKb = 2.0, changesPerTransaction = 4) }
             at(80.0) { submit(gang(90, 6)) }
         },
-        TranscriptSchedule("machines-out-of-reach", 180.0, { World(414) }) {
+        TranscriptSchedule("machines-out-of-reach", 180.0, { SimulatedCluster(414) }) {
             arrays(20)
             at(30.0) { cloud.names().take(2).forEach { deafen(it, 20.0) } }
             at(40.0) { cloud.names().takeLast(2).forEach { mute(it, 30.0) } }
@@ -189,7 +189,7 @@
             atLeader(60.0) { crash(it, 3.0) }
             copyAfter = { if (clock.now < 80.0 && random.nextInt(5) == 0) 20.0 else null }
         },
-        TranscriptSchedule("failover-handovers", 150.0, { failoverWorld(415, 3) }) {
+        TranscriptSchedule("failover-handovers", 150.0, { failoverCluster(415, 3) }) {
             arrays(20)
             atLeader(30.0) { leader ->
                 drain(leader)
@@ -198,21 +198,21 @@
             atLeader(60.0) { crash(it, 3.0) }
             atLeader(85.0) { freeze(it, 8.0) }
         },
-        TranscriptSchedule("failover-five-members", 150.0, { failoverWorld(416, 5) }) {
+        TranscriptSchedule("failover-five-members", 150.0, { failoverCluster(416, 5) }) {
             repeat(4) { i -> at(20.0 + 8.0 * i) { submit(gang(50 + i, 5)) } }
             arrays(14)
             atLeader(35.0) { drain(it) }
             atLeader(36.0) { crash(it, 4.0) }
             at(70.0) { state.outage(10.0) }
         },
-        TranscriptSchedule("balance-drains-and-moves", 160.0, { balancedWorld(417) }) {
+        TranscriptSchedule("balance-drains-and-moves", 160.0, { balancedCluster(417) }) {
             savingJobs(14)
             at(30.0) { drainZone("a") }
             atLeader(34.0) { crash(it, 4.0) }
             at(70.0) { undrainZone("a") }
         },
         TranscriptSchedule("balance-and-failover", 160.0, {
-            balancedWorld(418, members = 5, failover = true, operatorOf = { balanced(failover = true) })
+            balancedCluster(418, members = 5, failover = true, operatorOf = { balanced(failover = true) })
         }) {
             savingJobs(14)
             repeat(2) { i -> at(22.0 + 9.0 * i) { submit(gang(60 + i, 4, runSeconds = 25.0)) } }
@@ -220,13 +220,13 @@
             atLeader(40.0) { drain(it) }
             at(50.0) { cloud.names().take(2).forEach { cloud.worker(it)?.slowness = 8.0 } }
         },
-        TranscriptSchedule("drawn-failures", 260.0, { World(419) }) {
+        TranscriptSchedule("drawn-failures", 260.0, { SimulatedCluster(419) }) {
             arrays(24)
-            Troubles(this, 419).draw(10, 20.0, 120.0)
+            RandomFaults(this, 419).draw(10, 20.0, 120.0)
         },
-        TranscriptSchedule("drawn-failures-with-gangs", 260.0, { failoverWorld(420, 3) }) {
+        TranscriptSchedule("drawn-failures-with-gangs", 260.0, { failoverCluster(420, 3) }) {
             repeat(6) { i -> at(25.0 + 9.0 * i) { submit(gang(70 + i, 3 + i)) } }
             arrays(16)
-            Troubles(this, 420).draw(10, 20.0, 120.0)
+            RandomFaults(this, 420).draw(10, 20.0, 120.0)
         },
     )
