--- a/src/main/kotlin/burlridge/allocation/AllocationTable.kt
+++ b/src/main/kotlin/burlridge/allocation/AllocationTable.kt
@@ -114,7 +114,7 @@
             is TransactionResult.Conflict -> {
                 when {
                     Leadership.TERM in result.failed -> {
-                        leadership.stepDown("its term has been passed")
+                        leadership.stepDownOnPassedTerm()
                     }
 
                     // An earlier copy of this very transaction was applied: only we write this key.
@@ -355,7 +355,7 @@
                     )
                 }
             } else {
-                leadership.stepDown("its term has been passed")
+                leadership.stepDownOnPassedTerm()
             }
         }
     }
@@ -395,7 +395,7 @@
 
                 is TransactionResult.Conflict -> {
                     if (Leadership.TERM in result.failed) {
-                        leadership.stepDown("its term has been passed")
+                        leadership.stepDownOnPassedTerm()
                     } else {
                         store.get("round/${batch.slot}", RequestPriority.CLEANUP) { read ->
                             (read as? ReadResult.Found)?.let { batch.modRevision = it.value.modRevision }
--- a/src/main/kotlin/burlridge/allocation/JobRegistry.kt
+++ b/src/main/kotlin/burlridge/allocation/JobRegistry.kt
@@ -150,7 +150,7 @@
 
                 is TransactionResult.Conflict -> {
                     if (Leadership.TERM in result.failed) {
-                        leadership.stepDown("its term has been passed")
+                        leadership.stepDownOnPassedTerm()
                     } else {
                         readEnd(job)
                     }
@@ -214,7 +214,7 @@
             RequestPriority.CLEANUP,
             whileLeading(leadership.term),
         ) { result ->
-            if (result !is TransactionResult.Committed) leadership.stepDown("its term has been passed")
+            if (result !is TransactionResult.Committed) leadership.stepDownOnPassedTerm()
         }
     }
 
@@ -251,7 +251,7 @@
                 }
 
                 result is TransactionResult.Conflict && Leadership.TERM in result.failed -> {
-                    leadership.stepDown("its term has been passed")
+                    leadership.stepDownOnPassedTerm()
                 }
 
                 result is TransactionResult.Conflict && part.key in result.failed -> {
--- a/src/main/kotlin/burlridge/balance/Drains.kt
+++ b/src/main/kotlin/burlridge/balance/Drains.kt
@@ -141,7 +141,7 @@
         store.commitUntilKnown(transaction, RequestPriority.CLAIM, leadership.whileLeading(leadership.term)) { result ->
             when {
                 result is TransactionResult.Committed -> written(entry, next.copy(modRevision = result.revision))
-                result is TransactionResult.Conflict && Leadership.TERM in result.failed -> leadership.stepDown(TERM_PASSED)
+                result is TransactionResult.Conflict && Leadership.TERM in result.failed -> leadership.stepDownOnPassedTerm()
                 result is TransactionResult.Conflict -> readBack(entry, next)
                 else -> given(entry, entry.drain, DrainChange.Refused("its row is not taken by the state service"))
             }
@@ -199,7 +199,7 @@
             )
         store.commitUntilKnown(transaction, RequestPriority.CLEANUP, leadership.whileLeading(leadership.term)) { result ->
             when {
-                result is TransactionResult.Conflict && Leadership.TERM in result.failed -> leadership.stepDown(TERM_PASSED)
+                result is TransactionResult.Conflict && Leadership.TERM in result.failed -> leadership.stepDownOnPassedTerm()
 
                 // Only we write this row: where its stamp has passed, an earlier copy has removed it.
                 else -> given(entry, null, DrainChange.Busy)
@@ -209,6 +209,5 @@
 
     private companion object {
         const val RETRY_SECONDS = 1.0
-        const val TERM_PASSED = "its term has been passed"
     }
 }
--- a/src/main/kotlin/burlridge/balance/Moves.kt
+++ b/src/main/kotlin/burlridge/balance/Moves.kt
@@ -131,7 +131,7 @@
         writing = false
         when {
             result is TransactionResult.Conflict && Leadership.TERM in result.failed -> {
-                leadership.stepDown("its term has been passed")
+                leadership.stepDownOnPassedTerm()
             }
 
             // No other leader writes this key: on a conflict an earlier copy of this very row was carried out.
@@ -249,7 +249,7 @@
             if (result is TransactionResult.Committed) {
                 unused.forEach(::forget)
             } else {
-                leadership.stepDown("its term has been passed")
+                leadership.stepDownOnPassedTerm()
             }
         }
     }
--- a/src/main/kotlin/burlridge/fleet/ScaleOut.kt
+++ b/src/main/kotlin/burlridge/fleet/ScaleOut.kt
@@ -140,7 +140,7 @@
                 }
 
                 result is TransactionResult.Conflict && Leadership.TERM in result.failed -> {
-                    leadership.stepDown("its term has been passed")
+                    leadership.stepDownOnPassedTerm()
                 }
 
                 // An earlier copy of this very claim was applied.
--- a/src/main/kotlin/burlridge/leadership/Leadership.kt
+++ b/src/main/kotlin/burlridge/leadership/Leadership.kt
@@ -170,6 +170,9 @@
         listener.onDeposed(term, reason)
     }
 
+    /** Steps down because a write found the term row changed: another member has been elected since. */
+    fun stepDownOnPassedTerm() = stepDown(TERM_PASSED)
+
     private fun poll() {
         nextPollAt = context.now + ttlSeconds / 6 * (0.8 + 0.4 * context.random.nextDouble())
         store.get(LEADER, RequestPriority.LEADERSHIP) { read ->
@@ -467,6 +470,9 @@
         const val LEADER = "leader"
         const val TERM = "term"
 
+        /** The cause of a deposition by the fence; operators see it. */
+        const val TERM_PASSED = "its term has been passed"
+
         /** Between two statuses of a member. */
         const val STATUS_INTERVAL_SECONDS = 0.5
 
--- a/src/main/kotlin/burlridge/leadership/LeadershipTransfer.kt
+++ b/src/main/kotlin/burlridge/leadership/LeadershipTransfer.kt
@@ -84,7 +84,7 @@
 
                 is TransactionResult.Conflict -> {
                     val passed = Leadership.TERM in result.failed
-                    val reason = if (passed) "its term has been passed" else "the lease of the leader row has ended"
+                    val reason = if (passed) Leadership.TERM_PASSED else "the lease of the leader row has ended"
                     end(attempt, TransferOutcome.Deposed(reason))
                 }
 
@@ -127,7 +127,7 @@
                 }
 
                 else -> {
-                    end(attempt, TransferOutcome.Deposed("its term has been passed"))
+                    end(attempt, TransferOutcome.Deposed(Leadership.TERM_PASSED))
                 }
             }
         }
