--- a/src/main/kotlin/burlridge/core/BoundedMap.kt
+++ b/src/main/kotlin/burlridge/core/BoundedMap.kt
@@ -1,11 +1,11 @@
 package burlridge.core
 
-/** A map that keeps at most [capacity] entries: the one longest unused goes first. */
+/** A map with at most [capacity] entries, of which the least recently used is dropped first. */
 internal class BoundedMap<K, V>(
     private val capacity: Int,
 ) {
     private val entries =
-        object : LinkedHashMap<K, V>(INITIAL, LOAD, true) {
+        object : LinkedHashMap<K, V>(INITIAL_CAPACITY, LOAD_FACTOR, true) {
             override fun removeEldestEntry(eldest: MutableMap.MutableEntry<K, V>): Boolean = size > capacity
         }
     val size: Int get() = entries.size
@@ -20,7 +20,7 @@
     }
 
     private companion object {
-        const val INITIAL = 16
-        const val LOAD = 0.75f
+        const val INITIAL_CAPACITY = 16
+        const val LOAD_FACTOR = 0.75f
     }
 }
--- /dev/null
+++ b/src/main/kotlin/burlridge/core/HttpResponse.kt
@@ -0,0 +1,29 @@
+package burlridge.core
+
+import burlridge.json.Json
+
+/** A response to a request of a user, a worker, an operator, or a peer that forwards one. */
+internal data class HttpResponse(
+    val status: Int,
+    val body: String,
+    /** Value of the `Retry-After` header; null for no such header. */
+    val retryAfterSeconds: Int? = null,
+    /** Time of the steady clock after which this response must not leave any more. */
+    val sendDeadline: Double = Effect.NO_DEADLINE,
+) {
+    internal companion object {
+        /** A response whose body tells the [reason] as `{"error": ...}`. */
+        fun error(
+            status: Int,
+            reason: String,
+        ): HttpResponse = HttpResponse(status, errorBody(reason))
+
+        /** 503 with `Retry-After`: the same request may succeed later, here or elsewhere. */
+        fun unavailable(
+            reason: String,
+            retryAfterSeconds: Int = 1,
+        ): HttpResponse = HttpResponse(HttpStatus.SERVICE_UNAVAILABLE, errorBody(reason), retryAfterSeconds)
+
+        private fun errorBody(reason: String): String = Json.write(Json.obj { put("error", reason) })
+    }
+}
--- a/src/main/kotlin/burlridge/core/LogRateLimiter.kt
+++ b/src/main/kotlin/burlridge/core/LogRateLimiter.kt
@@ -2,34 +2,34 @@
 
 import it.unimi.dsi.fastutil.objects.Object2IntOpenHashMap
 
-/** Lines alike that come in floods: a machine room that goes dark is one event, not a thousand. */
+/** Limits log lines of one kind within a second: when a zone is lost, a thousand machines are one event. */
 internal class LogRateLimiter {
-    private val seen = Object2IntOpenHashMap<String>()
-    private var endsAt = 0.0
+    private val linesByKind = Object2IntOpenHashMap<String>()
+    private var windowEndsAt = 0.0
 
-    /** Whether one more line of [kind] is to be logged. */
+    /** Whether one more line of [kind] may be logged at [now]; lines that may not are counted. */
     fun admits(
         kind: String,
         now: Double,
     ): Boolean {
-        if (seen.isEmpty()) endsAt = now + WINDOW_SECONDS
-        return seen.addTo(kind, 1) < MOST_ALIKE
+        if (linesByKind.isEmpty()) windowEndsAt = now + WINDOW_SECONDS
+        return linesByKind.addTo(kind, 1) < MAX_LINES_PER_KIND
     }
 
-    /** Once the second is over, how many lines of each kind were left out. */
+    /** Once the window is over, a line for each kind of which some were left out. */
     fun summarize(now: Double): List<String> {
-        if (seen.isEmpty() || now < endsAt) return emptyList()
-        val sums =
-            seen
+        if (linesByKind.isEmpty() || now < windowEndsAt) return emptyList()
+        val summaries =
+            linesByKind
                 .object2IntEntrySet()
-                .filter { it.intValue > MOST_ALIKE }
-                .map { "${it.intValue - MOST_ALIKE} more in a second: ${it.key}" }
-        seen.clear()
-        return sums
+                .filter { it.intValue > MAX_LINES_PER_KIND }
+                .map { "${it.intValue - MAX_LINES_PER_KIND} more in a second: ${it.key}" }
+        linesByKind.clear()
+        return summaries
     }
 
     private companion object {
         const val WINDOW_SECONDS = 1.0
-        const val MOST_ALIKE = 20
+        const val MAX_LINES_PER_KIND = 20
     }
 }
--- /dev/null
+++ b/src/main/kotlin/burlridge/core/ScheduledActions.kt
@@ -0,0 +1,34 @@
+package burlridge.core
+
+import java.util.PriorityQueue
+
+/** Actions that wait for their time; those due at the same time run in the order in which they were scheduled. */
+internal class ScheduledActions {
+    private class ScheduledAction(
+        val at: Double,
+        val order: Long,
+        val action: () -> Unit,
+    ) : Comparable<ScheduledAction> {
+        override fun compareTo(other: ScheduledAction): Int = compareValuesBy(this, other, ScheduledAction::at, ScheduledAction::order)
+    }
+
+    private val queue = PriorityQueue<ScheduledAction>()
+    private var nextOrder = 0L
+
+    /** Schedules [action] for the time [at], in seconds of the steady clock. */
+    fun add(
+        at: Double,
+        action: () -> Unit,
+    ) {
+        queue.add(ScheduledAction(at, nextOrder++, action))
+    }
+
+    /** Runs all actions that are due at [now], including those that they schedule for [now] themselves. */
+    fun runDue(now: Double) {
+        while (true) {
+            val due = queue.peek()?.takeIf { it.at <= now } ?: return
+            queue.poll()
+            due.action()
+        }
+    }
+}
--- a/src/main/kotlin/burlridge/core/StepContext.kt
+++ b/src/main/kotlin/burlridge/core/StepContext.kt
@@ -1,6 +1,5 @@
 package burlridge.core
 
-import burlridge.json.Json
 import burlridge.message.PeerMessage
 import burlridge.settings.Endpoint
 import burlridge.settings.Settings
@@ -8,43 +7,42 @@
 import it.unimi.dsi.fastutil.objects.Object2LongOpenHashMap
 import kotlin.random.Random
 
-/** What every slice shares inside one step: the time given, the effects so far and the calls that wait for an outcome. */
+/**
+ * What all slices share while the core takes one step: the time, the random source, the effects so far, the calls whose outcome is open,
+ * scheduled actions, counters and log lines. It does no I/O; whoever steps the core carries out the effects.
+ */
 internal class StepContext(
     val settings: Settings,
     seed: Long,
 ) {
+    /** Steady clock of this step, in seconds; it never goes back. */
     var now: Double = 0.0
         private set
 
-    /** The time of day, within the bound that the settings give; only for ages that outlive a process. */
+    /** Time of day in milliseconds, within the bound that the settings give; only for ages that outlive a process. */
     var wallMillis: Long = 0
         private set
+
+    /** The only source of randomness in the core, so that a seed determines a run. */
     val random: Random = Random(seed)
     private var effects = ArrayList<Effect>()
     private val pendingCalls = Long2ObjectOpenHashMap<(CallOutcome) -> Unit>()
     private var nextCallId = 1L
-    private var scheduled = java.util.PriorityQueue<ScheduledWork>()
-    private var nextOrder = 0L
+    private val scheduledActions = ScheduledActions()
     private val logRateLimiter = LogRateLimiter()
 
-    private class ScheduledWork(
-        val at: Double,
-        val order: Long,
-        val work: () -> Unit,
-    ) : Comparable<ScheduledWork> {
-        override fun compareTo(other: ScheduledWork): Int = compareValuesBy(this, other, ScheduledWork::at, ScheduledWork::order)
-    }
-
-    /** How much of what has been done; the figures that grow with a deployment. */
+    /** Totals since the start of the process, by metric name. */
     val counters: Object2LongOpenHashMap<String> = Object2LongOpenHashMap()
 
+    /** Adds [amount] to the counter [name]. */
     fun count(
-        what: String,
+        name: String,
         amount: Int = 1,
     ) {
-        counters.addTo(what, amount.toLong())
+        counters.addTo(name, amount.toLong())
     }
 
+    /** Sets the time of the step that begins. */
     fun beginStep(
         now: Double,
         wallMillis: Long,
@@ -54,8 +52,12 @@
         logRateLimiter.summarize(this.now).forEach { info(it) }
     }
 
+    /** The effects of the step that ends, in the order in which they must be carried out. */
     fun finishStep(): List<Effect> = effects.also { effects = ArrayList() }
 
+    /**
+     * Calls an outside system. [onResult] runs in a later step; a [body] of null sends none. The call must not leave after [sendDeadline].
+     */
     fun call(
         target: Endpoint,
         method: String,
@@ -70,17 +72,20 @@
         effects += Effect.HttpCall(id, target, method, path, body, timeoutSeconds, sendDeadline)
     }
 
-    fun complete(done: Input.CallCompleted) {
-        pendingCalls.remove(done.callId)?.invoke(done.outcome)
+    /** Hands the outcome of a call to whoever made it; an outcome that comes twice is ignored. */
+    fun complete(completed: Input.CallCompleted) {
+        pendingCalls.remove(completed.callId)?.invoke(completed.outcome)
     }
 
+    /** Answers the request [requestId]. */
     fun respond(
-        id: Long,
-        answer: HttpResponse,
+        requestId: Long,
+        response: HttpResponse,
     ) {
-        effects += Effect.Respond(id, answer.status, answer.body, answer.retryAfterSeconds, answer.sendDeadline)
+        effects += Effect.Respond(requestId, response.status, response.body, response.retryAfterSeconds, response.sendDeadline)
     }
 
+    /** Sends [message] to another controller; it may be lost, and must not leave after [sendDeadline]. */
     fun send(
         member: String,
         message: PeerMessage,
@@ -89,24 +94,22 @@
         effects += Effect.SendToPeer(member, message, sendDeadline)
     }
 
+    /** Adds any other effect. */
     fun emit(effect: Effect) {
         effects += effect
     }
 
-    /** Runs [work] at the first step that comes [delaySeconds] from now or later. */
+    /** Runs [action] in the first step that comes at least [delaySeconds] from now. */
     fun schedule(
         delaySeconds: Double,
-        work: () -> Unit,
+        action: () -> Unit,
     ) {
-        scheduled.add(ScheduledWork(now + delaySeconds, nextOrder++, work))
+        scheduledActions.add(now + delaySeconds, action)
     }
 
+    /** Runs the scheduled actions that are due. */
     fun runDue() {
-        while (true) {
-            val due = scheduled.peek()?.takeIf { it.at <= now } ?: return
-            scheduled.poll()
-            due.work()
-        }
+        scheduledActions.runDue(now)
     }
 
     /** Logs [event], a fixed phrase, with its [details] as `key=value`. */
@@ -149,24 +152,3 @@
         effects += Effect.Log(LogLevel.DEBUG, logLine(event, details))
     }
 }
-
-/** An answer to a request, from a user, a worker or a peer that passes one on. */
-internal data class HttpResponse(
-    val status: Int,
-    val body: String,
-    val retryAfterSeconds: Int? = null,
-    /** After this time of the steady clock it must not be given any more. */
-    val sendDeadline: Double = Effect.NO_DEADLINE,
-) {
-    internal companion object {
-        fun error(
-            status: Int,
-            reason: String,
-        ): HttpResponse = HttpResponse(status, Json.write(Json.obj { put("error", reason) }))
-
-        fun unavailable(
-            reason: String,
-            retryAfterSeconds: Int = 1,
-        ): HttpResponse = HttpResponse(503, Json.write(Json.obj { put("error", reason) }), retryAfterSeconds)
-    }
-}
--- a/src/main/kotlin/burlridge/fleet/CloudInventory.kt
+++ b/src/main/kotlin/burlridge/fleet/CloudInventory.kt
@@ -1,9 +1,9 @@
 package burlridge.fleet
 
 import burlridge.json.JsonStream
-import burlridge.json.eachField
-import burlridge.json.eachObject
-import burlridge.json.flagOrNull
+import burlridge.json.booleanOrNull
+import burlridge.json.forEachField
+import burlridge.json.forEachObject
 import burlridge.json.numberOrNull
 import burlridge.json.textOrNull
 import burlridge.settings.Endpoint
@@ -38,10 +38,10 @@
 private fun readPage(parser: JsonParser): MachinePage? {
     var machines: List<ListedMachine>? = null
     var truncated = false
-    parser.eachField {
+    parser.forEachField {
         when (it) {
             "drovers" -> machines = readMachines(parser)
-            "truncated" -> truncated = parser.flagOrNull() ?: false
+            "truncated" -> truncated = parser.booleanOrNull() ?: false
             else -> parser.skipChildren()
         }
     }
@@ -54,7 +54,7 @@
         return null
     }
     val found = ArrayList<ListedMachine>()
-    parser.eachObject { found += readMachine(parser) }
+    parser.forEachObject { found += readMachine(parser) }
     return found
 }
 
@@ -66,13 +66,13 @@
     var spot: Boolean? = null
     var state = ""
     var ageSeconds = 0.0
-    parser.eachField {
+    parser.forEachField {
         when (it) {
             "id" -> id = parser.textOrNull().orEmpty()
             "addr" -> address = parser.textOrNull()?.let(Endpoint::parseOrNull)
             "breed" -> type = parser.textOrNull()
             "yard" -> zone = parser.textOrNull()
-            "loaners" -> spot = parser.flagOrNull()
+            "loaners" -> spot = parser.booleanOrNull()
             "standing" -> state = parser.textOrNull().orEmpty()
             "ageS" -> ageSeconds = parser.numberOrNull() ?: 0.0
             else -> parser.skipChildren()
--- a/src/main/kotlin/burlridge/json/Json.kt
+++ b/src/main/kotlin/burlridge/json/Json.kt
@@ -13,14 +13,14 @@
 import java.io.StringWriter
 
 /**
- * Reads and writes JSON as trees. It uses Jackson's parser, generator and nodes, but no `ObjectMapper`: that one's static set-up (date
- * formats, locales, serializers) was a tenth of a controller's start.
+ * Reads and writes JSON as trees. It uses Jackson's parser, generator and nodes but no `ObjectMapper`, whose static set-up (date formats,
+ * locales, serializers) took a tenth of a controller's start.
  */
 internal object Json {
     private val factory = JsonFactory()
     private val nodes = JsonNodeFactory.instance
 
-    /** The one value in [text]; throws [IOException] for anything else. */
+    /** The one value in [text]. Throws [IOException] for anything else. */
     fun parse(text: String): JsonNode =
         factory.createParser(text).use { parser ->
             parser.nextToken() ?: throw IOException("there is nothing")
@@ -29,7 +29,7 @@
             node
         }
 
-    /** Null for anything that is not JSON: what outsiders send wrongly is an unknown answer, never a crash. */
+    /** The value in [text]; null for anything that is not JSON, since malformed input must never end a controller. */
     fun parseOrNull(text: String?): JsonNode? =
         try {
             if (text.isNullOrBlank()) null else parse(text)
@@ -37,6 +37,7 @@
             null
         }
 
+    /** [node] as compact JSON text. */
     fun write(node: JsonNode): String {
         val text = StringWriter()
         factory.createGenerator(text).use { write(node, it) }
@@ -62,13 +63,7 @@
             }
 
             node.isIntegralNumber -> {
-                if (node.canConvertToLong()) {
-                    to.writeNumber(
-                        node.longValue(),
-                    )
-                } else {
-                    to.writeNumber(node.bigIntegerValue())
-                }
+                if (node.canConvertToLong()) to.writeNumber(node.longValue()) else to.writeNumber(node.bigIntegerValue())
             }
 
             node.isNumber -> {
@@ -106,8 +101,10 @@
         to.writeEndArray()
     }
 
+    /** A new object, filled by [fill]. */
     fun obj(fill: ObjectNode.() -> Unit = {}): ObjectNode = nodes.objectNode().apply(fill)
 
+    /** A new array, filled by [fill]. */
     fun arr(fill: ArrayNode.() -> Unit = {}): ArrayNode = nodes.arrayNode().apply(fill)
 
     /** Builds a tree without recursion, so that deep nesting costs no stack. */
--- a/src/main/kotlin/burlridge/json/JsonStream.kt
+++ b/src/main/kotlin/burlridge/json/JsonStream.kt
@@ -6,8 +6,8 @@
 import java.io.IOException
 
 /**
- * Reads JSON objects as they are parsed, without building a tree. It serves the messages that come by the hundred a second; what is
- * rare is read by [Json]. The value readers below take the value that the parser stands at, and give null for another type.
+ * Reads JSON objects as they are parsed, without building a tree. It serves the messages that arrive hundreds of times a
+ * second; what is rare is read by [Json].
  */
 internal object JsonStream {
     private val factory = JsonFactory()
@@ -30,7 +30,7 @@
 }
 
 /** Calls [read] with the name of each field of the object that the parser stands at; [read] takes or skips the value. */
-internal inline fun JsonParser.eachField(read: (String) -> Unit) {
+internal inline fun JsonParser.forEachField(read: (String) -> Unit) {
     while (nextToken() != JsonToken.END_OBJECT) {
         val name = currentName()
         nextToken()
@@ -39,7 +39,7 @@
 }
 
 /** Calls [read] at each object of the array that the parser stands at; anything else in it, or another value, is skipped. */
-internal inline fun JsonParser.eachObject(read: () -> Unit) {
+internal inline fun JsonParser.forEachObject(read: () -> Unit) {
     if (currentToken() != JsonToken.START_ARRAY) {
         skipChildren()
         return
@@ -49,23 +49,27 @@
     }
 }
 
+/** The text at which the parser stands; null, with the value skipped, for another type. */
 internal fun JsonParser.textOrNull(): String? {
     if (currentToken() == JsonToken.VALUE_STRING) return text
     skipChildren()
     return null
 }
 
-internal fun JsonParser.flagOrNull(): Boolean? {
+/** The boolean at which the parser stands; null, with the value skipped, for another type. */
+internal fun JsonParser.booleanOrNull(): Boolean? {
     val token = currentToken()
     if (token == JsonToken.VALUE_TRUE || token == JsonToken.VALUE_FALSE) return token == JsonToken.VALUE_TRUE
     skipChildren()
     return null
 }
 
+/** The number at which the parser stands; null, with the value skipped, for another type. */
 internal fun JsonParser.numberOrNull(): Double? {
     if (currentToken().isNumeric) return doubleValue
     skipChildren()
     return null
 }
 
-internal fun JsonParser.wholeOrNull(): Long? = if (currentToken() == JsonToken.VALUE_NUMBER_INT) longValue else numberOrNull()?.toLong()
+/** The number at which the parser stands, without its fraction; null, with the value skipped, for another type. */
+internal fun JsonParser.integerOrNull(): Long? = if (currentToken() == JsonToken.VALUE_NUMBER_INT) longValue else numberOrNull()?.toLong()
--- a/src/main/kotlin/burlridge/settings/BalanceSettings.kt
+++ b/src/main/kotlin/burlridge/settings/BalanceSettings.kt
@@ -54,6 +54,7 @@
     /** Decisions of which the reasons are kept. */
     val decisions: Int = 2000,
 ) {
+    /** What may be done to running tasks of [jobClass]. */
     fun permission(jobClass: String): MovePermission = classMoves[jobClass] ?: moves
 
     /** Ends with a [InvalidSettingsException] where this names a class that the platform does not know. */
--- a/src/main/kotlin/burlridge/settings/IniSection.kt
+++ b/src/main/kotlin/burlridge/settings/IniSection.kt
@@ -4,16 +4,18 @@
 import org.ini4j.InvalidFileFormatException
 import java.io.StringReader
 
-/** One section of the operators' settings; a value that cannot be used is a [InvalidSettingsException] that names it. */
+/** One section of the operators' settings. Its readers throw [InvalidSettingsException], naming the key, for a value that cannot be used. */
 internal class IniSection(
     private val name: String,
     private val values: Map<String, String>,
 ) {
+    /** A non-empty text; null where the key is absent. */
     fun text(key: String): String? =
         values[key]?.trim()?.also {
             if (it.isEmpty()) throw InvalidSettingsException("$key in [$name] is empty")
         }
 
+    /** `true` or `false`; [default] where the key is absent. */
     fun flag(
         key: String,
         default: Boolean,
@@ -22,6 +24,7 @@
         return text.toBooleanStrictOrNull() ?: throw InvalidSettingsException("$key in [$name] must be true or false, not \"$text\"")
     }
 
+    /** An integer within [range]; [default] where the key is absent. */
     fun whole(
         key: String,
         default: Int,
@@ -32,6 +35,7 @@
         return value.toInt()
     }
 
+    /** A number within [range]; [default] where the key is absent. */
     fun number(
         key: String,
         default: Double,
--- /dev/null
+++ b/src/main/kotlin/burlridge/settings/InvalidSettingsException.kt
@@ -0,0 +1,6 @@
+package burlridge.settings
+
+/** A settings file that cannot be used; the message is one line for the operator. */
+internal class InvalidSettingsException(
+    message: String,
+) : Exception(message)
--- a/src/main/kotlin/burlridge/settings/OperatorSettings.kt
+++ b/src/main/kotlin/burlridge/settings/OperatorSettings.kt
@@ -1,23 +1,23 @@
 package burlridge.settings
 
 /**
- * The operators' own settings, an INI file beside the platform's. Every figure is a ratio to one of the platform's, so that
- * the defaults suit any deployment; `docs/operating.md` explains each key.
+ * The operators' own settings, an INI file beside the platform's. Most figures are ratios to one of the platform's, so that the defaults
+ * suit any deployment; `docs/operating.md` explains each key.
  */
 internal data class OperatorSettings(
-    /** Machines sampled for a task's best fit. */
+    /** Machines sampled for the best fit of a task. */
     val sample: Int = 5,
     /** Report intervals that a machine stays idle before it is returned. */
     val idleReports: Double = 20.0,
-    /** Room kept free for job classes with a wait aim, in jobs of the usual size. */
+    /** Capacity kept free for job classes with a `wait` objective, in jobs of their usual size. */
     val headroom: Double = 1.5,
-    /** Room kept free for gangs that are likely to come, in standard deviations above their mean. */
+    /** Capacity kept free for gangs that are likely to arrive, in standard deviations above their mean rate. */
     val gangDeviations: Double = 2.0,
     /** The leader's lease, in report intervals. */
     val leaseReports: Double = 0.75,
-    /** Null where failover is off. */
+    /** Section `[failover]`; null where failover is off. */
     val failover: FailoverSettings? = null,
-    /** Null where drains and moves are off. */
+    /** Section `[balance]`; null where drains and moves are off. */
     val balance: BalanceSettings? = null,
 ) {
     internal companion object {
@@ -34,6 +34,7 @@
                 BalanceSettings.SECTION to BalanceSettings.KEYS,
             )
 
+        /** Parses and validates the operators' INI file. Throws [InvalidSettingsException]. */
         fun parse(text: String): OperatorSettings {
             val sections = IniSection.parse(text, KEYS)
             val default = OperatorSettings()
--- a/src/main/kotlin/burlridge/settings/Settings.kt
+++ b/src/main/kotlin/burlridge/settings/Settings.kt
@@ -1,36 +1,13 @@
 package burlridge.settings
 
-import burlridge.json.Json
-import com.fasterxml.jackson.core.JsonProcessingException
-import com.fasterxml.jackson.databind.JsonNode
-import java.io.IOException
-
-/** A settings file that cannot be used; the message is one line meant for the operator. */
-internal class InvalidSettingsException(
-    message: String,
-) : Exception(message)
-
-internal data class Endpoint(
-    val host: String,
-    val port: Int,
-) {
-    override fun toString(): String = "$host:$port"
-
-    internal companion object {
-        /** An address and a port, as in `10.1.0.232:9000`; null for anything else. */
-        fun parseOrNull(text: String): Endpoint? {
-            val port = text.substringAfterLast(':', "").toIntOrNull()?.takeIf { it in 1..65535 } ?: return null
-            return Endpoint(text.substringBeforeLast(':'), port)
-        }
-    }
-}
-
+/** Another controller of the deployment. */
 internal data class PeerMember(
     val member: String,
     val zone: String,
     val endpoint: Endpoint,
 )
 
+/** A team with its guarantee and its limit (quota); 0 means none. */
 internal data class Team(
     val name: String,
     val cpus: Double,
@@ -39,21 +16,29 @@
     val gpusMax: Double,
 )
 
+/** A service-level objective of the deployment; fields that its [kind] does not have are null. */
 internal data class ServiceLevelObjective(
+    /** `wait`, `finished`, `deadline` and others, in the words of the settings file. */
     val kind: String,
     val jobClass: String?,
     val withinSeconds: Double?,
+    /** Share of jobs or tasks that should meet it, from 0 to 1. */
     val share: Double?,
 )
 
+/** Intervals that the platform sets for workers. */
 internal data class WorkerTimings(
+    /** Interval between two heartbeats. */
     val reportSeconds: Double,
+    /** A worker kills its tasks when no heartbeat was answered for so long. */
     val leaseSeconds: Double,
+    /** Within this time after a confirmed cancellation all tasks of the job must be gone. */
     val cancelSeconds: Double,
     /** Null where the platform knows no gangs. */
     val gang: GangTimings? = null,
 )
 
+/** Intervals that the platform sets for gangs. */
 internal data class GangTimings(
     /** How long a task waits for the others of its attempt. */
     val waitSeconds: Double,
@@ -62,30 +47,35 @@
 )
 
 /**
- * What the state service takes. It may lower its limits at any moment to those in `state.next`, without notice: the smaller of
- * both holds from the first write.
+ * Limits of the key-value store, shared by all controllers. It may lower them at any moment, without notice, to those announced in
+ * `state.next`; the lower of both binds from the first write.
  */
 internal data class StoreLimits(
+    /** Requests per second. */
     val rps: Double,
+    /** Changes per second. */
     val writeRps: Double,
     val valueBytes: Int,
     val changesPerTransaction: Int,
 )
 
+/** Limits of the cloud API. */
 internal data class CloudLimits(
+    /** Requests per second. */
     val rps: Double,
+    /** Age of what its machine list shows, in the usual case. */
     val listLagSeconds: Double,
 )
 
-/** What the platform gives a controller's process. */
+/** Resources of a controller's process. */
 internal data class ProcessLimits(
-    /** Part of one core. */
+    /** Share of one core. */
     val cpuShare: Double,
     val memoryMb: Double,
     val maxConnections: Int,
 )
 
-/** What the platform hands a controller at its start. */
+/** The platform's settings file of one controller, validated, with the operators' own settings. */
 internal data class Settings(
     val member: String,
     val zone: String,
@@ -102,162 +92,11 @@
     val limits: ProcessLimits,
     val operator: OperatorSettings = OperatorSettings(),
 ) {
+    /** Number of controllers in the deployment, this one included. */
     val controllers: Int get() = others.size + 1
 
     internal companion object {
-        /** Beyond these a limit is taken for a mistake in the file: nobody runs a controller on a hundred cores or a terabyte. */
-        private val CPU_SHARES = 0.001..100.0
-        private val MEMORY_MB = 32.0..1_000_000.0
-
-        /** Fewer connections cannot be shared out between users, workers, members and outside services. */
-        private val CONNECTIONS = 40.0..1_000_000.0
-        private const val BYTES_PER_KB = 1024
-
-        fun parse(text: String): Settings =
-            try {
-                read(Json.parse(text))
-            } catch (e: JsonProcessingException) {
-                throw InvalidSettingsException("the settings are not JSON: ${e.originalMessage}")
-            } catch (e: IOException) {
-                throw InvalidSettingsException("the settings are not JSON: ${e.message}")
-            }
-
-        private fun read(root: JsonNode): Settings {
-            if (!root.isObject) throw InvalidSettingsException("the settings are not a JSON object")
-            val params = root.need("params", "")
-            val workers = params.need("workers", "params.")
-            val state = params.need("state", "params.")
-            val cloud = params.need("cloud", "params.")
-            val services = root.need("services", "")
-            return Settings(
-                member = root.text("member", ""),
-                zone = root.text("zone", ""),
-                serveOn = root.endpoint("serve_on", ""),
-                peerBind = root.endpoint("peer_bind", ""),
-                others =
-                    root.items("others").map {
-                        PeerMember(it.text("member", "others."), it.text("zone", "others."), it.endpoint("endpoint", "others."))
-                    },
-                cloud = services.endpoint("cloud", "services."),
-                state = services.endpoint("state", "services."),
-                teams = params.items("teams").map { team(it) }.associateBy { it.name },
-                objectives = params.items("objectives").map { objective(it) },
-                workers =
-                    WorkerTimings(
-                        workers.positive("report_s", "params.workers."),
-                        workers.positive("lease_s", "params.workers."),
-                        workers.positive("cancel_s", "params.workers."),
-                        gangTimes(workers),
-                    ),
-                store = storeLimits(state),
-                cloudLimits = CloudLimits(cloud.positive("rps", "params.cloud."), cloud.positive("list_lag_s", "params.cloud.")),
-                limits = limits(params.need("limits", "params.")),
-            )
-        }
-
-        private fun limits(node: JsonNode): ProcessLimits {
-            if (!node.isObject) throw InvalidSettingsException("params.limits must be an object")
-            val connections = node.within("max_connections", "params.limits.", CONNECTIONS)
-            if (connections !=
-                Math.rint(connections)
-            ) {
-                throw InvalidSettingsException("params.limits.max_connections must be a whole number")
-            }
-            return ProcessLimits(
-                node.within("cpu_share", "params.limits.", CPU_SHARES),
-                node.within("memory_mb", "params.limits.", MEMORY_MB),
-                connections.toInt(),
-            )
-        }
-
-        private fun gangTimes(workers: JsonNode): GangTimings? {
-            if (!workers.hasNonNull("gang_wait_s") && !workers.hasNonNull("gang_peer_s")) return null
-            return GangTimings(workers.positive("gang_wait_s", "params.workers."), workers.positive("gang_peer_s", "params.workers."))
-        }
-
-        private fun storeLimits(state: JsonNode): StoreLimits {
-            val next = state.path("next")
-            if (!next.isMissingNode && !next.isNull && !next.isObject) throw InvalidSettingsException("params.state.next must be an object")
-
-            fun lowerOf(name: String): Double {
-                val now = state.positive(name, "params.state.")
-                return if (next.hasNonNull(name)) minOf(now, next.positive(name, "params.state.next.")) else now
-            }
-            return StoreLimits(
-                lowerOf("rps"),
-                lowerOf("write_rps"),
-                (lowerOf("value_kb") * BYTES_PER_KB).toInt(),
-                lowerOf("txn_ops").toInt().coerceAtLeast(1),
-            )
-        }
-
-        private fun team(node: JsonNode) =
-            Team(
-                node.text("name", "params.teams."),
-                node.path("cpus").asDouble(0.0),
-                node.path("cpus_max").asDouble(0.0),
-                node.path("gpus").asDouble(0.0),
-                node.path("gpus_max").asDouble(0.0),
-            )
-
-        private fun objective(node: JsonNode) =
-            ServiceLevelObjective(
-                node.path("kind").asText(""),
-                node.path("class").takeIf { it.isTextual }?.asText(),
-                node.path("within_s").takeIf { it.isNumber }?.asDouble(),
-                node.path("share").takeIf { it.isNumber }?.asDouble(),
-            )
-    }
-}
-
-private fun JsonNode.need(
-    name: String,
-    at: String,
-): JsonNode = get(name)?.takeIf { !it.isNull } ?: throw InvalidSettingsException("$at$name is missing")
-
-private fun JsonNode.text(
-    name: String,
-    at: String,
-): String =
-    need(name, at)
-        .takeIf {
-            it.isTextual &&
-                it.asText().isNotEmpty()
-        }?.asText() ?: throw InvalidSettingsException("$at$name must be a non-empty text")
-
-private fun JsonNode.positive(
-    name: String,
-    at: String,
-): Double =
-    need(name, at).takeIf { it.isNumber && it.asDouble().isFinite() && it.asDouble() > 0 }?.asDouble()
-        ?: throw InvalidSettingsException("$at$name must be a number above 0")
-
-private fun JsonNode.within(
-    name: String,
-    at: String,
-    range: ClosedFloatingPointRange<Double>,
-): Double =
-    need(name, at).takeIf { it.isNumber && it.asDouble() in range }?.asDouble()
-        ?: throw InvalidSettingsException("$at$name must be a number from ${range.start} to ${range.endInclusive}")
-
-private fun JsonNode.items(name: String): List<JsonNode> {
-    val node = get(name) ?: return emptyList()
-    if (node.isNull) return emptyList()
-    if (!node.isArray) throw InvalidSettingsException("$name must be a list")
-    return node.toList()
-}
-
-private fun JsonNode.endpoint(
-    name: String,
-    at: String,
-): Endpoint {
-    val text = text(name, at)
-    val port = text.substringAfterLast(':', "").toIntOrNull()
-    val host = text.substringBeforeLast(':')
-    if (port == null || port !in 1..65535 ||
-        host.isEmpty()
-    ) {
-        throw InvalidSettingsException("$at$name must be an address and a port, not \"$text\"")
+        /** Parses and validates the platform's settings file. Throws [InvalidSettingsException]. */
+        fun parse(text: String): Settings = SettingsParser.parse(text)
     }
-    return Endpoint(host, port)
 }
--- /dev/null
+++ b/src/main/kotlin/burlridge/settings/SettingsParser.kt
@@ -0,0 +1,165 @@
+package burlridge.settings
+
+import burlridge.json.Json
+import com.fasterxml.jackson.core.JsonProcessingException
+import com.fasterxml.jackson.databind.JsonNode
+import java.io.IOException
+
+/** Reads and validates the platform's settings file; the names of its fields stand here and nowhere else. */
+internal object SettingsParser {
+    /** A limit beyond these ranges is a mistake in the file. */
+    private val CPU_SHARES = 0.001..100.0
+    private val MEMORY_MB = 32.0..1_000_000.0
+
+    /** Fewer connections cannot be divided among users, workers, controllers and outside services. */
+    private val CONNECTIONS = 40.0..1_000_000.0
+    private const val BYTES_PER_KB = 1024
+
+    /** Throws [InvalidSettingsException] with a line that names the field. */
+    fun parse(text: String): Settings =
+        try {
+            read(Json.parse(text))
+        } catch (e: JsonProcessingException) {
+            throw InvalidSettingsException("the settings are not JSON: ${e.originalMessage}")
+        } catch (e: IOException) {
+            throw InvalidSettingsException("the settings are not JSON: ${e.message}")
+        }
+
+    private fun read(root: JsonNode): Settings {
+        if (!root.isObject) throw InvalidSettingsException("the settings are not a JSON object")
+        val params = root.need("params", "")
+        val workers = params.need("workers", "params.")
+        val state = params.need("state", "params.")
+        val cloud = params.need("cloud", "params.")
+        val services = root.need("services", "")
+        return Settings(
+            member = root.text("member", ""),
+            zone = root.text("zone", ""),
+            serveOn = root.endpoint("serve_on", ""),
+            peerBind = root.endpoint("peer_bind", ""),
+            others =
+                root.items("others").map {
+                    PeerMember(it.text("member", "others."), it.text("zone", "others."), it.endpoint("endpoint", "others."))
+                },
+            cloud = services.endpoint("cloud", "services."),
+            state = services.endpoint("state", "services."),
+            teams = params.items("teams").map { team(it) }.associateBy { it.name },
+            objectives = params.items("objectives").map { objective(it) },
+            workers =
+                WorkerTimings(
+                    workers.positive("report_s", "params.workers."),
+                    workers.positive("lease_s", "params.workers."),
+                    workers.positive("cancel_s", "params.workers."),
+                    gangTimes(workers),
+                ),
+            store = storeLimits(state),
+            cloudLimits = CloudLimits(cloud.positive("rps", "params.cloud."), cloud.positive("list_lag_s", "params.cloud.")),
+            limits = limits(params.need("limits", "params.")),
+        )
+    }
+
+    private fun limits(node: JsonNode): ProcessLimits {
+        if (!node.isObject) throw InvalidSettingsException("params.limits must be an object")
+        val connections = node.within("max_connections", "params.limits.", CONNECTIONS)
+        if (connections !=
+            Math.rint(connections)
+        ) {
+            throw InvalidSettingsException("params.limits.max_connections must be a whole number")
+        }
+        return ProcessLimits(
+            node.within("cpu_share", "params.limits.", CPU_SHARES),
+            node.within("memory_mb", "params.limits.", MEMORY_MB),
+            connections.toInt(),
+        )
+    }
+
+    private fun gangTimes(workers: JsonNode): GangTimings? {
+        if (!workers.hasNonNull("gang_wait_s") && !workers.hasNonNull("gang_peer_s")) return null
+        return GangTimings(workers.positive("gang_wait_s", "params.workers."), workers.positive("gang_peer_s", "params.workers."))
+    }
+
+    private fun storeLimits(state: JsonNode): StoreLimits {
+        val next = state.path("next")
+        if (!next.isMissingNode && !next.isNull && !next.isObject) throw InvalidSettingsException("params.state.next must be an object")
+
+        fun lowerOf(name: String): Double {
+            val now = state.positive(name, "params.state.")
+            return if (next.hasNonNull(name)) minOf(now, next.positive(name, "params.state.next.")) else now
+        }
+        return StoreLimits(
+            lowerOf("rps"),
+            lowerOf("write_rps"),
+            (lowerOf("value_kb") * BYTES_PER_KB).toInt(),
+            lowerOf("txn_ops").toInt().coerceAtLeast(1),
+        )
+    }
+
+    private fun team(node: JsonNode) =
+        Team(
+            node.text("name", "params.teams."),
+            node.path("cpus").asDouble(0.0),
+            node.path("cpus_max").asDouble(0.0),
+            node.path("gpus").asDouble(0.0),
+            node.path("gpus_max").asDouble(0.0),
+        )
+
+    private fun objective(node: JsonNode) =
+        ServiceLevelObjective(
+            node.path("kind").asText(""),
+            node.path("class").takeIf { it.isTextual }?.asText(),
+            node.path("within_s").takeIf { it.isNumber }?.asDouble(),
+            node.path("share").takeIf { it.isNumber }?.asDouble(),
+        )
+}
+
+private fun JsonNode.need(
+    name: String,
+    at: String,
+): JsonNode = get(name)?.takeIf { !it.isNull } ?: throw InvalidSettingsException("$at$name is missing")
+
+private fun JsonNode.text(
+    name: String,
+    at: String,
+): String =
+    need(name, at)
+        .takeIf {
+            it.isTextual &&
+                it.asText().isNotEmpty()
+        }?.asText() ?: throw InvalidSettingsException("$at$name must be a non-empty text")
+
+private fun JsonNode.positive(
+    name: String,
+    at: String,
+): Double =
+    need(name, at).takeIf { it.isNumber && it.asDouble().isFinite() && it.asDouble() > 0 }?.asDouble()
+        ?: throw InvalidSettingsException("$at$name must be a number above 0")
+
+private fun JsonNode.within(
+    name: String,
+    at: String,
+    range: ClosedFloatingPointRange<Double>,
+): Double =
+    need(name, at).takeIf { it.isNumber && it.asDouble() in range }?.asDouble()
+        ?: throw InvalidSettingsException("$at$name must be a number from ${range.start} to ${range.endInclusive}")
+
+private fun JsonNode.items(name: String): List<JsonNode> {
+    val node = get(name) ?: return emptyList()
+    if (node.isNull) return emptyList()
+    if (!node.isArray) throw InvalidSettingsException("$name must be a list")
+    return node.toList()
+}
+
+private fun JsonNode.endpoint(
+    name: String,
+    at: String,
+): Endpoint {
+    val text = text(name, at)
+    val port = text.substringAfterLast(':', "").toIntOrNull()
+    val host = text.substringBeforeLast(':')
+    if (port == null || port !in 1..65535 ||
+        host.isEmpty()
+    ) {
+        throw InvalidSettingsException("$at$name must be an address and a port, not \"$text\"")
+    }
+    return Endpoint(host, port)
+}
--- a/src/main/kotlin/burlridge/worker/Heartbeat.kt
+++ b/src/main/kotlin/burlridge/worker/Heartbeat.kt
@@ -1,12 +1,12 @@
 package burlridge.worker
 
 import burlridge.json.JsonStream
-import burlridge.json.eachField
-import burlridge.json.eachObject
-import burlridge.json.flagOrNull
+import burlridge.json.booleanOrNull
+import burlridge.json.forEachField
+import burlridge.json.forEachObject
+import burlridge.json.integerOrNull
 import burlridge.json.numberOrNull
 import burlridge.json.textOrNull
-import burlridge.json.wholeOrNull
 import burlridge.settings.Endpoint
 import com.fasterxml.jackson.core.JsonParser
 
@@ -71,16 +71,16 @@
     var token = 0L
     var noticeSeconds: Double? = null
     var tasks: Map<String, TaskStatus> = emptyMap()
-    parser.eachField {
+    parser.forEachField {
         when (it) {
             "drover" -> machine = parser.textOrNull().orEmpty()
             "addr" -> address = parser.textOrNull()?.let(Endpoint::parseOrNull)
             "breed" -> type = parser.textOrNull()
             "yard" -> zone = parser.textOrNull()
-            "loaners" -> spot = parser.flagOrNull()
-            "stint" -> agentEpoch = parser.wholeOrNull() ?: 0L
-            "tally" -> sequence = parser.wholeOrNull() ?: 0L
-            "baton" -> token = parser.wholeOrNull() ?: 0L
+            "loaners" -> spot = parser.booleanOrNull()
+            "stint" -> agentEpoch = parser.integerOrNull() ?: 0L
+            "tally" -> sequence = parser.integerOrNull() ?: 0L
+            "baton" -> token = parser.integerOrNull() ?: 0L
             "recallS" -> noticeSeconds = parser.numberOrNull()
             "pieces" -> tasks = readTasks(parser)
             else -> parser.skipChildren()
@@ -91,7 +91,7 @@
 
 private fun readTasks(parser: JsonParser): Map<String, TaskStatus> {
     val found = LinkedHashMap<String, TaskStatus>()
-    parser.eachObject { readTask(parser).let { found[it.key] = it } }
+    parser.forEachObject { readTask(parser).let { found[it.key] = it } }
     return found
 }
 
@@ -101,13 +101,13 @@
     var state = ""
     var exitReason: String? = null
     var saved = false
-    parser.eachField {
+    parser.forEachField {
         when (it) {
             "piece" -> task = parser.textOrNull().orEmpty()
-            "try" -> attempt = (parser.wholeOrNull() ?: 0L).toInt()
+            "try" -> attempt = (parser.integerOrNull() ?: 0L).toInt()
             "standing" -> state = parser.textOrNull().orEmpty()
             "cause" -> exitReason = parser.textOrNull()
-            "kept" -> saved = parser.flagOrNull() ?: false
+            "kept" -> saved = parser.booleanOrNull() ?: false
             else -> parser.skipChildren()
         }
     }
--- a/src/test/kotlin/burlridge/architecture/PackageDependencyTest.kt
+++ b/src/test/kotlin/burlridge/architecture/PackageDependencyTest.kt
@@ -31,7 +31,11 @@
 
     @Test
     fun `packages form no cycles`() {
-        slices().matching("$ROOT.(*)..").should().beFreeOfCycles().check(classes)
+        slices()
+            .matching("$ROOT.(*)..")
+            .should()
+            .beFreeOfCycles()
+            .check(classes)
     }
 
     @Test
