--- /dev/null
+++ b/src/main/kotlin/burlridge/failover/ReplicaCatchUp.kt
@@ -0,0 +1,60 @@
+package burlridge.failover
+
+import burlridge.core.HttpStatus
+import burlridge.store.Listing
+import burlridge.store.RequestPriority
+import burlridge.store.StoreClient
+
+/** Whether a standby replica could be brought up to the fencing token of a new leader. */
+internal sealed interface CatchUpResult {
+    /** All rows by their prefix. */
+    data class Complete(
+        val listings: Map<String, Listing>,
+    ) : CatchUpResult
+
+    /** The rows must be read from the state service. */
+    data class Failed(
+        val fault: ReplicaFault,
+    ) : CatchUpResult
+}
+
+/** Reads the last changes of each table for a new leader, and verifies that its rows are complete up to the leader's [fence]. */
+internal class ReplicaCatchUp(
+    private val store: StoreClient,
+    private val tables: List<ReplicaTable>,
+    private val fence: Long,
+) {
+    fun run(onResult: (CatchUpResult) -> Unit) = catchUp(0, onResult)
+
+    /** One table after the other, so that a fault ends the reading. */
+    private fun catchUp(
+        index: Int,
+        onResult: (CatchUpResult) -> Unit,
+    ) {
+        if (index == tables.size) return onResult(listings())
+        val table = tables[index]
+        store.watch(table.prefix, table.revision, 0.0, RequestPriority.LEADERSHIP) { status, body ->
+            val fault =
+                when {
+                    status != HttpStatus.OK || body == null -> ReplicaFault.CatchUpFailed(table.prefix, status)
+                    else -> (table.apply(body) as? Applied.Inconsistent)?.fault ?: verify(table)
+                }
+            if (fault == null) catchUp(index + 1, onResult) else onResult(CatchUpResult.Failed(fault))
+        }
+    }
+
+    private fun verify(table: ReplicaTable): ReplicaFault? =
+        when {
+            table.revision < fence -> ReplicaFault.BehindFence(table.prefix, table.revision, fence)
+            !table.isIntact() -> ReplicaFault.DigestMismatch(table.prefix)
+            else -> null
+        }
+
+    private fun listings(): CatchUpResult {
+        val listings = HashMap<String, Listing>()
+        for (table in tables) {
+            listings[table.prefix] = table.listing() ?: return CatchUpResult.Failed(ReplicaFault.UnreadableRow(table.prefix))
+        }
+        return CatchUpResult.Complete(listings)
+    }
+}
--- a/src/main/kotlin/burlridge/failover/ReplicaTable.kt
+++ b/src/main/kotlin/burlridge/failover/ReplicaTable.kt
@@ -13,19 +13,19 @@
     val value: String,
 )
 
-/** What became of a batch of changes. */
+/** Whether a batch of changes was applied. */
 internal sealed interface Applied {
     data object Complete : Applied
 
-    /** The batch cannot be what the state service says it is; the replica is of no use any more. */
+    /** The batch cannot be what the state service says it is; the replica must be discarded. */
     data class Inconsistent(
-        val reason: String,
+        val fault: BatchFault,
     ) : Applied
 }
 
 /**
  * The rows under one prefix as they stood at [revision]. Changes are applied in the order of their revisions, whole batches or
- * nothing; the map is persistent, so that a reader's snapshot costs nothing and no later change shows in it.
+ * nothing; the map is persistent, so that a reader's snapshot costs nothing and shows no later change.
  */
 internal class ReplicaTable(
     val prefix: String,
@@ -35,22 +35,22 @@
     var revision: Long = 0
         private set
 
-    /** What keys and values take, in characters. */
+    /** What keys and values take, in characters, and [ROW_OVERHEAD] for each row. */
     var size: Long = 0
         private set
 
-    /** The sum of all rows' hashes, kept along with every change. */
+    /** The sum of all rows' hashes, updated with every change. */
     private var digest = 0L
 
     fun load(listing: Listing) {
         clear()
-        val built = rows.builder()
+        val loaded = rows.builder()
         for (row in listing.rows) {
             val copy = ReplicaRow(row.modRevision, Json.write(row.value))
-            built[row.key] = copy
-            account(row.key, copy, 1)
+            loaded[row.key] = copy
+            updateTotals(row.key, copy, 1)
         }
-        rows = built.build()
+        rows = loaded.build()
         revision = listing.revision
     }
 
@@ -61,53 +61,56 @@
         digest = 0
     }
 
-    /** Applies the answer to a watch from [revision]; a batch that contradicts itself or what is here changes nothing. */
+    /** Applies the answer to a watch from [revision]; a batch that contradicts itself or this table changes nothing. */
     fun apply(answer: JsonNode): Applied {
-        val upTo = answer.path("ledgerRev").asLong(-1)
-        if (upTo < revision) return Applied.Inconsistent("revision $upTo after $revision")
+        val batchRevision = answer.path("ledgerRev").asLong(-1)
         val changes = answer.path("events")
-        check(changes, upTo)?.let { return Applied.Inconsistent(it) }
+        val fault = check(changes, batchRevision)
+        if (fault != null) return Applied.Inconsistent(fault)
         if (!changes.isEmpty) {
             val changed = rows.builder()
             changes.forEach { change ->
                 val key = keyOf(change)
-                changed.remove(key)?.let { account(key, it, -1) }
+                changed.remove(key)?.let { updateTotals(key, it, -1) }
                 if (change.has("set")) {
                     val row = ReplicaRow(change.path("stamp").asLong(), Json.write(change.path("value")))
                     changed[key] = row
-                    account(key, row, 1)
+                    updateTotals(key, row, 1)
                 }
             }
             rows = changed.build()
         }
-        revision = upTo
+        revision = batchRevision
         return Applied.Complete
     }
 
+    /** Null where all changes may be applied. */
     private fun check(
         changes: JsonNode,
-        upTo: Long,
-    ): String? {
-        if (!changes.isArray) return "no list of changes"
-        var last = revision
+        batchRevision: Long,
+    ): BatchFault? {
+        if (batchRevision < revision) return BatchFault.RevisionWentBack(batchRevision, revision)
+        if (!changes.isArray) return BatchFault.NoChanges
+        var previous = revision
         for (change in changes) {
             val modRevision = change.path("stamp").asLong(-1)
             val key = keyOf(change)
             when {
-                !key.startsWith(prefix) -> return "a change of \"${key.take(MOST_SHOWN)}\" under $prefix"
-                change.has("set") && !change.has("value") -> return "$key has no value"
-                modRevision <= revision -> return "$key changed at $modRevision, before $revision"
-                modRevision < last -> return "$key changed at $modRevision, listed after $last"
-                modRevision > upTo -> return "$key changed at $modRevision, after $upTo"
+                !key.startsWith(prefix) -> return BatchFault.KeyOutsidePrefix(key, prefix)
+                change.has("set") && !change.has("value") -> return BatchFault.MissingValue(key)
+                modRevision <= revision -> return BatchFault.ChangeTooOld(key, modRevision, revision)
+                modRevision < previous -> return BatchFault.ChangeOutOfOrder(key, modRevision, previous)
+                modRevision > batchRevision -> return BatchFault.ChangeTooNew(key, modRevision, batchRevision)
             }
-            last = modRevision
+            previous = modRevision
         }
         return null
     }
 
     private fun keyOf(change: JsonNode): String = change.path("set").asText(change.path("remove").asText(""))
 
-    private fun account(
+    /** Adds a row to [size] and [digest], or with a [sign] of -1 takes it away. */
+    private fun updateTotals(
         key: String,
         row: ReplicaRow,
         sign: Int,
@@ -120,14 +123,14 @@
         key: String,
         row: ReplicaRow,
     ): Long {
-        val mixed = (key.hashCode().toLong() shl HALF) xor row.value.hashCode().toLong() xor (row.modRevision * STAMP_FACTOR)
-        return mixed * MIX_FACTOR
+        val keyAndValue = (key.hashCode().toLong() shl Int.SIZE_BITS) xor row.value.hashCode().toLong()
+        return (keyAndValue xor (row.modRevision * REVISION_FACTOR)) * MIX_FACTOR
     }
 
-    /** Whether all rows are still what was written here. */
+    /** Whether all rows still match the digest that was kept along with the changes. */
     fun isIntact(): Boolean = rows.entries.sumOf { (key, row) -> hash(key, row) } == digest
 
-    /** All rows in the order of their keys, as a listing of the state service gives them; null where a value cannot be read. */
+    /** All rows in the order of their keys, as a listing of the state service returns them; null where a value cannot be read. */
     fun listing(): Listing? {
         val read =
             rows.entries.map { (key, row) ->
@@ -139,9 +142,9 @@
     private companion object {
         /** What a row takes beside its text: entry, object and string headers. */
         const val ROW_OVERHEAD = 120
-        const val HALF = 32
-        const val MOST_SHOWN = 40
-        const val STAMP_FACTOR = -0x61c8864680b583ebL
+
+        /** Odd 64-bit constants that spread the bits of a hash. */
+        const val REVISION_FACTOR = -0x61c8864680b583ebL
         const val MIX_FACTOR = -0x4b47d0c5a1a6e2a5L
     }
 }
--- a/src/main/kotlin/burlridge/failover/StandbyReplica.kt
+++ b/src/main/kotlin/burlridge/failover/StandbyReplica.kt
@@ -1,12 +1,13 @@
 package burlridge.failover
 
+import burlridge.core.HttpStatus
 import burlridge.core.StepContext
 import burlridge.message.FailoverStatus
 import burlridge.store.Listing
 import burlridge.store.RequestPriority
 import burlridge.store.StoreClient
 
-/** How far a standby replica is. */
+/** How far a standby replica is; [label] stands in the report. */
 internal enum class ReplicaState(
     val label: String,
 ) {
@@ -27,47 +28,52 @@
 }
 
 /**
- * A follower's copy of the rows that a new leader needs, fed by the state service's own change feed: at every revision it is what a
- * full read at that revision would have given. A gap, a contradiction, a failed audit or a wrong digest throws it away.
+ * A follower's copy of the rows that a new leader needs, fed by the state service's change feed: at every revision it equals what a
+ * full read at that revision would have returned. A gap, a contradiction, a failed audit or a wrong digest discards it.
  */
 internal class StandbyReplica(
     private val context: StepContext,
     private val store: StoreClient,
     prefixes: List<String>,
-    private val mostSize: Long,
+    /** Limit of [size]. */
+    private val maxSize: Long,
+    /** Between two refreshes of all tables. */
     private val refreshSeconds: Double,
 ) {
     private val tables = prefixes.map { ReplicaTable(it) }
-    private var next = 0
-    private var refreshAt = 0.0
-    private var busy = false
+
+    /** The table to load or refresh next. */
+    private var nextTable = 0
+    private var nextTickAt = 0.0
+    private var isRequestOpen = false
+
+    /** Refreshes that failed, one after the other. */
     private var failures = 0
     private var refreshes = 0L
 
-    /** Raised whenever the replica is given up, so that answers to questions from before change nothing. */
+    /** The key after which the next audit reads; empty for the beginning of a table. */
+    private var auditFrom = ""
+
+    /** Raised whenever the replica is reset, so that answers to earlier requests change nothing. */
     private var generation = 0
-    var state: ReplicaState = ReplicaState.OFF
-        private set
+    private var state = ReplicaState.OFF
+    private var lastDiscard: ReplicaFault? = null
+
+    /** When all tables were last refreshed. */
+    private var refreshedAt = 0.0
 
-    /** Why the replica was last thrown away. */
-    var lastDiscard: String = ""
-        private set
-    val size: Long get() = tables.sumOf { it.size }
-    val rows: Int get() = tables.sumOf { it.rows.size }
+    /** What the rows take, in characters of their text and a constant for each. */
+    private val size: Long get() = tables.sumOf { it.size }
 
-    /** Complete up to here in every table. */
+    /** Complete up to here in every table; [FailoverStatus.NO_REPLICA] where it is not complete. */
     val revision: Long
         get() = if (state == ReplicaState.FOLLOWING) tables.minOf { it.revision } else FailoverStatus.NO_REPLICA
 
-    /** When all tables were last refreshed. */
-    var refreshedAt: Double = 0.0
-        private set
-
     fun tick(isWanted: Boolean) {
-        // A new leader waits for its rows: a member that leads is no standby, but must not throw them away.
+        // A new leader waits for its rows: a member that leads is no standby, but must not discard them.
         if (state == ReplicaState.TAKING_OVER) return
         if (!isWanted) return stop()
-        if (busy || context.now < refreshAt) return
+        if (isRequestOpen || context.now < nextTickAt) return
         when (state) {
             ReplicaState.TAKING_OVER -> Unit
             ReplicaState.OFF, ReplicaState.TOO_LARGE -> begin()
@@ -76,35 +82,37 @@
         }
     }
 
-    /** Refreshes at once, because the leader is suspected. */
+    /** Refreshes at the next tick, because the leader is suspected. */
     fun refreshSoon() {
-        if (state == ReplicaState.FOLLOWING) refreshAt = context.now
-    }
-
-    fun stop() {
-        if (state == ReplicaState.OFF) return
-        reset()
-        state = ReplicaState.OFF
+        if (state == ReplicaState.FOLLOWING) nextTickAt = context.now
     }
 
     fun report(): ReplicaReport =
         ReplicaReport(
             state = state,
-            rows = rows,
+            rows = tables.sumOf { it.rows.size },
             bytes = size,
             revision = revision,
             lagSeconds = if (state == ReplicaState.FOLLOWING) context.now - refreshedAt else null,
-            lastDiscard = lastDiscard,
+            lastDiscard = lastDiscard?.text.orEmpty(),
         )
 
+    private fun stop() {
+        if (state == ReplicaState.OFF) return
+        reset()
+        state = ReplicaState.OFF
+    }
+
     private fun reset() {
         generation++
-        busy = false
+        isRequestOpen = false
         failures = 0
-        next = 0
+        nextTable = 0
         tables.forEach { it.clear() }
     }
 
+    // --- loading
+
     private fun begin() {
         reset()
         state = ReplicaState.LOADING
@@ -112,179 +120,147 @@
     }
 
     private fun load() {
-        val table = tables[next]
-        val mine = generation
-        busy = true
+        val table = tables[nextTable]
+        val requestGeneration = generation
+        isRequestOpen = true
         store.list(table.prefix, RequestPriority.CLEANUP) { listing ->
-            if (generation != mine) return@list
-            busy = false
+            if (generation != requestGeneration) return@list
+            isRequestOpen = false
             if (listing == null) {
-                refreshAt = context.now + refreshSeconds
+                nextTickAt = context.now + refreshSeconds
             } else {
                 table.load(listing)
                 context.count("failover.replica.loaded", listing.rows.size)
-                loaded()
+                onTableLoaded()
             }
         }
     }
 
-    private fun loaded() {
-        if (tooLarge()) return
-        next++
-        if (next < tables.size) return
-        next = 0
+    private fun onTableLoaded() {
+        if (discardIfTooLarge()) return
+        nextTable++
+        if (nextTable < tables.size) return
+        nextTable = 0
         state = ReplicaState.FOLLOWING
         refreshedAt = context.now
-        refreshAt = context.now
+        nextTickAt = context.now
     }
 
-    private fun tooLarge(): Boolean {
-        if (size <= mostSize) return false
-        context.info("standby replica too large", "kilobytes" to size / BYTES_PER_KB, "max_kilobytes" to mostSize / BYTES_PER_KB)
-        lastDiscard = "too large"
+    private fun discardIfTooLarge(): Boolean {
+        if (size <= maxSize) return false
+        context.info("standby replica too large", "kilobytes" to size / BYTES_PER_KB, "max_kilobytes" to maxSize / BYTES_PER_KB)
+        lastDiscard = ReplicaFault.TooLarge
         reset()
         state = ReplicaState.TOO_LARGE
-        refreshAt = context.now + refreshSeconds * PAUSE_REFRESHES
+        nextTickAt = context.now + refreshSeconds * TOO_LARGE_PAUSE_REFRESHES
         return true
     }
 
-    /** One table a turn, so that the cost is spread. */
+    // --- following
+
+    /** Refreshes one table, or audits one; a table at a time, so that the cost is spread. */
     private fun refresh() {
-        refreshAt = context.now + refreshSeconds / tables.size
+        nextTickAt = context.now + refreshSeconds / tables.size
         refreshes++
-        if (refreshes % REFRESHES_PER_AUDIT == 0L) return audit(tables[(refreshes / REFRESHES_PER_AUDIT % tables.size).toInt()])
-        val table = tables[next]
-        next = (next + 1) % tables.size
-        follow(table) { if (next == 0) refreshedAt = context.now }
+        if (refreshes % REFRESHES_PER_AUDIT == 0L) {
+            val audits = refreshes / REFRESHES_PER_AUDIT
+            return audit(tables[(audits % tables.size).toInt()])
+        }
+        val table = tables[nextTable]
+        nextTable = (nextTable + 1) % tables.size
+        follow(table) { if (nextTable == 0) refreshedAt = context.now }
     }
 
+    /** Applies the changes of [table] since its revision. */
     private fun follow(
         table: ReplicaTable,
-        onResult: () -> Unit,
+        onApplied: () -> Unit,
     ) {
-        val mine = generation
-        busy = true
+        val requestGeneration = generation
+        isRequestOpen = true
         store.watch(table.prefix, table.revision, 0.0) { status, body ->
-            if (generation != mine) return@watch
-            busy = false
+            if (generation != requestGeneration) return@watch
+            isRequestOpen = false
             when {
-                status == OK && body != null -> {
+                status == HttpStatus.OK && body != null -> {
                     failures = 0
                     val applied = table.apply(body)
                     if (applied is Applied.Inconsistent) {
-                        discard("${table.prefix}: ${applied.reason}")
-                    } else if (!tooLarge()) {
-                        onResult()
+                        discard(ReplicaFault.InconsistentChanges(table.prefix, applied.fault))
+                    } else if (!discardIfTooLarge()) {
+                        onApplied()
                     }
                 }
 
-                status == GONE -> {
-                    discard("${table.prefix}: the changes since ${table.revision} are not kept any more")
+                status == HttpStatus.GONE -> {
+                    discard(ReplicaFault.ChangesCompacted(table.prefix, table.revision))
                 }
 
-                // Answers may also be too long to take; then the rows are read anew.
+                // An answer may also be too long to read; a full read has pages.
                 ++failures >= FAILURES_TO_DISCARD && store.isServing -> {
-                    discard("${table.prefix}: its changes cannot be read")
+                    discard(ReplicaFault.ChangesUnavailable(table.prefix))
                 }
             }
         }
     }
 
-    private var auditFrom = ""
-
     private fun audit(table: ReplicaTable) {
-        val mine = generation
+        val requestGeneration = generation
         val from = auditFrom.takeIf { it.startsWith(table.prefix) }.orEmpty()
-        busy = true
+        isRequestOpen = true
         store.listPage(table.prefix, from, AUDIT_ROWS, RequestPriority.CLEANUP) { page ->
-            if (generation != mine) return@listPage
-            busy = false
+            if (generation != requestGeneration) return@listPage
+            isRequestOpen = false
             if (page == null) return@listPage
             auditFrom = if (page.truncated) page.rows.last().key else ""
             context.count("failover.replica.audits")
             val shown = AuditPage(from, page.rows, page.truncated, page.revision)
-            // What the page shows and the replica has not heard of yet is only judged once it has.
-            follow(table) { ReplicaAudit.difference(table, shown)?.let { discard("audit of ${table.prefix}: $it") } }
+            // The replica is brought up to the page's revision first: a change that has not arrived yet is no difference.
+            follow(table) {
+                ReplicaAudit.difference(table, shown)?.let { discard(ReplicaFault.AuditFailed(table.prefix, it)) }
+            }
         }
     }
 
-    private fun discard(reason: String) {
-        context.info("standby replica discarded", "reason" to reason)
+    private fun discard(fault: ReplicaFault) {
+        context.info("standby replica discarded", "reason" to fault.text)
         context.count("failover.replica.discarded")
-        lastDiscard = reason
+        lastDiscard = fault
         reset()
         state = ReplicaState.LOADING
-        refreshAt = context.now + refreshSeconds
+        nextTickAt = context.now + refreshSeconds
     }
 
+    // --- taking over
+
     /**
-     * For a new leader, whose fence at [fence] lets nobody else change what it reads: all tables up to a revision at or above it. Null
-     * where that cannot be shown, and all must be read.
+     * For a new leader, whose fencing token [fence] lets nobody else change what it reads: all tables up to a revision at or above it.
+     * Null where that cannot be verified, and all must be read.
      */
     fun takeOver(
         fence: Long,
         onResult: (Map<String, Listing>?) -> Unit,
     ) {
         if (state != ReplicaState.FOLLOWING) return onResult(null)
+        // Answers to open refreshes must change nothing from here on.
         generation++
         state = ReplicaState.TAKING_OVER
-        val mine = generation
-        catchUp(0, fence, mine) { complete ->
-            val listings = if (complete) listings() else null
-            if (listings == null) context.info("standby replica not used", "reason" to lastDiscard)
+        ReplicaCatchUp(store, tables, fence).run { result ->
+            if (result is CatchUpResult.Failed) {
+                lastDiscard = result.fault
+                context.info("standby replica not used", "reason" to result.fault.text)
+            }
             reset()
             state = ReplicaState.OFF
-            onResult(listings)
+            onResult((result as? CatchUpResult.Complete)?.listings)
         }
     }
 
-    private fun catchUp(
-        index: Int,
-        fence: Long,
-        mine: Int,
-        onResult: (Boolean) -> Unit,
-    ) {
-        if (index == tables.size) return onResult(true)
-        val table = tables[index]
-        store.watch(table.prefix, table.revision, 0.0, RequestPriority.LEADERSHIP) { status, body ->
-            if (generation != mine) return@watch
-            val problem =
-                when {
-                    status != OK || body == null -> "the changes of ${table.prefix} cannot be read ($status)"
-                    else -> (table.apply(body) as? Applied.Inconsistent)?.reason ?: unproven(table, fence)
-                }
-            if (problem == null) {
-                catchUp(index + 1, fence, mine, onResult)
-            } else {
-                lastDiscard = problem
-                onResult(false)
-            }
-        }
-    }
-
-    private fun unproven(
-        table: ReplicaTable,
-        fence: Long,
-    ): String? =
-        when {
-            table.revision < fence -> "${table.prefix} is known up to ${table.revision}, below the fence $fence"
-            !table.isIntact() -> "${table.prefix} does not match its digest"
-            else -> null
-        }
-
-    private fun listings(): Map<String, Listing>? {
-        val all = HashMap<String, Listing>()
-        for (table in tables) {
-            all[table.prefix] = table.listing() ?: return null.also { lastDiscard = "a row of ${table.prefix} cannot be read" }
-        }
-        return all
-    }
-
     private companion object {
-        const val OK = 200
-        const val GONE = 410
         const val BYTES_PER_KB = 1024
-        const val PAUSE_REFRESHES = 60
+
+        /** How long a replica that was too large is not tried again, in refreshes. */
+        const val TOO_LARGE_PAUSE_REFRESHES = 60
         const val FAILURES_TO_DISCARD = 8
         const val REFRESHES_PER_AUDIT = 32L
         const val AUDIT_ROWS = 50
