--- /dev/null
+++ b/src/main/kotlin/burlridge/allocation/ActiveJobRow.kt
@@ -0,0 +1,22 @@
+package burlridge.allocation
+
+import burlridge.job.JobSpec
+import burlridge.store.Condition
+
+/** The row of an accepted job that has not ended. */
+internal data class ActiveJobRow(
+    val spec: JobSpec,
+    val submittedMillis: Long,
+) {
+    internal companion object {
+        private const val KEY_PREFIX = "live/"
+
+        fun key(job: String): String = KEY_PREFIX + job
+
+        /** The id of the job whose row has [key]. */
+        fun jobOf(key: String): String = key.substringAfter('/')
+
+        /** Holds while the row of [job] is as it was admitted, which it is until the job ends. */
+        fun condition(job: Job): Condition = Condition(key(job.spec.id), job.modRevision)
+    }
+}
--- a/src/main/kotlin/burlridge/allocation/AllocationBatchCodec.kt
+++ b/src/main/kotlin/burlridge/allocation/AllocationBatchCodec.kt
@@ -4,75 +4,106 @@
 import burlridge.json.Json
 import burlridge.store.Row
 import com.fasterxml.jackson.databind.JsonNode
+import com.fasterxml.jackson.databind.node.ArrayNode
 import com.google.common.hash.Hashing
 
-/** A job's charge and its starts stand together, zones once for all, so that a row holds as many starts as it can. */
-internal fun encode(
-    batch: AllocationBatch,
-    token: Long,
-    untilMillis: Long,
-    all: List<Allocation> = batch.allocations,
-): JsonNode =
-    Json.obj {
-        val zones = all.map { it.zone }.distinct()
-        put("st", "claimed")
-        put("n", batch.number)
-        put("tok", token)
-        put("until", untilMillis)
-        putArray("zones").also { array -> zones.forEach(array::add) }
-        val jobs = putObject("jobs")
-        all.groupBy { it.job }.forEach { (id, allocations) ->
-            val charge = allocations.first().charge
-            val row = jobs.putArray(id)
-            row
-                .add(charge.team)
-                .add(charge.size.cpus)
-                .add(charge.size.gpus)
-                .add(charge.size.memoryGb)
-            val starts = row.addArray()
-            allocations.forEach {
-                starts
-                    .addArray()
-                    .add(it.task)
-                    .add(it.attempt)
-                    .add(it.machine)
-                    .add(it.agentEpoch)
-                    .add(zones.indexOf(it.zone))
-                    .add(if (it.lost) 1 else 0)
-            }
+/**
+ * Reads and writes the rows of allocation batches. A job's charge and its allocations stand together, and each zone stands once, so that a
+ * row holds as many allocations as it can.
+ */
+internal object AllocationBatchCodec {
+    private const val KEY_PREFIX = "round/"
+    private const val STATUS = "claimed"
+    private const val FINGERPRINT_LENGTH = 16
+
+    fun rowKey(slot: String): String = KEY_PREFIX + slot
+
+    /** The row of [batch] under fencing token [token], with [allocations] in it; it counts as live until [untilMillis]. */
+    fun encode(
+        batch: AllocationBatch,
+        token: Long,
+        untilMillis: Long,
+        allocations: List<Allocation> = batch.allocations,
+    ): JsonNode =
+        Json.obj {
+            val zones = allocations.map { it.zone }.distinct()
+            put("st", STATUS)
+            put("n", batch.number)
+            put("tok", token)
+            put("until", untilMillis)
+            putArray("zones").also { array -> zones.forEach(array::add) }
+            val jobs = putObject("jobs")
+            allocations.groupBy { it.job }.forEach { (id, ofJob) -> encodeJob(jobs.putArray(id), ofJob, zones) }
+            put("fp", fingerprint(jobs))
+        }
+
+    private fun encodeJob(
+        row: ArrayNode,
+        allocations: List<Allocation>,
+        zones: List<String>,
+    ) {
+        val charge = allocations.first().charge
+        row
+            .add(charge.team)
+            .add(charge.size.cpus)
+            .add(charge.size.gpus)
+            .add(charge.size.memoryGb)
+        val starts = row.addArray()
+        allocations.forEach {
+            starts
+                .addArray()
+                .add(it.task)
+                .add(it.attempt)
+                .add(it.machine)
+                .add(it.agentEpoch)
+                .add(zones.indexOf(it.zone))
+                .add(if (it.isLost) 1 else 0)
         }
-        put(
-            "fp",
-            Hashing
-                .sha256()
-                .hashUnencodedChars(Json.write(jobs))
-                .toString()
-                .take(16),
-        )
     }
 
-/** The round as a new leader finds it: where each start may be is known, how far it came is not. */
-internal fun decode(row: Row): AllocationBatch {
-    val zones = row.value.path("zones").map { it.asText() }
-    val allocations =
-        row.value.path("jobs").properties().flatMap { (id, v) ->
-            val charge = QuotaCharge(v.path(0).asText(), Resources(v.path(1).asDouble(), v.path(2).asDouble(), v.path(3).asDouble()))
-            v.path(4).map { s ->
-                val zone = zones.getOrElse(s.path(4).asInt()) { "" }
-                Allocation(
-                    id,
-                    s.path(0).asInt(),
-                    s.path(1).asInt(),
-                    s.path(2).asText(),
-                    s.path(3).asLong(),
-                    zone,
-                    charge,
-                    AllocationPhase.DISPATCHED,
-                ).also {
-                    it.lost = s.path(5).asInt() == 1
-                    it.inherited = true
-                }
+    private fun fingerprint(jobs: JsonNode): String =
+        Hashing
+            .sha256()
+            .hashUnencodedChars(Json.write(jobs))
+            .toString()
+            .take(FINGERPRINT_LENGTH)
+
+    /** The batch as a new leader finds it: it knows where each task may be, not how far its attempt has come. */
+    fun decode(row: Row): AllocationBatch {
+        val zones = row.value.path("zones").map { it.asText() }
+        val allocations =
+            row.value.path("jobs").properties().flatMap { (id, entry) ->
+                val charge = decodeCharge(entry)
+                entry.path(4).map { decodeAllocation(id, it, zones, charge) }
             }
+        return AllocationBatch(row.key.substringAfter('/'), numberOf(row), allocations)
+    }
+
+    /** The [AllocationBatch.number] in [row]. */
+    fun numberOf(row: Row): String = row.value.path("n").asText()
+
+    private fun decodeCharge(entry: JsonNode): QuotaCharge {
+        val size = Resources(entry.path(1).asDouble(), entry.path(2).asDouble(), entry.path(3).asDouble())
+        return QuotaCharge(entry.path(0).asText(), size)
+    }
+
+    private fun decodeAllocation(
+        job: String,
+        start: JsonNode,
+        zones: List<String>,
+        charge: QuotaCharge,
+    ): Allocation =
+        Allocation(
+            job,
+            task = start.path(0).asInt(),
+            attempt = start.path(1).asInt(),
+            machine = start.path(2).asText(),
+            agentEpoch = start.path(3).asLong(),
+            zone = zones.getOrElse(start.path(4).asInt()) { "" },
+            charge,
+            AllocationPhase.DISPATCHED,
+        ).also {
+            it.isLost = start.path(5).asInt() == 1
+            it.isInherited = true
         }
-    return AllocationBatch(row.key.substringAfter('/'), row.value.path("n").asText(), allocations)
 }
--- /dev/null
+++ b/src/main/kotlin/burlridge/allocation/FinishedJobRow.kt
@@ -0,0 +1,15 @@
+package burlridge.allocation
+
+/** The row of a job that has ended. */
+internal data class FinishedJobRow(
+    val jobState: JobState,
+    /** The fingerprint of its specification, by which a repeated submission is recognized. */
+    val fingerprint: String,
+    val tasks: Int,
+) {
+    internal companion object {
+        private const val KEY_PREFIX = "over/"
+
+        fun key(job: String): String = KEY_PREFIX + job
+    }
+}
--- a/src/main/kotlin/burlridge/allocation/GangRules.kt
+++ b/src/main/kotlin/burlridge/allocation/GangRules.kt
@@ -2,30 +2,30 @@
 
 /** How far the present attempt of a gang has come. */
 internal enum class GangState {
-    /** No task is anywhere: the next attempt may be claimed. */
+    /** No task has an allocation: the next attempt may be allocated. */
     IDLE,
 
-    /** The rows of an attempt are being written, and nothing has been sent. */
+    /** The rows of an attempt are being written, and no start command has been sent. */
     COMMITTING,
 
-    /** Tasks are on their way, fetch their image or wait for the others. */
+    /** Start commands are on their way, or tasks fetch their image or wait for the others. */
     AWAITING_GANG,
     RUNNING,
 
-    /** All were told to stop, and save. */
+    /** All tasks are to save and stop. */
     STOPPING,
 
-    /** A task is gone; the others are stopped. */
+    /** A task is gone; the others are to be stopped. */
     BROKEN,
 }
 
 /**
- * The tasks of a gang share their run number, the attempt, and their fate: one `done` is all done, and one that is gone ends the
- * attempt. The others are then stopped, and nothing of the next attempt is claimed before every one of them is known to be gone,
- * with whatever that takes for any task. A number is never used for a second attempt, so that what comes late of an earlier one
- * is told from this one. The protocol lets a task that is lost while its gang still waits be replaced under the same number; that
- * is not done, since whether a gang has started is known only after the fact, and a new attempt on the same machines finds the
- * image there.
+ * The tasks of a gang share an attempt number and their fate: once one is done all are, and once one is gone the attempt is over. The other
+ * tasks are then stopped, and the next attempt is allocated only after every one of them is known to be gone. An attempt number is never
+ * used twice, so that late reports of an earlier attempt are recognized.
+ *
+ * The protocol allows a task that is lost while its gang still waits to be replaced under the same number. That is not done: whether a gang
+ * has started is known only after the fact, and a new attempt on the same machines finds the image there.
  */
 internal object GangRules {
     fun state(job: Job): GangState {
@@ -41,32 +41,34 @@
     }
 
     /**
-     * A task of [job]'s present attempt is gone: the others have no further use. What has not left is returned, to be released;
-     * the rest is to be halted, except where the gang was told to save: then each ends by itself.
+     * Marks the remaining tasks of [job]'s present attempt, one of which is gone, to be stopped at once, except where the gang is saving:
+     * then each ends by itself. Returns the allocations whose start command has not been sent, to be released.
      */
-    fun broken(job: Job): List<Allocation> {
-        val left = job.allocations.values.filter { !it.ended }
-        left.filter { it.phase >= AllocationPhase.DISPATCHED && it.stopGraceSeconds == null }.forEach { it.stopGraceSeconds = 0.0 }
-        return left.filter { it.phase == AllocationPhase.COMMITTED || (it.phase == AllocationPhase.COMMITTING && it.durable) }
+    fun abort(job: Job): List<Allocation> {
+        val remaining = job.allocations.values.filter { !it.hasEnded }
+        remaining.filter { it.phase >= AllocationPhase.DISPATCHED && it.stopGraceSeconds == null }.forEach { it.stopGraceSeconds = 0.0 }
+        return remaining.filter {
+            it.phase == AllocationPhase.COMMITTED || (it.phase == AllocationPhase.COMMITTING && it.isPersisted)
+        }
     }
 
     /**
-     * Tells every task of [job] to save and end, or to end at once where it has not begun or cannot save. Returns whose machines
-     * must hear of it straight away: they all have to within a short time.
+     * Marks every task of [job] to save and stop, or to stop at once where the gang has not begun or cannot save. Returns the allocations
+     * newly marked; their machines have to receive the command within a short time of each other.
      */
     fun stop(job: Job): List<Allocation> {
-        val saves = state(job) == GangState.RUNNING && job.spec.checkpointSeconds > 0
-        val told = job.allocations.values.filter { !it.ended && it.stopGraceSeconds == null }
-        told.forEach { it.stopGraceSeconds = if (saves) job.spec.saveSeconds * GRACE else 0.0 }
-        return told
+        val canSave = state(job) == GangState.RUNNING && job.spec.checkpointSeconds > 0
+        val stopped = job.allocations.values.filter { !it.hasEnded && it.stopGraceSeconds == null }
+        stopped.forEach { it.stopGraceSeconds = if (canSave) job.spec.saveSeconds * CHECKPOINT_GRACE_FACTOR else 0.0 }
+        return stopped
     }
 
-    /** Of an attempt whose rows are not all there nothing was ever sent. */
+    /** Whether [attempt] of [job] lacks a task: then its rows were never all written, and no start command was sent. */
     fun isPartiallyAllocated(
         job: Job,
-        allocations: List<Allocation>,
-    ): Boolean = allocations.mapTo(HashSet()) { it.task }.size < job.spec.tasks
+        attempt: List<Allocation>,
+    ): Boolean = attempt.mapTo(HashSet()) { it.task }.size < job.spec.tasks
 
     /** A task that saves is given this many times what the save should take. */
-    const val GRACE = 2.0
+    const val CHECKPOINT_GRACE_FACTOR = 2.0
 }
--- a/src/main/kotlin/burlridge/allocation/Job.kt
+++ b/src/main/kotlin/burlridge/allocation/Job.kt
@@ -1,175 +1,116 @@
 package burlridge.allocation
 
 import burlridge.job.JobSpec
-import burlridge.job.Resources
 import it.unimi.dsi.fastutil.ints.Int2DoubleOpenHashMap
 import it.unimi.dsi.fastutil.ints.Int2IntOpenHashMap
 import it.unimi.dsi.fastutil.ints.Int2ObjectOpenHashMap
 import java.util.BitSet
 
-internal enum class JobState(
-    val wire: String,
-) {
-    QUEUED("queued"),
-    RUNNING("running"),
-    DONE("done"),
-    CANCELLED("withdrawn"),
-}
-
-/** An accepted job that is not over, as its leader knows it. */
+/**
+ * An accepted job that has not ended, as its leader knows it. Tasks are numbered from 0. A job may have 100,000 tasks, so what is kept for
+ * each task is a bit or an entry of a primitive map.
+ */
 internal class Job(
     val spec: JobSpec,
+    /** The mod revision of its row. */
     val modRevision: Long,
     val submittedMillis: Long,
 ) {
+    /** Tasks that are done. */
     val done: BitSet = BitSet()
-    val durable: BitSet = BitSet()
 
-    /** Done or claimed: what no placement round need look at. */
-    val taken: BitSet = BitSet()
+    /** Tasks that are done, and whose progress row says so. */
+    val persistedDone: BitSet = BitSet()
+
+    /** Tasks that are done or allocated: those that placement need not look at. */
+    val doneOrAllocated: BitSet = BitSet()
 
-    /** Keys of the progress rows there are, or may be, with the stamp of each; 0 for one not yet written. */
-    val progress: LinkedHashMap<String, Long> = LinkedHashMap()
+    /** The keys of its progress rows, each with the mod revision that the row is known to have; 0 for one not known to be written. */
+    val progressRevisions: LinkedHashMap<String, Long> = LinkedHashMap()
+
+    /** The open allocation of each task that has one. */
     val allocations: Int2ObjectOpenHashMap<Allocation> = Int2ObjectOpenHashMap()
-    val lastAttempt: Int2IntOpenHashMap = Int2IntOpenHashMap()
 
-    /** The highest run number of any task; to a gang, the number of its last attempt. */
+    /** The highest attempt number of each task that was ever allocated. */
+    val lastAttemptByTask: Int2IntOpenHashMap = Int2IntOpenHashMap()
+
+    /** The highest attempt number of any task; for a gang, the number of its latest attempt. */
     var highestAttempt: Int = 0
-    val notBefore: Int2DoubleOpenHashMap = Int2DoubleOpenHashMap()
 
-    /** When a task of it was last claimed, in this leader's time; null where none was. */
+    /** The earliest time, in this leader's seconds, at which a task may be tried again. */
+    val notBeforeByTask: Int2DoubleOpenHashMap = Int2DoubleOpenHashMap()
+
+    /** When one of its tasks was last allocated, in this leader's seconds; null where none was. */
     var allocatedAt: Double? = null
 
-    /** Set while the claims of a broken attempt are let go. */
-    var breaking: Boolean = false
+    /** The allocations of a broken gang attempt are being released; guards against doing so recursively. */
+    var isAbortingAttempt: Boolean = false
+
+    /** Called with the final state once the job has ended. */
     val endListeners: ArrayList<(JobState) -> Unit> = ArrayList()
+
+    /** How many attempts of its tasks have failed. */
     var failures: Int = 0
-    var flushing: Boolean = false
 
-    /** When the oldest of the ends that are not durable yet was heard of. */
-    var unwrittenSince: Double = 0.0
+    /** A progress row is being written or read. */
+    var isPersistingProgress: Boolean = false
+
+    /** When the oldest task end that is not persisted yet became known, in this leader's seconds. */
+    var unpersistedSince: Double = 0.0
 
-    /** The end that is being written, and once written, told. */
-    var ending: JobState? = null
-    var over: JobState? = null
+    /** The final state that is being written; null while none is. */
+    var pendingEndState: JobState? = null
 
-    /** Its end may have been written without our knowing: until that is settled only the rows can say whether it is over. */
-    var inDoubt: Boolean = false
+    /** The final state once it is written; null before. */
+    var endState: JobState? = null
+
+    /** A transaction that ends the job may have been applied unseen: until that is settled only the rows can say whether it has ended. */
+    var isEndUncertain: Boolean = false
 
     val jobState: JobState
-        get() = over ?: if (running > 0) JobState.RUNNING else JobState.QUEUED
+        get() = endState ?: if (runningCount > 0) JobState.RUNNING else JobState.QUEUED
 
-    val running: Int get() = allocations.values.count { it.phase == AllocationPhase.RUNNING }
+    val runningCount: Int get() = allocations.values.count { it.phase == AllocationPhase.RUNNING }
 
-    val complete: Boolean get() = done.cardinality() == spec.tasks
+    /** Whether all tasks are done. */
+    val isComplete: Boolean get() = done.cardinality() == spec.tasks
 
-    /** Tasks that are neither done nor claimed. */
-    val waiting: Int get() = spec.tasks - taken.cardinality()
+    /** How many tasks are neither done nor allocated. */
+    val unallocatedCount: Int get() = spec.tasks - doneOrAllocated.cardinality()
 
-    /** How long its done tasks ran, of those seen to start and to end. */
-    var ranSeconds: Double = 0.0
-    var ran: Int = 0
+    /** The total run time of the tasks that this leader saw both start and finish, and their number. */
+    var finishedRunSeconds: Double = 0.0
+    var finishedRunCount: Int = 0
 
-    /** A usual run of its tasks; null until a few have ended. */
-    val usualRunSeconds: Double? get() = if (ran >= minOf(FEW, (spec.tasks + 1) / 2)) ranSeconds / ran else null
+    /** The mean run time of its tasks; null until enough of them have finished. */
+    val meanRunSeconds: Double?
+        get() = if (finishedRunCount >= minOf(MIN_RUNS_FOR_MEAN, (spec.tasks + 1) / 2)) finishedRunSeconds / finishedRunCount else null
 
-    /** Whether any of its tasks has ever been claimed. */
-    val begun: Boolean get() = !done.isEmpty || lastAttempt.isNotEmpty()
+    /** Whether any of its tasks has ever been allocated. */
+    val hasBeenAllocated: Boolean get() = !done.isEmpty || lastAttemptByTask.isNotEmpty()
 
-    fun note(allocation: Allocation) {
-        lastAttempt.put(allocation.task, maxOf(allocation.attempt, lastAttempt.get(allocation.task)))
+    /** Remembers the attempt number of [allocation], so that it is not used again. */
+    fun recordAttempt(allocation: Allocation) {
+        lastAttemptByTask.put(allocation.task, maxOf(allocation.attempt, lastAttemptByTask.get(allocation.task)))
         highestAttempt = maxOf(highestAttempt, allocation.attempt)
     }
 
-    fun waits(
+    /** Whether [task] may be allocated at [now]. */
+    fun isEligible(
         task: Int,
         now: Double,
-    ): Boolean = !done.get(task) && !allocations.containsKey(task) && notBefore.getOrDefault(task, 0.0) <= now
+    ): Boolean = !done.get(task) && !allocations.containsKey(task) && notBeforeByTask.getOrDefault(task, 0.0) <= now
 
-    /** Nothing of [task] is tried again before [until]; a gang waits as a whole. */
-    fun holdOff(
+    /** Keeps [task] from being tried again before [until]; a gang is delayed as a whole. */
+    fun delayRetry(
         task: Int,
         until: Double,
     ) {
-        notBefore.put(if (spec.gang) 0 else task, until)
+        notBeforeByTask.put(if (spec.gang) 0 else task, until)
     }
 
     private companion object {
-        const val FEW = 4
+        /** A mean of fewer runs says too little, except in a small job, where half of its tasks do. */
+        const val MIN_RUNS_FOR_MEAN = 4
     }
 }
-
-internal enum class AllocationPhase {
-    /** The row's outcome is not known yet. */
-    COMMITTING,
-
-    /** Claimed, and no command has left. */
-    COMMITTED,
-
-    /** A command has left, its outcome open. */
-    DISPATCHED,
-
-    /** The machine has it, fetching its image. */
-    FETCHING,
-
-    /** It has its image and waits for the others of its gang. */
-    AWAITING_GANG,
-    RUNNING,
-    CHECKPOINTING,
-    ENDED,
-}
-
-/** The intent to run one task once: job, task and run number are its key. */
-internal class Allocation(
-    val job: String,
-    val task: Int,
-    val attempt: Int,
-    val machine: String,
-    val agentEpoch: Long,
-    /** Kept with the claim: a new leader must know it before the machine's first report, or spread and one-zone jobs go astray. */
-    val zone: String,
-    val charge: QuotaCharge,
-    var phase: AllocationPhase = AllocationPhase.COMMITTING,
-) {
-    val taskName: String get() = "$job/$task"
-    var batch: AllocationBatch? = null
-    var lost: Boolean = false
-
-    /** Its row has been written. */
-    var durable: Boolean = false
-
-    /** Claimed by an earlier leader. */
-    var inherited: Boolean = false
-    var allocatedAt: Double = 0.0
-
-    /** When it was first reported running; null where that was before this leader's time. */
-    var startedAt: Double? = null
-
-    /** Set once the task is to be stopped, with the time it is given. */
-    var stopGraceSeconds: Double? = null
-    var stopSentAt: Double = -1e9
-
-    /** Its worker has answered the command to stop. */
-    var stopTold: Boolean = false
-    val ended: Boolean get() = phase == AllocationPhase.ENDED
-}
-
-/** What a claim takes, and whose limit it counts against; kept with the row since a claim can outlive its job's row. */
-internal data class QuotaCharge(
-    val team: String,
-    val size: Resources,
-)
-
-/** One row: the starts claimed in one placement round. [slot] is its key, claimed anew once [number] is settled. */
-internal class AllocationBatch(
-    val slot: String,
-    val number: String,
-    val allocations: List<Allocation>,
-) {
-    var modRevision: Long = 0
-
-    /** Since when nothing in it needs remembering any more. */
-    var settledAt: Double? = null
-    var stale: Boolean = false
-    var writing: Boolean = false
-}
--- a/src/main/kotlin/burlridge/allocation/JobRegistry.kt
+++ b/src/main/kotlin/burlridge/allocation/JobRegistry.kt
@@ -3,284 +3,133 @@
 import burlridge.core.BoundedMap
 import burlridge.core.StepContext
 import burlridge.job.InvalidJobException
-import burlridge.job.JobSpec
-import burlridge.json.Json
 import burlridge.leadership.Leadership
-import burlridge.store.Change
 import burlridge.store.Condition
-import burlridge.store.ReadResult
-import burlridge.store.RequestPriority
 import burlridge.store.Row
 import burlridge.store.StoreClient
-import burlridge.store.Transaction
-import burlridge.store.TransactionResult
-import com.fasterxml.jackson.databind.JsonNode
-import java.util.BitSet
 
-/** The leader's picture of jobs and claims, each of its changes written under the fence of its term. */
+/** The jobs that a leader knows, with their progress and allocations. Every change is written under the leader's fencing token. */
 internal class JobRegistry(
     private val context: StepContext,
-    private val store: StoreClient,
+    store: StoreClient,
     private val leadership: Leadership,
 ) {
+    /** Active jobs by id, in the order in which they were admitted. */
     val jobs: LinkedHashMap<String, Job> = LinkedHashMap()
-
-    private var flushing = 0
-    private var lastCleanAt = 0.0
     val allocations: AllocationTable = AllocationTable(context, store, leadership, jobs)
-    private val progress = Progress(context.settings.store.valueBytes)
-
-    /** Progress rows of jobs that are over, still to be removed. */
-    private val orphanedProgressKeys = LinkedHashSet<String>()
-
-    /** Ends once told stay told; only durable ones get in here. */
-    private val ends = BoundedMap<String, End>(ENDS_KEPT)
+    private val progress = ProgressWriter(context, store, leadership)
+    private val finisher = JobFinisher(context, store, leadership, ::onFinished)
 
-    data class End(
-        val jobState: JobState,
-        val fingerprint: String,
-        val tasks: Int,
-    )
+    /** The latest jobs known to have ended. An end never changes, so only those that are stored get in here. */
+    private val finishedJobs = BoundedMap<String, FinishedJobRow>(MAX_FINISHED_JOBS)
+    private var lastCleanUpAt = 0.0
 
-    fun end(job: String): End? = ends[job]
+    /** How [job] has ended; null where it has not, or that is not known. */
+    fun endOf(job: String): FinishedJobRow? = finishedJobs[job]
 
+    /** Remembers that [job] has ended; [row] is stored. */
     fun recordEnd(
         job: String,
-        row: JsonNode,
-    ): End? {
-        val jobState = JobState.entries.firstOrNull { it.wire == row.path("st").asText() } ?: return null
-        return End(jobState, row.path("fp").asText(), row.path("n").asInt()).also { ends[job] = it }
+        row: FinishedJobRow,
+    ) {
+        finishedJobs[job] = row
     }
 
+    /** Forgets all that only a leader may know. Ended jobs are remembered. */
     fun clear() {
         jobs.clear()
         allocations.clear()
-        flushing = 0
-        orphanedProgressKeys.clear()
+        progress.clear()
     }
 
     fun fenceCondition(): Condition = leadership.fenceCondition()
 
-    private fun whileLeading(term: Long): () -> Boolean = leadership.whileLeading(term)
-
-    /** All rows are in. */
+    /** Settles what the loaded rows amount to, once all of them are loaded. */
     fun reconcileLoaded() {
         allocations.reconcileLoaded()
-        jobs.values.toList().forEach { if (it.complete) finish(it, JobState.DONE) }
+        jobs.values.toList().forEach { if (it.isComplete) finish(it, JobState.DONE) }
     }
 
-    // --- jobs
-
-    fun admit(
-        job: String,
-        row: JsonNode,
-        modRevision: Long,
-    ): Job? {
-        jobs[job]?.let { return it }
-        if (end(job) != null) return null
-        val spec =
+    /** Adds the active job that [row] holds; null where it has ended or the row cannot be read. */
+    fun admit(row: Row): Job? {
+        val id = ActiveJobRow.jobOf(row.key)
+        jobs[id]?.let { return it }
+        if (endOf(id) != null) return null
+        val active =
             try {
-                JobSpec.parse(row.path("job"))
+                JobRowCodec.decodeActive(row)
             } catch (e: InvalidJobException) {
-                context.error("row live/$job cannot be read: ${e.message}")
+                context.error("job row unreadable", "row" to row.key, "reason" to e.message)
                 return null
             }
+        val spec = active.spec
         context.debug(
-            "job $job: ${spec.tasks} of ${spec.jobClass}, ${spec.size.cpus} CPUs, ${spec.estimateSeconds} " +
-                "s, due in ${spec.deadlineSeconds} s",
+            "job admitted",
+            "job" to id,
+            "class" to spec.jobClass,
+            "tasks" to spec.tasks,
+            "cpus" to spec.size.cpus,
+            "estimate_seconds" to spec.estimateSeconds,
+            "deadline_seconds" to spec.deadlineSeconds,
         )
-        return Job(spec, modRevision, row.path("at").asLong()).also { jobs[job] = it }
+        return Job(spec, row.modRevision, active.submittedMillis).also { jobs[id] = it }
     }
 
-    fun loadProgress(row: Row) {
-        val job = jobs[Progress.jobOf(row)]
-        if (job == null) {
-            orphanedProgressKeys += row.key
-            return
-        }
-        val done = progress.decode(row) ?: return
-        job.done.or(done)
-        job.taken.or(done)
-        job.durable.or(done)
-        job.progress[row.key] = row.modRevision
-    }
+    /** Adds a progress row that a new leader finds. */
+    fun loadProgress(row: Row) = progress.load(row, jobs[ProgressCodec.jobOf(row)])
 
+    /** [task] of [job] is done; with its last task the job ends. */
     fun markDone(
         job: Job,
         task: Int,
     ) {
         if (!job.done.get(task)) {
-            if (job.done.cardinality() == job.durable.cardinality()) job.unwrittenSince = context.now
+            if (job.done.cardinality() == job.persistedDone.cardinality()) job.unpersistedSince = context.now
             // The tasks of a gang complete together: if one is done, all are.
             val (first, end) = if (job.spec.gang) 0 to job.spec.tasks else task to task + 1
             job.done.set(first, end)
-            job.taken.set(first, end)
+            job.doneOrAllocated.set(first, end)
         }
-        if (job.complete) finish(job, JobState.DONE)
+        if (job.isComplete) finish(job, JobState.DONE)
     }
 
-    /** Writes the end of [job]; the one transaction that moves its row decides between done and withdrawn. */
+    /** Ends [job] as [jobState], unless an end of it is being written already. */
     fun finish(
         job: Job,
         jobState: JobState,
-    ) {
-        if (job.ending != null) return
-        job.ending = jobState
-        val id = job.spec.id
-        val row =
-            Json.obj {
-                put("st", jobState.wire)
-                put("fp", job.spec.fingerprint)
-                put("n", job.spec.tasks)
-            }
-        // Progress rows that this transaction has no room for are removed afterwards, or by a later leader that finds them.
-        val removed = job.progress.keys.take((context.settings.store.changesPerTransaction - 2).coerceAtLeast(0))
-        val transaction =
-            Transaction(
-                listOf(fenceCondition(), Condition("live/$id", job.modRevision), Condition("over/$id", 0)),
-                listOf(Change.Delete("live/$id"), Change.Put("over/$id", row)) + removed.map { Change.Delete(it) },
-            )
-        val priority = if (jobState == JobState.DONE) RequestPriority.FINISH else RequestPriority.USER
-        store.commitUntilKnown(transaction, priority, whileLeading(leadership.term), { job.inDoubt = it }) { result ->
-            when (result) {
-                is TransactionResult.Committed -> {
-                    job.progress -= removed
-                    ended(job, jobState)
-                }
-
-                is TransactionResult.Conflict -> {
-                    if (Leadership.TERM in result.failed) {
-                        leadership.stepDownOnPassedTerm()
-                    } else {
-                        readEnd(job)
-                    }
-                }
-
-                else -> {
-                    job.ending = null
-                    job.inDoubt = false
-                }
-            }
-        }
-    }
-
-    /** An earlier copy of our own transaction may have been the one that was applied. */
-    private fun readEnd(job: Job) {
-        val term = leadership.term
-        store.get("over/${job.spec.id}", RequestPriority.FINISH) { read ->
-            if (!whileLeading(term)()) return@get
-            val end = (read as? ReadResult.Found)?.value?.value?.let { recordEnd(job.spec.id, it) }
-            if (end != null) ended(job, end.jobState) else context.schedule(1.0) { if (whileLeading(term)()) readEnd(job) }
-        }
-    }
+    ) = finisher.finish(job, jobState)
 
-    private fun ended(
+    private fun onFinished(
         job: Job,
-        jobState: JobState,
+        row: FinishedJobRow,
     ) {
-        job.over = jobState
-        ends[job.spec.id] = End(jobState, job.spec.fingerprint, job.spec.tasks)
-        jobs.remove(job.spec.id)
-        orphanedProgressKeys += job.progress.keys
-        // What was claimed and has not left will not be started any more.
+        val id = job.spec.id
+        job.endState = row.jobState
+        finishedJobs[id] = row
+        jobs.remove(id)
+        progress.orphan(job)
+        // Allocations whose start command has not been sent are not started any more.
         job.allocations.values
             .filter { it.phase == AllocationPhase.COMMITTED }
-            .forEach { allocations.release(it, lost = true) }
-        context.info("job ${job.spec.id} is ${jobState.wire} after ${(context.wallMillis - job.submittedMillis) / 1000} s")
-        job.endListeners.forEach { it(jobState) }
+            .forEach { allocations.release(it, isLost = true) }
+        val ageSeconds = (context.wallMillis - job.submittedMillis) / MILLIS_PER_SECOND
+        context.info("job ended", "job" to id, "state" to row.jobState.wire, "age_seconds" to ageSeconds)
+        job.endListeners.forEach { it(row.jobState) }
         job.endListeners.clear()
     }
 
-    // --- lazy writes
-
+    /** Does once a second what can wait: persists progress and cleans up rows. */
     fun tick() {
-        if (context.now - lastCleanAt < CLEAN_SECONDS) return
-        lastCleanAt = context.now
-        jobs.values.forEach { flush(it) }
-        if (orphanedProgressKeys.isNotEmpty()) removeLeftovers()
-        allocations.clean()
-    }
-
-    private fun removeLeftovers() {
-        val some = orphanedProgressKeys.take(context.settings.store.changesPerTransaction)
-        orphanedProgressKeys -= some.toSet()
-        store.commitUntilKnown(
-            Transaction(
-                listOf(fenceCondition()),
-                some.map {
-                    Change.Delete(it)
-                },
-            ),
-            RequestPriority.CLEANUP,
-            whileLeading(leadership.term),
-        ) { result ->
-            if (result !is TransactionResult.Committed) leadership.stepDownOnPassedTerm()
-        }
-    }
-
-    /**
-     * An end that is not durable yet is kept by its worker, unreaped, and a task started again there or elsewhere would end at
-     * once: so progress is written late, and for a job that is over before then not at all.
-     */
-    private fun flush(job: Job) {
-        if (job.flushing || job.ending != null || flushing >= MOST_FLUSHES) return
-        if (job.done.cardinality() == job.durable.cardinality() ||
-            context.now < job.unwrittenSince + context.settings.workers.leaseSeconds
-        ) {
-            return
-        }
-        val fresh = job.done.clone() as BitSet
-        fresh.andNot(job.durable)
-        val part = progress.partOf(job, fresh.nextSetBit(0))
-        val written = job.done.get(part.first, part.end)
-        job.flushing = true
-        flushing++
-        context.count("intent.progress")
-        job.unwrittenSince = context.now
-        // Under the row's own stamp: an earlier copy carried out late would else undo what a later one wrote.
-        val before = job.progress.getOrPut(part.key) { 0L }
-        val conditions = listOf(fenceCondition(), Condition("live/${job.spec.id}", job.modRevision), Condition(part.key, before))
-        val transaction = Transaction(conditions, listOf(Change.Put(part.key, progress.encode(job.done, part))))
-        store.commitUntilKnown(transaction, RequestPriority.FINISH, whileLeading(leadership.term)) { result ->
-            job.flushing = false
-            flushing--
-            when {
-                result is TransactionResult.Committed -> {
-                    job.progress[part.key] = result.revision
-                    written.stream().forEach { job.durable.set(part.first + it) }
-                }
-
-                result is TransactionResult.Conflict && Leadership.TERM in result.failed -> {
-                    leadership.stepDownOnPassedTerm()
-                }
-
-                result is TransactionResult.Conflict && part.key in result.failed -> {
-                    readProgress(job, part.key)
-                }
-            }
-        }
-    }
-
-    /** An earlier copy of our own write was the one that was applied: the row says what is durable. */
-    private fun readProgress(
-        job: Job,
-        key: String,
-    ) {
-        val mine = whileLeading(leadership.term)
-        job.flushing = true
-        store.get(key, RequestPriority.FINISH) { read ->
-            job.flushing = false
-            if (!mine()) return@get
-            if (read is ReadResult.Absent) job.progress[key] = 0L
-            if (read !is ReadResult.Found) return@get
-            job.progress[key] = read.value.modRevision
-            progress.decode(read.value)?.let(job.durable::or)
-        }
+        if (context.now - lastCleanUpAt < CLEAN_UP_INTERVAL_SECONDS) return
+        lastCleanUpAt = context.now
+        jobs.values.forEach { progress.persistIfDue(it) }
+        progress.removeOrphans()
+        allocations.cleanUp()
     }
 
-    internal companion object {
-        private const val ENDS_KEPT = 20_000
-        private const val CLEAN_SECONDS = 1.0
-        private const val MOST_FLUSHES = 4
+    private companion object {
+        const val MAX_FINISHED_JOBS = 20_000
+        const val CLEAN_UP_INTERVAL_SECONDS = 1.0
+        const val MILLIS_PER_SECOND = 1000
     }
 }
--- /dev/null
+++ b/src/main/kotlin/burlridge/allocation/ProgressCodec.kt
@@ -0,0 +1,72 @@
+package burlridge.allocation
+
+import burlridge.json.Json
+import burlridge.store.Row
+import com.fasterxml.jackson.databind.JsonNode
+import java.util.Base64
+import java.util.BitSet
+
+/** One progress row of a job: its key, and the tasks from [first] up to, not including, [end] that it covers. */
+internal data class ProgressRange(
+    val key: String,
+    val first: Int,
+    val end: Int,
+)
+
+/**
+ * Reads and writes progress rows, which hold a bit for each task. Where a value of [valueBytes] can hold what the job needs of
+ * [TASKS_PER_ROW] tasks, a row covers that many and is keyed by its number. Where values are smaller a row covers fewer and is keyed by the
+ * letter b and its first task; the version before does not read that form, and at worst starts done tasks again, which end at once.
+ */
+internal class ProgressCodec(
+    valueBytes: Int,
+) {
+    private val tasksPerSmallRow: Int =
+        minOf(TASKS_PER_ROW, (valueBytes - ENVELOPE_BYTES) / BASE64_GROUP * BITS_PER_GROUP / BITS_PER_BYTE * BITS_PER_BYTE)
+
+    /** The row of [job] that covers [task]. */
+    fun rangeOf(
+        job: Job,
+        task: Int,
+    ): ProgressRange {
+        val fitsLargeRow = minOf(job.spec.tasks, TASKS_PER_ROW) <= tasksPerSmallRow
+        val tasksPerRow = if (fitsLargeRow) TASKS_PER_ROW else tasksPerSmallRow
+        val first = task / tasksPerRow * tasksPerRow
+        val name = if (fitsLargeRow) "${first / TASKS_PER_ROW}" else "$SMALL_ROW_PREFIX$first"
+        return ProgressRange("$KEY_PREFIX${job.spec.id}/$name", first, first + tasksPerRow)
+    }
+
+    /** The value of the row that says which tasks in [range] are [done]. */
+    fun encode(
+        done: BitSet,
+        range: ProgressRange,
+    ): JsonNode =
+        Json.obj {
+            put("bits", Base64.getEncoder().encodeToString(done.get(range.first, range.end).toByteArray()))
+        }
+
+    /** The done tasks in [row], of either form; null for a key of neither. */
+    fun decode(row: Row): BitSet? {
+        val name = row.key.substringAfterLast('/')
+        val isSmallRow = name.startsWith(SMALL_ROW_PREFIX)
+        val number = name.removePrefix(SMALL_ROW_PREFIX).toIntOrNull() ?: return null
+        val first = if (isSmallRow) number else number * TASKS_PER_ROW
+        val bits = BitSet.valueOf(Base64.getDecoder().decode(row.value.path("bits").asText()))
+        val done = BitSet()
+        bits.stream().forEach { done.set(first + it) }
+        return done
+    }
+
+    internal companion object {
+        const val TASKS_PER_ROW = 32_768
+        private const val KEY_PREFIX = "prog/"
+        private const val SMALL_ROW_PREFIX = "b"
+        private const val ENVELOPE_BYTES = 32
+        private const val BASE64_GROUP = 4
+        private const val BITS_PER_GROUP = 24
+        private const val BITS_PER_BYTE = 8
+
+        /** The id of the job that [row] belongs to. */
+        fun jobOf(row: Row): String = row.key.substringAfter('/').substringBefore('/')
+    }
+}
--- /dev/null
+++ b/src/main/kotlin/burlridge/allocation/ProgressWriter.kt
@@ -0,0 +1,141 @@
+package burlridge.allocation
+
+import burlridge.core.StepContext
+import burlridge.leadership.Leadership
+import burlridge.store.Change
+import burlridge.store.Condition
+import burlridge.store.ReadResult
+import burlridge.store.RequestPriority
+import burlridge.store.Row
+import burlridge.store.StoreClient
+import burlridge.store.TransactionResult
+import java.util.BitSet
+
+/**
+ * Persists which tasks are done, and removes the progress rows of jobs that have ended. Progress is written late, and for a job that ends
+ * before then not at all: a worker keeps an ended task until its end is persisted, so a task that is started again ends at once.
+ */
+internal class ProgressWriter(
+    private val context: StepContext,
+    private val store: StoreClient,
+    private val leadership: Leadership,
+) {
+    private val fenced = FencedStore(store, leadership)
+    private val codec = ProgressCodec(context.settings.store.valueBytes)
+
+    /** Keys of progress rows of jobs that have ended, still to be removed. */
+    private val orphanedKeys = LinkedHashSet<String>()
+    private var pendingWrites = 0
+
+    fun clear() {
+        pendingWrites = 0
+        orphanedKeys.clear()
+    }
+
+    /** Adds the done tasks in [row], which a new leader finds, to [job]; where there is none any more, the row is to be removed. */
+    fun load(
+        row: Row,
+        job: Job?,
+    ) {
+        if (job == null) {
+            orphanedKeys += row.key
+            return
+        }
+        val done = codec.decode(row) ?: return
+        job.done.or(done)
+        job.doneOrAllocated.or(done)
+        job.persistedDone.or(done)
+        job.progressRevisions[row.key] = row.modRevision
+    }
+
+    /** The progress rows that [job], which has ended, still has are to be removed. */
+    fun orphan(job: Job) {
+        orphanedKeys += job.progressRevisions.keys
+    }
+
+    /** Removes as many rows of ended jobs as one transaction can. */
+    fun removeOrphans() {
+        if (orphanedKeys.isEmpty()) return
+        val removed = orphanedKeys.take(context.settings.store.changesPerTransaction)
+        orphanedKeys -= removed.toSet()
+        fenced.commit(emptyList(), removed.map { Change.Delete(it) }, RequestPriority.CLEANUP) { result ->
+            if (result !is TransactionResult.Committed) fenced.stepDown()
+        }
+    }
+
+    /** Writes one progress row of [job] where that is due. */
+    fun persistIfDue(job: Job) {
+        if (job.isPersistingProgress || job.pendingEndState != null || pendingWrites >= MAX_PENDING_WRITES) return
+        if (job.done.cardinality() == job.persistedDone.cardinality()) return
+        if (context.now < job.unpersistedSince + context.settings.workers.leaseSeconds) return
+        val unpersisted = job.done.clone() as BitSet
+        unpersisted.andNot(job.persistedDone)
+        persist(job, codec.rangeOf(job, unpersisted.nextSetBit(0)))
+    }
+
+    private fun persist(
+        job: Job,
+        range: ProgressRange,
+    ) {
+        val written = job.done.get(range.first, range.end)
+        job.isPersistingProgress = true
+        pendingWrites++
+        context.count("intent.progress")
+        job.unpersistedSince = context.now
+        // Under the row's own mod revision, or an earlier copy that is applied late would undo a later write.
+        val modRevision = job.progressRevisions.getOrPut(range.key) { 0L }
+        fenced.commit(
+            listOf(ActiveJobRow.condition(job), Condition(range.key, modRevision)),
+            listOf(Change.Put(range.key, codec.encode(job.done, range))),
+            RequestPriority.FINISH,
+        ) { result ->
+            job.isPersistingProgress = false
+            pendingWrites--
+            onPersisted(job, range, written, result)
+        }
+    }
+
+    private fun onPersisted(
+        job: Job,
+        range: ProgressRange,
+        written: BitSet,
+        result: TransactionResult,
+    ) {
+        when {
+            result is TransactionResult.Committed -> {
+                job.progressRevisions[range.key] = result.revision
+                written.stream().forEach { job.persistedDone.set(range.first + it) }
+            }
+
+            result is TransactionResult.Conflict && fenced.isFenced(result) -> {
+                fenced.stepDown()
+            }
+
+            result is TransactionResult.Conflict && range.key in result.failed -> {
+                readBack(job, range.key)
+            }
+        }
+    }
+
+    /** An earlier copy of this leader's own write was applied: the row says what is persisted. */
+    private fun readBack(
+        job: Job,
+        key: String,
+    ) {
+        val stillLeading = leadership.whileLeading(leadership.term)
+        job.isPersistingProgress = true
+        store.get(key, RequestPriority.FINISH) { read ->
+            job.isPersistingProgress = false
+            if (!stillLeading()) return@get
+            if (read is ReadResult.Absent) job.progressRevisions[key] = 0L
+            if (read !is ReadResult.Found) return@get
+            job.progressRevisions[key] = read.value.modRevision
+            codec.decode(read.value)?.let(job.persistedDone::or)
+        }
+    }
+
+    private companion object {
+        /** Bounds what progress takes of the store's write rate. */
+        const val MAX_PENDING_WRITES = 4
+    }
+}
--- a/src/main/kotlin/burlridge/api/JobApi.kt
+++ b/src/main/kotlin/burlridge/api/JobApi.kt
@@ -1,5 +1,7 @@
 package burlridge.api
 
+import burlridge.allocation.ActiveJobRow
+import burlridge.allocation.FinishedJobRow
 import burlridge.allocation.Job
 import burlridge.allocation.JobRegistry
 import burlridge.allocation.JobState
@@ -17,6 +19,7 @@
 import burlridge.store.Condition
 import burlridge.store.ReadResult
 import burlridge.store.RequestPriority
+import burlridge.store.Row
 import burlridge.store.StoreClient
 import burlridge.store.Transaction
 import burlridge.store.TransactionResult
@@ -78,7 +81,7 @@
                 )
             }
 
-            gangGate.allMembersSupportGangs || registry.end(id) != null || registry.jobs.containsKey(id) -> {
+            gangGate.allMembersSupportGangs || registry.endOf(id) != null || registry.jobs.containsKey(id) -> {
                 go()
             }
 
@@ -195,7 +198,7 @@
     }
 
     private fun known(spec: JobSpec): HttpResponse? {
-        registry.end(spec.id)?.let { return if (it.fingerprint == spec.fingerprint) told(spec.id, it.jobState) else changed(spec.id) }
+        registry.endOf(spec.id)?.let { return if (it.fingerprint == spec.fingerprint) told(spec.id, it.jobState) else changed(spec.id) }
         if (!decides || undecided(spec.id)) return null
         val job = registry.jobs[spec.id] ?: return null
         return if (job.spec.fingerprint == spec.fingerprint) told(spec.id, job.jobState) else changed(spec.id)
@@ -205,7 +208,7 @@
      * Whether the end of [id] may be durable without this leader knowing: other members may read it and tell it, so until it is
      * settled this one goes by the rows as well.
      */
-    private fun undecided(id: String): Boolean = registry.jobs[id]?.inDoubt == true
+    private fun undecided(id: String): Boolean = registry.jobs[id]?.isEndUncertain == true
 
     private fun changed(id: String) = HttpResponse.error(409, "$id has been submitted with another description")
 
@@ -275,7 +278,7 @@
         heardAccepted(spec.id)
         peers.broadcastAccepted(spec.id)
         if (leadership.isLeader && loaded) {
-            registry.admit(spec.id, row, modRevision)
+            registry.admit(Row(ActiveJobRow.key(spec.id), row, modRevision))
             onAccepted()
         }
     }
@@ -306,23 +309,16 @@
         answer: HttpResponse,
     ) {
         val body = Json.parseOrNull(answer.body) ?: return
-        val jobState = body.path("standing").asText()
-        if (answer.status == 200 && (jobState == JobState.DONE.wire || jobState == JobState.CANCELLED.wire) && body.path("fp").isTextual) {
-            registry.recordEnd(
-                id,
-                Json.obj {
-                    put("st", jobState)
-                    put("fp", body.path("fp").asText())
-                    put("n", body.path("done").asInt())
-                },
-            )
+        val jobState = END_STATES.firstOrNull { it.wire == body.path("standing").asText() } ?: return
+        if (answer.status == 200 && body.path("fp").isTextual) {
+            registry.recordEnd(id, FinishedJobRow(jobState, body.path("fp").asText(), body.path("done").asInt()))
         }
     }
 
     private fun local(id: String): HttpResponse? {
-        registry.end(id)?.let { return HttpResponse(200, ended(id, it)) }
+        registry.endOf(id)?.let { return HttpResponse(200, ended(id, it)) }
         val job = registry.jobs[id] ?: return null
-        return if (decides && !job.inDoubt) HttpResponse(200, progress(job)) else null
+        return if (decides && !job.isEndUncertain) HttpResponse(200, progress(job)) else null
     }
 
     private fun queryRows(
@@ -358,7 +354,7 @@
         onResult: (HttpResponse) -> Unit,
     ) {
         if (!JobSpec.isId(id)) return onResult(HttpResponse.error(404, "no such job"))
-        registry.end(id)?.let { return onResult(told(id, it.jobState)) }
+        registry.endOf(id)?.let { return onResult(told(id, it.jobState)) }
         val leader = leadership.knownLeader
         when {
             decides -> {
@@ -392,7 +388,7 @@
                         if (leadership.term == term &&
                             decides
                         ) {
-                            registry.admit(id, live.value.value, live.value.modRevision)
+                            registry.admit(live.value)
                         } else {
                             null
                         }
@@ -401,7 +397,7 @@
                     ) {
                         cancel(found, onResult)
                     } else {
-                        onResult(registry.end(id)?.let { told(id, it.jobState) } ?: HttpResponse.unavailable("try again"))
+                        onResult(registry.endOf(id)?.let { told(id, it.jobState) } ?: HttpResponse.unavailable("try again"))
                     }
                 }
 
@@ -452,7 +448,7 @@
             Json.obj {
                 put("id", id)
                 put("standing", jobState.wire)
-                registry.end(id)?.let { put("fp", it.fingerprint) }
+                registry.endOf(id)?.let { put("fp", it.fingerprint) }
             },
         )
 
@@ -462,13 +458,13 @@
                 put("id", job.spec.id)
                 put("standing", job.jobState.wire)
                 put("done", job.done.cardinality())
-                put("running", job.running)
+                put("running", job.runningCount)
             },
         )
 
     private fun ended(
         id: String,
-        end: JobRegistry.End,
+        end: FinishedJobRow,
     ): String =
         Json.write(
             Json.obj {
@@ -481,6 +477,8 @@
         )
 
     private companion object {
+        /** The states in which a job has ended. */
+        val END_STATES = listOf(JobState.DONE, JobState.CANCELLED)
         const val RECENT_KEPT = 5_000
         const val PATIENCE_SECONDS = 0.8
         const val ASK_SECONDS = 0.6
--- a/src/main/kotlin/burlridge/api/StoredJobReader.kt
+++ b/src/main/kotlin/burlridge/api/StoredJobReader.kt
@@ -1,9 +1,12 @@
 package burlridge.api
 
+import burlridge.allocation.FinishedJobRow
 import burlridge.allocation.JobRegistry
+import burlridge.allocation.JobRowCodec
 import burlridge.allocation.JobState
 import burlridge.store.ReadResult
 import burlridge.store.RequestPriority
+import burlridge.store.Row
 import burlridge.store.StoreClient
 
 /** What the rows of a job say. */
@@ -23,7 +26,7 @@
     }
 
     data class Over(
-        val end: JobRegistry.End,
+        val end: FinishedJobRow,
     ) : StoredJob {
         override val fingerprint: String = end.fingerprint
         override val jobState: JobState = end.jobState
@@ -43,11 +46,7 @@
             when (live) {
                 is ReadResult.Found -> {
                     onResult(
-                        StoredJob.Live(
-                            live.value.value
-                                .path("fp")
-                                .asText(),
-                        ),
+                        StoredJob.Live(JobRowCodec.activeFingerprint(live.value)),
                     )
                 }
 
@@ -58,7 +57,7 @@
                 ReadResult.Absent -> {
                     store.get("over/$id", RequestPriority.USER) { over ->
                         when (over) {
-                            is ReadResult.Found -> onResult(registry.recordEnd(id, over.value.value)?.let { StoredJob.Over(it) })
+                            is ReadResult.Found -> onResult(recordEnd(id, over.value))
                             ReadResult.Absent -> onResult(StoredJob.Missing)
                             ReadResult.Failed -> onResult(null)
                         }
@@ -67,4 +66,13 @@
             }
         }
     }
+
+    private fun recordEnd(
+        id: String,
+        row: Row,
+    ): StoredJob.Over? {
+        val end = JobRowCodec.decodeFinished(row) ?: return null
+        registry.recordEnd(id, end)
+        return StoredJob.Over(end)
+    }
 }
--- a/src/main/kotlin/burlridge/app/Controller.kt
+++ b/src/main/kotlin/burlridge/app/Controller.kt
@@ -249,7 +249,7 @@
         val term = leadership.term
         store.get("live/$job", RequestPriority.USER) { live ->
             if (leadership.isLeader && leadership.term == term && jobApi.loaded && live is ReadResult.Found) {
-                registry.admit(job, live.value.value, live.value.modRevision)
+                registry.admit(live.value)
                 placeSoon()
             }
         }
--- a/src/main/kotlin/burlridge/app/LeaderStateLoader.kt
+++ b/src/main/kotlin/burlridge/app/LeaderStateLoader.kt
@@ -8,6 +8,7 @@
 import burlridge.leadership.Leadership
 import burlridge.store.Listing
 import burlridge.store.RequestPriority
+import burlridge.store.Row
 import burlridge.store.StoreClient
 
 /**
@@ -80,7 +81,7 @@
         onResult: () -> Unit,
     ) {
         val live = listings.getValue("live/")
-        live.rows.forEach { registry.admit(it.key.substringAfter('/'), it.value, it.modRevision) }
+        live.rows.forEach { registry.admit(it) }
         listings.getValue("prog/").rows.forEach { registry.loadProgress(it) }
         listings.getValue("round/").rows.forEach { registry.allocations.loadBatch(it) }
         listings.getValue("rental/").rows.forEach { fleet.load(it) }
@@ -101,7 +102,7 @@
                     status == OK && body != null -> {
                         body.path("events").forEach { e ->
                             val key = e.path("set").asText("")
-                            if (key.startsWith("live/")) registry.admit(key.substringAfter('/'), e.path("value"), e.path("stamp").asLong())
+                            if (key.startsWith("live/")) registry.admit(Row(key, e.path("value"), e.path("stamp").asLong()))
                         }
                         followAt = maxOf(followAt, body.path("ledgerRev").asLong())
                         if (body.path("events").size() > 0) onNews()
@@ -119,7 +120,7 @@
     private fun relist(term: Long) {
         store.list("live/", RequestPriority.CLAIM) { live ->
             if (live != null && mine(term)) {
-                live.rows.forEach { registry.admit(it.key.substringAfter('/'), it.value, it.modRevision) }
+                live.rows.forEach { registry.admit(it) }
                 followAt = maxOf(followAt, live.revision)
             }
         }
--- a/src/main/kotlin/burlridge/balance/Balance.kt
+++ b/src/main/kotlin/burlridge/balance/Balance.kt
@@ -39,8 +39,9 @@
     private val drains: Drains = Drains(context, ports.store, ports.leadership, ::rebuildIndex)
     private val decisions = DecisionLog(context, settings.decisions)
     private val moves = Moves(context, settings, ports.store, ports.leadership, ports.registry, workers, decisions)
-    private val evacuation = GracefulEviction(context, settings, ports.registry, workers, moves) { ports.placement.moveTargets() }
-    private val relief = HotspotMitigation(context, settings, ports.registry, workers, moves, decisions) { ports.placement.moveTargets() }
+    private val evacuation = GracefulEviction(context, settings, ports.registry, workers, moves) { ports.placement.moveTargetFinder() }
+    private val relief =
+        HotspotMitigation(context, settings, ports.registry, workers, moves, decisions) { ports.placement.moveTargetFinder() }
     private val slowStart =
         SlowStart(context, settings, ports.registry) { type ->
             ports.fleet.catalog
@@ -58,7 +59,7 @@
     private val joined = HashSet<String>()
 
     init {
-        ports.placement.advice = this
+        ports.placement.policy = this
         ports.fleet.isZoneDrained = index::isDrained
         workers.onSlow = { machine ->
             decisions.add(Decision.LeftForSlowness(machine.id))
@@ -70,11 +71,11 @@
         }
     }
 
-    override fun kept(): List<CapacityReservation> = moves.kept()
+    override fun reservations(): List<CapacityReservation> = moves.kept()
 
-    override fun avoids(machine: Machine): Boolean = machine.id in relief.hot
+    override fun isAvoided(machine: Machine): Boolean = machine.id in relief.hot
 
-    override fun placed(
+    override fun onPlaced(
         taskName: String,
         machine: String,
         reason: PlacementReason,
@@ -83,7 +84,7 @@
     /** Why what is known of a task or machine was decided, by this leader. */
     fun explain(subject: String): JsonNode = decisions.explain(subject)
 
-    override fun startsLeft(machine: Machine): Int = slowStart.startsLeft(machine)
+    override fun remainingStarts(machine: Machine): Int = slowStart.startsLeft(machine)
 
     override fun fetchSeconds(
         machine: Machine,
--- a/src/main/kotlin/burlridge/balance/DrainSafety.kt
+++ b/src/main/kotlin/burlridge/balance/DrainSafety.kt
@@ -63,7 +63,7 @@
         }
     }
 
-    private fun isOwedRoom(job: Job): Boolean = job.ending == null && (job.waiting > 0 || job.spec.team in guaranteed)
+    private fun isOwedRoom(job: Job): Boolean = job.pendingEndState == null && (job.unallocatedCount > 0 || job.spec.team in guaranteed)
 
     private fun holds(
         machine: Machine,
--- a/src/main/kotlin/burlridge/balance/GracefulEviction.kt
+++ b/src/main/kotlin/burlridge/balance/GracefulEviction.kt
@@ -71,7 +71,7 @@
             for (allocation in registry.allocations.byMachine[machine.id]
                 ?.values
                 .orEmpty()) {
-                val job = registry.jobs[allocation.job]?.takeIf { it.ending != JobState.CANCELLED } ?: continue
+                val job = registry.jobs[allocation.job]?.takeIf { it.pendingEndState != JobState.CANCELLED } ?: continue
                 here.stays(sweep.look(machine, job, allocation))
             }
         }
@@ -134,7 +134,7 @@
             val move = Move(allocation.job, task, allocation.attempt, spec.team, spec.jobClass, machine.id, null, count, tasks)
             if (!moves.permits(move)) return StayReason.OVER_BUDGET
             // A gang finds its seats only once it is gone: no room is kept for it.
-            val target = if (spec.gang) null else room.take(job, allocation)
+            val target = if (spec.gang) null else room.reserveTarget(job, allocation)
             if (target == null && !spec.gang && !waitedLong(move.taskName)) return StayReason.NO_ROOM
             moves.spend(move)
             planned += move.copy(to = target?.id)
@@ -162,11 +162,11 @@
         // Of a task that an earlier leader started, what is known is that it has run since this one knows of it.
         val since =
             allocation.startedAt ?: allocation.allocatedAt.takeIf {
-                allocation.inherited &&
+                allocation.isInherited &&
                     allocation.phase == AllocationPhase.RUNNING
             }
         val ranSeconds = since?.let { context.now - it } ?: 0.0
-        val leftSeconds = (job.usualRunSeconds ?: job.spec.estimateSeconds) * UNSURE - ranSeconds
+        val leftSeconds = (job.meanRunSeconds ?: job.spec.estimateSeconds) * UNSURE - ranSeconds
         return leftSeconds in 0.0..finishSeconds
     }
 
--- a/src/main/kotlin/burlridge/balance/HotspotMitigation.kt
+++ b/src/main/kotlin/burlridge/balance/HotspotMitigation.kt
@@ -114,7 +114,7 @@
             val move =
                 Move(allocation.job, allocation.task, allocation.attempt, spec.team, spec.jobClass, id, null, count, 1, MoveReason.HOT)
             if (count > settings.movesPerTask || !moves.permits(move)) continue
-            val target = room.take(job, allocation) { candidate -> isWorth(job, allocation, machine, candidate) } ?: continue
+            val target = room.reserveTarget(job, allocation) { candidate -> isWorth(job, allocation, machine, candidate) } ?: continue
             moves.spend(move)
             planned += move.copy(to = target.id)
         }
@@ -139,7 +139,7 @@
         job: Job,
         allocation: Allocation,
     ): Boolean {
-        if (job.spec.gang || job.ending != null || allocation.phase != AllocationPhase.RUNNING ||
+        if (job.spec.gang || job.pendingEndState != null || allocation.phase != AllocationPhase.RUNNING ||
             allocation.stopGraceSeconds != null
         ) {
             return false
--- a/src/main/kotlin/burlridge/balance/LoadTracker.kt
+++ b/src/main/kotlin/burlridge/balance/LoadTracker.kt
@@ -90,7 +90,7 @@
 
     /** By others of the same job, else by its class; null where neither is known yet. */
     fun expectedRunSeconds(job: Job): Double? {
-        job.usualRunSeconds?.let { return it.coerceAtLeast(1.0) }
+        job.meanRunSeconds?.let { return it.coerceAtLeast(1.0) }
         val pace = classes[job.spec.jobClass]?.takeIf { it.samples >= FEW } ?: return null
         return (job.spec.estimateSeconds * pace.ratio).coerceAtLeast(1.0)
     }
--- a/src/main/kotlin/burlridge/balance/Moves.kt
+++ b/src/main/kotlin/burlridge/balance/Moves.kt
@@ -159,7 +159,7 @@
     private fun advance(open: Open) {
         if (!open.batch.durable) return
         val job = registry.jobs[open.move.job]
-        val over = job == null || job.ending == JobState.CANCELLED
+        val over = job == null || job.pendingEndState == JobState.CANCELLED
         val ended =
             when {
                 job == null || over -> true
@@ -202,7 +202,7 @@
         allocation: Allocation,
     ): Boolean {
         open.stopped = true
-        allocation.stopGraceSeconds = if (job.spec.checkpointSeconds > 0) job.spec.saveSeconds * GangRules.GRACE else 0.0
+        allocation.stopGraceSeconds = if (job.spec.checkpointSeconds > 0) job.spec.saveSeconds * GangRules.CHECKPOINT_GRACE_FACTOR else 0.0
         workers.machines[allocation.machine]?.let(workers::command)
         return true
     }
@@ -229,7 +229,7 @@
     /** Both places count for room, limits and zones while the task may be on the first. */
     fun kept(): List<CapacityReservation> =
         open.values.mapNotNull { open ->
-            val job = registry.jobs[open.move.job]?.takeIf { it.ending == null && !open.move.isGang } ?: return@mapNotNull null
+            val job = registry.jobs[open.move.job]?.takeIf { it.pendingEndState == null && !open.move.isGang } ?: return@mapNotNull null
             val machine =
                 open.move.to
                     ?.let { workers.machines[it] }
--- a/src/main/kotlin/burlridge/fleet/CapacityDemand.kt
+++ b/src/main/kotlin/burlridge/fleet/CapacityDemand.kt
@@ -33,16 +33,24 @@
 
     /** Takes note of the jobs there are, so that what comes can be guessed from what came. */
     fun observe() {
-        registry.jobs.values.forEach { if (it.ending == null && seen.add(it.spec.id)) remember(it) }
+        registry.jobs.values.forEach { if (it.pendingEndState == null && seen.add(it.spec.id)) remember(it) }
         // A job that is over does not come again.
         if (seen.size > MOST_SEEN && seen.size > registry.jobs.size * 2) seen.retainAll(registry.jobs.keys)
     }
 
     fun wanted(types: Catalog): List<Need> {
-        val now = registry.jobs.values.filter { it.ending == null }
+        val now = registry.jobs.values.filter { it.pendingEndState == null }
         val held = HashMap<String, Int>()
         now.forEach { held.merge(it.spec.jobClass, it.allocations.size, Int::plus) }
-        val waiting = now.filter { it.waiting > 0 }.map { Need(it.spec, it.waiting, slackSeconds(it), held[it.spec.jobClass] ?: 0) }
+        val waiting =
+            now.filter { it.unallocatedCount > 0 }.map {
+                Need(
+                    it.spec,
+                    it.unallocatedCount,
+                    slackSeconds(it),
+                    held[it.spec.jobClass] ?: 0,
+                )
+            }
         // In the order in which placement gives room away: what is kept for gangs is no room for arrays.
         val (gangs, arrays) = waiting.sortedBy { it.spec.priority }.partition { it.spec.gang }
         return gangs + expectedGangs(types) + arrays + headroom()
@@ -56,7 +64,13 @@
         if (context.settings.workers.gang == null) return emptyList()
         val cheapest = types.types.values.minByOrNull { it.price } ?: return emptyList()
         val held = HashMap<String, Int>()
-        registry.jobs.values.forEach { if (it.spec.gang && it.ending == null) held.merge(it.spec.jobClass, it.allocations.size, Int::plus) }
+        registry.jobs.values.forEach {
+            if (it.spec.gang &&
+                it.pendingEndState == null
+            ) {
+                held.merge(it.spec.jobClass, it.allocations.size, Int::plus)
+            }
+        }
         return waits.distinctBy { it.jobClass }.mapNotNull { aim ->
             val list = recent[aim.jobClass]
             val tightSeconds = aim.withinSeconds ?: Double.MAX_VALUE
--- a/src/main/kotlin/burlridge/fleet/Fleet.kt
+++ b/src/main/kotlin/burlridge/fleet/Fleet.kt
@@ -138,7 +138,7 @@
             val inherited =
                 settled && !machine.listed && !machine.up && registry.allocations.byMachine[machine.id]
                     ?.values
-                    ?.any { it.inherited } == true
+                    ?.any { it.isInherited } == true
             if (inherited || (machine.listed && machine.listedAgeSeconds > lag * OLDEST_LIST)) {
                 workers.onMachineGone(machine, "the cloud no longer lists it")
             }
@@ -242,7 +242,7 @@
         for (m in workers.machines.values) {
             if (m.draining || m.reclaimAt != null || (m.up && (m.leaseExpired || !m.isResponsive || workers.isSilent(m)))) continue
             val whole = types.types[m.type]?.size ?: continue
-            val free = whole - registry.allocations.usedOn(m.id)
+            val free = whole - registry.allocations.usageOn(m.id)
             if (free.cpus > 0) slots += FreeCapacity(m.type, m.zone, m.spot, free)
         }
         for (r in rentals.open) {
--- a/src/main/kotlin/burlridge/placement/BestFitSelector.kt
+++ b/src/main/kotlin/burlridge/placement/BestFitSelector.kt
@@ -14,9 +14,9 @@
     private val sampleSize = context.settings.operator.sample
 
     /** Null where nobody balances load. */
-    var advice: PlacementPolicy? = null
+    var policy: PlacementPolicy? = null
 
-    fun overLimit(
+    fun exceedsQuota(
         name: String,
         use: Resources,
     ): Boolean {
@@ -27,8 +27,9 @@
     fun fits(
         spec: JobSpec,
         zones: Map<String, Int>,
-        room: MachineCapacity,
-    ): Boolean = (room.startsLeft > 0 || spec.gang) && spec.size.fits(room.free) && zoneAllows(spec, zones, room.machine.zone)
+        capacity: MachineCapacity,
+    ): Boolean =
+        (capacity.remainingStarts > 0 || spec.gang) && spec.size.fits(capacity.free) && zoneAllows(spec, zones, capacity.machine.zone)
 
     private fun zoneAllows(
         spec: JobSpec,
@@ -39,9 +40,9 @@
         return !spec.spread || (zones[zone] ?: 0) < (spec.tasks + 1) / 2
     }
 
-    /** Best fit over a sample drawn from [rooms]; what is drawn and has no room any more is struck out. */
+    /** Best fit over a sample drawn from [machines]; what is drawn and has no room any more is struck out. */
     fun sample(
-        rooms: MutableList<MachineCapacity>,
+        candidates: MutableList<MachineCapacity>,
         spec: JobSpec,
         zones: Map<String, Int>,
     ): MachineCapacity? {
@@ -49,23 +50,23 @@
         var least = Double.MAX_VALUE
         var drawn = 0
         // Drawn ones go to the end, so that none is drawn twice.
-        var open = rooms.size
+        var open = candidates.size
         while (drawn < sampleSize && open > 0) {
             val at = context.random.nextInt(open)
-            val room = rooms[at]
+            val capacity = candidates[at]
             open--
             context.count("placement.candidates")
-            rooms[at] = rooms[open]
-            rooms[open] = room
-            if (!fits(spec, zones, room)) {
-                rooms[open] = rooms.last()
-                rooms.removeLast()
+            candidates[at] = candidates[open]
+            candidates[open] = capacity
+            if (!fits(spec, zones, capacity)) {
+                candidates[open] = candidates.last()
+                candidates.removeLast()
                 continue
             }
             drawn++
-            val left = leftover(room, spec)
+            val left = leftover(capacity, spec)
             if (left < least) {
-                best = room
+                best = capacity
                 least = left
             }
         }
@@ -73,20 +74,20 @@
     }
 
     private fun leftover(
-        room: MachineCapacity,
+        capacity: MachineCapacity,
         spec: JobSpec,
     ): Double {
-        val left = room.free - spec.size
-        val memoryUnit = room.whole.memoryGb.coerceAtLeast(1.0) / room.whole.cpus.coerceAtLeast(1.0)
+        val left = capacity.free - spec.size
+        val memoryUnit = capacity.total.memoryGb.coerceAtLeast(1.0) / capacity.total.cpus.coerceAtLeast(1.0)
         return left.cpus + left.gpus * GPU_WEIGHT + left.memoryGb / memoryUnit / 2 +
-            expectedFetchSeconds(room.machine, spec) * CPUS_PER_SECOND
+            expectedFetchSeconds(capacity.machine, spec) * CPUS_PER_SECOND
     }
 
     /** As [fetchSeconds], with what else is being fetched there where that is known. */
     fun expectedFetchSeconds(
         machine: Machine,
         spec: JobSpec,
-    ): Double = fetchSeconds(machine, spec).let { aloneSeconds -> advice?.fetchSeconds(machine, spec, aloneSeconds) ?: aloneSeconds }
+    ): Double = fetchSeconds(machine, spec).let { aloneSeconds -> policy?.fetchSeconds(machine, spec, aloneSeconds) ?: aloneSeconds }
 
     fun fetchSeconds(
         machine: Machine,
--- a/src/main/kotlin/burlridge/placement/MoveTargetFinder.kt
+++ b/src/main/kotlin/burlridge/placement/MoveTargetFinder.kt
@@ -19,7 +19,7 @@
      * A machine with room for the task of [claim] that [suits], the smallest type first; null where there is none, or its team's limit is
      * in the way.
      */
-    fun take(
+    fun reserveTarget(
         job: Job,
         allocation: Allocation,
         suits: (Candidate) -> Boolean = { true },
@@ -27,26 +27,26 @@
         val spec = job.spec
         // The task counts in both places until it is gone from where it is.
         val after = plan.used(spec.team) + spec.size
-        if (fit.overLimit(spec.team, after)) return null
+        if (fit.exceedsQuota(spec.team, after)) return null
         val zones = plan.zonesOf(job)
         for (group in plan.poolsFor(spec).groupBy { it.first.type }.values) {
-            val rooms =
+            val candidates =
                 group
-                    .flatMap { it.rooms }
+                    .flatMap { it.candidates }
                     .filterTo(ArrayList()) {
-                        isRoom(it, job, allocation) &&
+                        isTarget(it, job, allocation) &&
                             suits(Candidate(it.machine, fit.expectedFetchSeconds(it.machine, spec)))
                     }
-            val room = fit.sample(rooms, spec, zones) ?: continue
-            plan.keep(CapacityReservation(job, allocation.task, room.machine))
-            return room.machine
+            val capacity = fit.sample(candidates, spec, zones) ?: continue
+            plan.reserve(CapacityReservation(job, allocation.task, capacity.machine))
+            return capacity.machine
         }
         return null
     }
 
-    private fun isRoom(
-        room: MachineCapacity,
+    private fun isTarget(
+        capacity: MachineCapacity,
         job: Job,
         allocation: Allocation,
-    ): Boolean = !room.avoided && room.machine.id != allocation.machine && job.spec.size.fits(room.free)
+    ): Boolean = !capacity.isAvoided && capacity.machine.id != allocation.machine && job.spec.size.fits(capacity.free)
 }
--- a/src/main/kotlin/burlridge/placement/Placement.kt
+++ b/src/main/kotlin/burlridge/placement/Placement.kt
@@ -41,22 +41,22 @@
     private val gangs = GangPlacement(context, workers, fleet, fit)
 
     /** Null where nobody balances load. */
-    var advice: PlacementPolicy? by fit::advice
+    var policy: PlacementPolicy? by fit::policy
 
     /** One round: as many waiting tasks as there is room for and one row holds. */
     fun schedule() {
-        if (registry.allocations.pendingBatches >= MOST_OPEN_ROUNDS) return
+        if (registry.allocations.pendingBatches >= MAX_PENDING_BATCHES) return
         val queue = queue()
         if (queue.isEmpty()) return
         val plan = newPlan()
         context.count("placement.rounds")
-        if (plan.pools.all { it.rooms.isEmpty() }) return
-        plan.kept.toList().forEach { if (!full(plan)) placeWhereKept(it, plan) }
-        val (early, others) = queue.partition { gangs.isEarly(it) }
-        early.forEach { if (!full(plan)) gangs.place(it, plan) }
-        gangs.keepRoom(plan)
+        if (plan.pools.all { it.candidates.isEmpty() }) return
+        plan.reservations.toList().forEach { if (!isFull(plan)) placeReserved(it, plan) }
+        val (early, others) = queue.partition { gangs.hasStartObjective(it) }
+        early.forEach { if (!isFull(plan)) gangs.place(it, plan) }
+        gangs.reserveForExpectedGangs(plan)
         for (job in others) {
-            if (full(plan)) break
+            if (isFull(plan)) break
             if (job.spec.gang) {
                 gangs.place(job, plan)
             } else if (!plan.isUnplaceable(job.spec)) {
@@ -74,35 +74,35 @@
     }
 
     private fun newPlan(): PlacementPlan {
-        val plan = PlacementPlan(pools(), HashMap(registry.allocations.used))
-        advice?.kept()?.forEach(plan::keep)
+        val plan = PlacementPlan(pools(), HashMap(registry.allocations.usageByTeam))
+        policy?.reservations()?.forEach(plan::reserve)
         return plan
     }
 
     /** Where running tasks could go now. */
-    fun moveTargets(): MoveTargetFinder = MoveTargetFinder(newPlan(), fit)
+    fun moveTargetFinder(): MoveTargetFinder = MoveTargetFinder(newPlan(), fit)
 
     /** A task that is gone from where it was starts where room was kept for it, or waits like any other where that is not enough. */
-    private fun placeWhereKept(
-        kept: CapacityReservation,
+    private fun placeReserved(
+        reservation: CapacityReservation,
         plan: PlacementPlan,
     ) {
-        val job = kept.job
+        val job = reservation.job
         val spec = job.spec
-        if (!job.waits(kept.task, context.now) || workers.orphans("${spec.id}/${kept.task}")) return
-        plan.giveBack(kept)
-        val room = plan.roomOn(kept.machine.id) ?: return
+        if (!job.isEligible(reservation.task, context.now) || workers.orphans("${spec.id}/${reservation.task}")) return
+        plan.release(reservation)
+        val capacity = plan.capacityOn(reservation.machine.id) ?: return
         val after = plan.used(spec.team) + spec.size
-        if (!fit.fits(spec, plan.zonesOf(job), room) || fit.overLimit(spec.team, after)) return
-        room.free -= spec.size
+        if (!fit.fits(spec, plan.zonesOf(job), capacity) || fit.exceedsQuota(spec.team, after)) return
+        capacity.free -= spec.size
         plan.used[spec.team] = after
         plan.jobs += spec.id
-        plan.allocations += newAllocation(job, kept.task, kept.machine)
-        plan.placedWhereKept += "${spec.id}/${kept.task}"
-        advice?.placed("${spec.id}/${kept.task}", kept.machine.id, PlacementReason.RESERVED_CAPACITY)
+        plan.allocations += newAllocation(job, reservation.task, reservation.machine)
+        plan.placedFromReservation += "${spec.id}/${reservation.task}"
+        policy?.onPlaced("${spec.id}/${reservation.task}", reservation.machine.id, PlacementReason.RESERVED_CAPACITY)
     }
 
-    private fun full(plan: PlacementPlan): Boolean =
+    private fun isFull(plan: PlacementPlan): Boolean =
         plan.allocations.size >= registry.allocations.maxStartsPerBatch || plan.jobs.size >= registry.allocations.maxJobsPerBatch
 
     /** The smallest machines first: a task that fits one should not break up a larger one. */
@@ -111,22 +111,22 @@
         val pools = HashMap<InstanceOffering, MachinePool>()
         for (machine in workers.machines.values) {
             if (!usable(machine)) continue
-            val whole = catalog.types[machine.type]?.size ?: continue
-            val free = free(machine, whole)
-            val pool = pools.getOrPut(InstanceOffering(machine.type, machine.zone, machine.spot)) { MachinePool(whole, machine) }
-            pool.machines++
-            if (free.cpus > 0 && free.memoryGb > 0) pool.rooms += room(machine, whole, free)
+            val total = catalog.types[machine.type]?.size ?: continue
+            val free = free(machine, total)
+            val pool = pools.getOrPut(InstanceOffering(machine.type, machine.zone, machine.spot)) { MachinePool(total, machine) }
+            pool.machineCount++
+            if (free.cpus > 0 && free.memoryGb > 0) pool.candidates += capacityOf(machine, total, free)
         }
-        return pools.values.sortedWith(compareBy({ it.whole.gpus }, { it.whole.cpus }, { it.whole.memoryGb }, { !it.first.spot }))
+        return pools.values.sortedWith(compareBy({ it.total.gpus }, { it.total.cpus }, { it.total.memoryGb }, { !it.first.spot }))
     }
 
-    private fun room(
+    private fun capacityOf(
         machine: Machine,
-        whole: Resources,
+        total: Resources,
         free: Resources,
     ): MachineCapacity {
-        val advice = advice ?: return MachineCapacity(machine, whole, free)
-        return MachineCapacity(machine, whole, free, advice.avoids(machine), advice.startsLeft(machine))
+        val policy = policy ?: return MachineCapacity(machine, total, free)
+        return MachineCapacity(machine, total, free, policy.isAvoided(machine), policy.remainingStarts(machine))
     }
 
     private fun usable(machine: Machine): Boolean =
@@ -138,9 +138,9 @@
 
     private fun free(
         machine: Machine,
-        whole: Resources,
+        total: Resources,
     ): Resources {
-        var free = whole - registry.allocations.usedOn(machine.id)
+        var free = total - registry.allocations.usageOn(machine.id)
         machine.orphans.forEach { taskName -> registry.jobs[taskName.substringBefore('/')]?.let { free -= it.spec.size } }
         return free
     }
@@ -160,11 +160,15 @@
      */
     fun queue(): List<Job> {
         val queued =
-            registry.jobs.values.filter { it.ending == null && it.waiting > 0 && (!it.spec.gang || gangs.mayBegin(it)) }.map {
-                QueuedJob(it, tooLate(it), load(it.spec.team), rank(it), ageSeconds(it))
-            }
+            registry.jobs.values
+                .filter {
+                    it.pendingEndState == null && it.unallocatedCount > 0 &&
+                        (!it.spec.gang || gangs.canStartAttempt(it))
+                }.map {
+                    QueuedJob(it, willMissDeadline(it), load(it.spec.team), rank(it), ageSeconds(it))
+                }
         if (queued.isEmpty()) return emptyList()
-        val (starved, others) = queued.partition { !it.job.begun && it.ageSeconds > MUST_BEGIN_SECONDS / 2 }
+        val (starved, others) = queued.partition { !it.job.hasBeenAllocated && it.ageSeconds > MUST_BEGIN_SECONDS / 2 }
         val (late, timely) = others.partition { it.late }
         val inTurn =
             timely.sortedWith(compareBy<QueuedJob> { it.job.spec.priority }.thenBy { it.load }.thenBy { it.rank }).toMutableList()
@@ -185,7 +189,8 @@
     private fun ageSeconds(job: Job): Double = (context.wallMillis - job.submittedMillis) / 1000.0
 
     /** A job that cannot be complete in time any more gives way to those that still can. */
-    private fun tooLate(job: Job): Boolean = limitSeconds(job)?.let { ageSeconds(job) + job.spec.estimateSeconds * SURE_PART > it } ?: false
+    private fun willMissDeadline(job: Job): Boolean =
+        limitSeconds(job)?.let { ageSeconds(job) + job.spec.estimateSeconds * SURE_PART > it } ?: false
 
     /** Within a team: with a deadline the earliest first, otherwise the least work first, which keeps most jobs within a common aim. */
     private fun rank(job: Job): Double {
@@ -197,7 +202,7 @@
 
     private fun load(team: String): Double {
         val share = context.settings.teams[team] ?: return 0.0
-        val used = registry.allocations.used[team] ?: return 0.0
+        val used = registry.allocations.usageByTeam[team] ?: return 0.0
         return maxOf(if (share.cpus > 0) used.cpus / share.cpus else 0.0, if (share.gpus > 0) used.gpus / share.gpus else 0.0)
     }
 
@@ -211,60 +216,61 @@
         var task = next(job, 0, plan)
         val pools = plan.poolsFor(spec)
         // The design samples blindly; where time presses, a fetch is too much of it while another machine holds the image.
-        if (presses(spec, pools)) {
-            val holders = pools.flatMap { pool -> pool.rooms.filter { spec.image in it.machine.images && mayTake(job, it) } }
+        if (isFetchCritical(spec, pools)) {
+            val holders = pools.flatMap { pool -> pool.candidates.filter { spec.image in it.machine.images && canUse(job, it) } }
             task = fill(job, task, holders, zones, plan)
         }
         // Where idle machines are returned, the dear ones of a type are filled last, so that they are the ones that go.
         for (group in pools.groupBy { it.first.type to (fleet.returnsIdle && it.first.spot) }.values) {
             if (task < 0) return
-            context.count("placement.candidates", group.sumOf { it.rooms.size })
-            task = fill(job, task, group.flatMap { pool -> pool.rooms.filter { mayTake(job, it) } }, zones, plan)
+            context.count("placement.candidates", group.sumOf { it.candidates.size })
+            task = fill(job, task, group.flatMap { pool -> pool.candidates.filter { canUse(job, it) } }, zones, plan)
         }
         val stopped =
             plan.allocations.size >= registry.allocations.maxStartsPerBatch ||
-                fit.overLimit(spec.team, plan.used(spec.team) + spec.size)
-        if (task >= 0 && advice != null && spec.jobClass in waitClasses) task = fillCold(job, task, pools, zones, plan)
-        if (task >= 0 && !stopped && !spec.oneZone && !spec.spread && tookAllRoom(job, pools)) {
+                fit.exceedsQuota(spec.team, plan.used(spec.team) + spec.size)
+        if (task >= 0 && policy != null && spec.jobClass in waitClasses) task = fillSlowStarting(job, task, pools, zones, plan)
+        if (task >= 0 && !stopped && !spec.oneZone && !spec.spread && hasExhaustedCapacity(job, pools)) {
             plan.unplaceable += ResourceRequest(spec.types, spec.zone, spec.spot, spec.size)
         }
     }
 
     /** Where room was left aside for a while, another job that has waited longer may still take it. Only advice leaves any aside. */
-    private fun tookAllRoom(
+    private fun hasExhaustedCapacity(
         job: Job,
         pools: List<MachinePool>,
-    ): Boolean = advice == null || takesAvoided(job) || pools.none { pool -> pool.rooms.any { it.avoided || it.startsLeft <= 0 } }
+    ): Boolean =
+        policy == null || mayUseAvoided(job) || pools.none { pool -> pool.candidates.any { it.isAvoided || it.remainingStarts <= 0 } }
 
     /** What a class's aim for starting wants at once goes to machines that have just joined as well, however much they have got. */
-    private fun fillCold(
+    private fun fillSlowStarting(
         job: Job,
         first: Int,
         pools: List<MachinePool>,
         zones: HashMap<String, Int>,
         plan: PlacementPlan,
     ): Int {
-        val cold = pools.flatMap { pool -> pool.rooms.filter { it.startsLeft != Int.MAX_VALUE && mayTake(job, it) } }
+        val cold = pools.flatMap { pool -> pool.candidates.filter { it.remainingStarts != Int.MAX_VALUE && canUse(job, it) } }
         if (cold.isEmpty()) return first
-        val limits = cold.associateWith { it.startsLeft }
-        cold.forEach { it.startsLeft = Int.MAX_VALUE }
+        val limits = cold.associateWith { it.remainingStarts }
+        cold.forEach { it.remainingStarts = Int.MAX_VALUE }
         val before = plan.allocations.size
         val next = fill(job, first, cold, zones, plan)
-        limits.forEach { (room, left) -> room.startsLeft = left }
-        plan.allocations.drop(before).forEach { advice?.placed(it.taskName, it.machine, PlacementReason.COLD_FOR_AIM) }
+        limits.forEach { (capacity, left) -> capacity.remainingStarts = left }
+        plan.allocations.drop(before).forEach { policy?.onPlaced(it.taskName, it.machine, PlacementReason.COLD_FOR_AIM) }
         return next
     }
 
     /** What has waited for half of the time within which a job gets what room there is also takes room that is avoided. */
-    private fun takesAvoided(job: Job): Boolean =
+    private fun mayUseAvoided(job: Job): Boolean =
         (job.allocatedAt?.let { context.now - it } ?: ageSeconds(job)) > MUST_HAVE_ROOM_SECONDS / 2
 
-    private fun mayTake(
+    private fun canUse(
         job: Job,
-        room: MachineCapacity,
-    ): Boolean = job.spec.size.fits(room.free) && (!room.avoided || takesAvoided(job))
+        capacity: MachineCapacity,
+    ): Boolean = job.spec.size.fits(capacity.free) && (!capacity.isAvoided || mayUseAvoided(job))
 
-    private fun presses(
+    private fun isFetchCritical(
         spec: JobSpec,
         pools: List<MachinePool>,
     ): Boolean {
@@ -273,31 +279,31 @@
         return spec.deadlineSeconds != null && slowest > 0 && spec.imageGb / slowest > spec.estimateSeconds * LONG_FETCH
     }
 
-    /** Places tasks of [job] from [first] on in [rooms] while there is room; returns the next task, or -1 when none is left. */
+    /** Places tasks of [job] from [first] on in [machines] while there is room; returns the next task, or -1 when none is left. */
     private fun fill(
         job: Job,
         first: Int,
-        rooms: List<MachineCapacity>,
+        candidates: List<MachineCapacity>,
         zones: HashMap<String, Int>,
         plan: PlacementPlan,
     ): Int {
         val spec = job.spec
         var task = first
         // Where idle machines are returned, those in use go first, so that others fall idle.
-        val (idle, inUse) = rooms.partition { fleet.returnsIdle && it.free == it.whole }
+        val (idle, inUse) = candidates.partition { fleet.returnsIdle && it.free == it.total }
         val (empty, shared) = idle.toMutableList() to inUse.toMutableList()
         while (task >= 0 && plan.allocations.size < registry.allocations.maxStartsPerBatch) {
             val after = plan.used(spec.team) + spec.size
-            if (fit.overLimit(spec.team, after)) break
-            val room = fit.sample(shared, spec, zones) ?: fit.sample(empty, spec, zones) ?: break
-            if (empty.isNotEmpty() && room.free == room.whole && empty.remove(room)) shared += room
-            room.free -= spec.size
-            if (room.startsLeft != Int.MAX_VALUE) room.startsLeft--
+            if (fit.exceedsQuota(spec.team, after)) break
+            val capacity = fit.sample(shared, spec, zones) ?: fit.sample(empty, spec, zones) ?: break
+            if (empty.isNotEmpty() && capacity.free == capacity.total && empty.remove(capacity)) shared += capacity
+            capacity.free -= spec.size
+            if (capacity.remainingStarts != Int.MAX_VALUE) capacity.remainingStarts--
             plan.used[spec.team] = after
             plan.jobs += spec.id
-            zones.merge(room.machine.zone, 1, Int::plus)
-            plan.allocations += newAllocation(job, task, room.machine)
-            if (room.avoided) advice?.placed("${spec.id}/$task", room.machine.id, PlacementReason.AVOIDED_AFTER_WAIT)
+            zones.merge(capacity.machine.zone, 1, Int::plus)
+            plan.allocations += newAllocation(job, task, capacity.machine)
+            if (capacity.isAvoided) policy?.onPlaced("${spec.id}/$task", capacity.machine.id, PlacementReason.AVOIDED_AFTER_WAIT)
             task = next(job, task + 1, plan)
         }
         return task
@@ -309,11 +315,11 @@
         from: Int,
         plan: PlacementPlan,
     ): Int {
-        var task = job.taken.nextClearBit(from)
+        var task = job.doneOrAllocated.nextClearBit(from)
         while (task < job.spec.tasks) {
             val taskName = "${job.spec.id}/$task"
-            if (job.waits(task, context.now) && !workers.orphans(taskName) && taskName !in plan.placedWhereKept) return task
-            task = job.taken.nextClearBit(task + 1)
+            if (job.isEligible(task, context.now) && !workers.orphans(taskName) && taskName !in plan.placedFromReservation) return task
+            task = job.doneOrAllocated.nextClearBit(task + 1)
         }
         return -1
     }
@@ -325,7 +331,7 @@
     ) = Allocation(
         job.spec.id,
         task,
-        job.lastAttempt.get(task) + 1,
+        job.lastAttemptByTask.get(task) + 1,
         machine.id,
         machine.agentEpoch,
         machine.zone,
@@ -347,6 +353,6 @@
         const val MUST_HAVE_ROOM_SECONDS = 90.0
 
         /** Rounds whose row is still being written; the tasks that gather meanwhile share the next. */
-        const val MOST_OPEN_ROUNDS = 3
+        const val MAX_PENDING_BATCHES = 3
     }
 }
--- a/src/main/kotlin/burlridge/placement/PlacementPlan.kt
+++ b/src/main/kotlin/burlridge/placement/PlacementPlan.kt
@@ -9,25 +9,25 @@
 /** A machine with room, and what of it is free. */
 internal class MachineCapacity(
     val machine: Machine,
-    val whole: Resources,
+    val total: Resources,
     var free: Resources,
     /** Only for what would else wait too long. */
-    val avoided: Boolean = false,
+    val isAvoided: Boolean = false,
     /** How many more single tasks it may get now. */
-    var startsLeft: Int = Int.MAX_VALUE,
+    var remainingStarts: Int = Int.MAX_VALUE,
 ) {
     /** How many tasks of [size] find room. */
-    fun seats(size: Resources): Int = free.holds(size)
+    fun fitCount(size: Resources): Int = free.holds(size)
 }
 
 /** The machines with room of one type, zone and kind. */
 internal class MachinePool(
-    val whole: Resources,
+    val total: Resources,
     val first: Machine,
-    val rooms: ArrayList<MachineCapacity> = ArrayList(),
+    val candidates: ArrayList<MachineCapacity> = ArrayList(),
 ) {
     /** Its machines, full ones as well. */
-    var machines: Int = 0
+    var machineCount: Int = 0
 }
 
 /** What a job asks of a machine; where one job found no room, another that asks for no less need not look. */
@@ -51,22 +51,22 @@
         unplaceable.any { it.types == spec.types && it.zone == spec.zone && (it.spot || !spec.spot) && it.size.fits(spec.size) }
 
     /** Room that is kept for single tasks, and taken from all others. */
-    val kept = ArrayList<CapacityReservation>()
+    val reservations = ArrayList<CapacityReservation>()
 
     /** Names of tasks that were placed where room was kept for them. */
-    val placedWhereKept = HashSet<String>()
-    private val roomOf: Map<String, MachineCapacity> by lazy(LazyThreadSafetyMode.NONE) {
-        pools.flatMap { it.rooms }.associateBy { it.machine.id }
+    val placedFromReservation = HashSet<String>()
+    private val capacityByMachine: Map<String, MachineCapacity> by lazy(LazyThreadSafetyMode.NONE) {
+        pools.flatMap { it.candidates }.associateBy { it.machine.id }
     }
 
-    fun roomOn(machine: String): MachineCapacity? = roomOf[machine]
+    fun capacityOn(machine: String): MachineCapacity? = capacityByMachine[machine]
 
-    fun keep(room: CapacityReservation) {
-        val spec = room.job.spec
-        val there = roomOn(room.machine.id)?.takeIf { spec.size.fits(it.free) } ?: return
+    fun reserve(capacity: CapacityReservation) {
+        val spec = capacity.job.spec
+        val there = capacityOn(capacity.machine.id)?.takeIf { spec.size.fits(it.free) } ?: return
         there.free -= spec.size
         used.merge(spec.team, spec.size, Resources::plus)
-        kept += room
+        reservations += capacity
     }
 
     /**
@@ -76,22 +76,22 @@
     fun zonesOf(job: Job): HashMap<String, Int> {
         val zones = HashMap<String, Int>()
         job.allocations.values.forEach { zones.merge(it.zone, 1, Int::plus) }
-        if (placedWhereKept.isNotEmpty()) allocations.forEach { if (it.job == job.spec.id) zones.merge(it.zone, 1, Int::plus) }
-        kept.forEach { if (it.job === job) zones.merge(it.machine.zone, 1, Int::plus) }
+        if (placedFromReservation.isNotEmpty()) allocations.forEach { if (it.job == job.spec.id) zones.merge(it.zone, 1, Int::plus) }
+        reservations.forEach { if (it.job === job) zones.merge(it.machine.zone, 1, Int::plus) }
         return zones
     }
 
     /** The task that it was kept for is about to take it, or no longer wants it. */
-    fun giveBack(room: CapacityReservation) {
-        val spec = room.job.spec
-        roomOn(room.machine.id)?.let { it.free += spec.size }
+    fun release(capacity: CapacityReservation) {
+        val spec = capacity.job.spec
+        capacityOn(capacity.machine.id)?.let { it.free += spec.size }
         used.merge(spec.team, spec.size, Resources::minus)
-        kept -= room
+        reservations -= capacity
     }
 
     fun used(team: String): Resources = used[team] ?: Resources.NONE
 
     /** The pools whose machines [spec] may use and that are large enough. */
     fun poolsFor(spec: JobSpec): List<MachinePool> =
-        pools.filter { spec.size.fits(it.whole) && spec.allows(it.first.type, it.first.zone, it.first.spot) }
+        pools.filter { spec.size.fits(it.total) && spec.allows(it.first.type, it.first.zone, it.first.spot) }
 }
--- a/src/main/kotlin/burlridge/placement/PlacementPolicy.kt
+++ b/src/main/kotlin/burlridge/placement/PlacementPolicy.kt
@@ -14,20 +14,20 @@
 /** What placement is told by those who balance load; where nobody does, nothing is kept and no machine avoided. */
 internal interface PlacementPolicy {
     /** For which tasks room is kept; it is given to nobody else. */
-    fun kept(): List<CapacityReservation>
+    fun reservations(): List<CapacityReservation>
 
     /** Whether [machine] gets nothing new but what would else wait too long. */
-    fun avoids(machine: Machine): Boolean
+    fun isAvoided(machine: Machine): Boolean
 
     /** Told of each task that is placed otherwise than by best fit. */
-    fun placed(
+    fun onPlaced(
         taskName: String,
         machine: String,
         reason: PlacementReason,
     )
 
     /** How many more starts [machine] may get now. */
-    fun startsLeft(machine: Machine): Int
+    fun remainingStarts(machine: Machine): Int
 
     /** How long the image of [spec] takes to be on [machine], where it takes [aloneSeconds] if nothing else is fetched there. */
     fun fetchSeconds(
--- a/src/main/kotlin/burlridge/worker/CommandDispatcher.kt
+++ b/src/main/kotlin/burlridge/worker/CommandDispatcher.kt
@@ -106,17 +106,17 @@
         allocation.phase == AllocationPhase.COMMITTED && allocation.agentEpoch == machine.agentEpoch &&
             allocation.stopGraceSeconds == null &&
             machine.drainReason != DrainReason.OPERATOR &&
-            registry.jobs[allocation.job]?.let { it.ending != JobState.CANCELLED } == true
+            registry.jobs[allocation.job]?.let { it.pendingEndState != JobState.CANCELLED } == true
 
     private fun wantsStop(allocation: Allocation): Boolean {
-        if (allocation.phase < AllocationPhase.DISPATCHED || allocation.ended ||
+        if (allocation.phase < AllocationPhase.DISPATCHED || allocation.hasEnded ||
             context.now < allocation.stopSentAt + times.reportSeconds / 3
         ) {
             return false
         }
         if (reconciler.isCancelled(allocation)) return true
         if (allocation.phase == AllocationPhase.CHECKPOINTING) return false
-        if (allocation.stopTold && reconciler.savesAsGang(allocation)) return false
+        if (allocation.isStopAcknowledged && reconciler.savesAsGang(allocation)) return false
         return allocation.stopGraceSeconds != null
     }
 
@@ -141,7 +141,7 @@
             val report = answer?.let { Heartbeat.decode(it.body) }
             when {
                 report != null && answer.status == EXECUTED -> {
-                    stops.forEach { it.stopTold = true }
+                    stops.forEach { it.isStopAcknowledged = true }
                     answered(machine, report)
                 }
 
--- a/src/main/kotlin/burlridge/worker/StragglerDetector.kt
+++ b/src/main/kotlin/burlridge/worker/StragglerDetector.kt
@@ -18,7 +18,7 @@
         // By the last report's time: a machine that cannot be heard is not slow for that.
         val times =
             running(machine).mapNotNull { allocation ->
-                val usual = registry.jobs[allocation.job]?.usualRunSeconds ?: return@mapNotNull null
+                val usual = registry.jobs[allocation.job]?.meanRunSeconds ?: return@mapNotNull null
                 allocation.startedAt?.let { (machine.lastMessageAt - it) / usual.coerceAtLeast(1.0) }
             }
         val overdue = times.count { it > SLOW }
--- a/src/main/kotlin/burlridge/worker/TaskEviction.kt
+++ b/src/main/kotlin/burlridge/worker/TaskEviction.kt
@@ -49,7 +49,7 @@
 
                 allocation.stopGraceSeconds == null -> {
                     allocation.stopGraceSeconds =
-                        if (spec.checkpointSeconds > 0) spec.saveSeconds * GangRules.GRACE else 0.0
+                        if (spec.checkpointSeconds > 0) spec.saveSeconds * GangRules.CHECKPOINT_GRACE_FACTOR else 0.0
                 }
             }
         }
@@ -68,7 +68,7 @@
                 continue
             }
             if (allocation.phase == AllocationPhase.RUNNING && spec.checkpointSeconds > 0 && allocation.stopGraceSeconds == null) {
-                allocation.stopGraceSeconds = spec.saveSeconds * GangRules.GRACE
+                allocation.stopGraceSeconds = spec.saveSeconds * GangRules.CHECKPOINT_GRACE_FACTOR
                 context.info("task ${allocation.taskName} is stopped on ${machine.id}: the cloud takes the machine back")
             }
         }
--- a/src/main/kotlin/burlridge/worker/TaskOutcomes.kt
+++ b/src/main/kotlin/burlridge/worker/TaskOutcomes.kt
@@ -55,7 +55,7 @@
                     maxOf(before, AllocationPhase.FETCHING)
                 }
             }
-        if (allocation.phase == AllocationPhase.RUNNING && before != AllocationPhase.RUNNING && !allocation.inherited) {
+        if (allocation.phase == AllocationPhase.RUNNING && before != AllocationPhase.RUNNING && !allocation.isInherited) {
             allocation.startedAt = context.now
             val job = registry.jobs[allocation.job]
             if (allocation.task == 0 && job?.spec?.gang == true) {
@@ -89,14 +89,14 @@
         report: TaskStatus,
     ) {
         val job = registry.jobs[allocation.job]
-        registry.allocations.release(allocation, lost = report.exitReason != "done")
+        registry.allocations.release(allocation, isLost = report.exitReason != "done")
         if (job == null) return
         when (report.exitReason) {
             "done" -> {
                 machine.failures = 0
                 allocation.startedAt?.let {
-                    job.ranSeconds += context.now - it
-                    job.ran++
+                    job.finishedRunSeconds += context.now - it
+                    job.finishedRunCount++
                     onRan(machine, job, context.now - it)
                 }
                 remember(machine, job.spec)
@@ -114,7 +114,7 @@
                     "task ${allocation.taskName} failed on ${machine.id}: failure ${job.failures} of its job, " +
                         "${machine.failures} in a row there",
                 )
-                job.holdOff(allocation.task, context.now + minOf(times.reportSeconds * job.failures, times.leaseSeconds))
+                job.delayRetry(allocation.task, context.now + minOf(times.reportSeconds * job.failures, times.leaseSeconds))
                 if (machine.failures >= FAILURES_TO_QUARANTINE && job.failures < machine.failures * 2) {
                     machine.notBefore = context.now + times.leaseSeconds
                 }
@@ -134,7 +134,7 @@
                     "starts refused",
                     "start of ${allocation.taskName} refused by ${machine.id}: ${report.exitReason?.take(WORD)}",
                 )
-                job.holdOff(allocation.task, context.now + times.reportSeconds / 3)
+                job.delayRetry(allocation.task, context.now + times.reportSeconds / 3)
                 if (report.exitReason == "full") machine.notBefore = context.now + times.reportSeconds / 3
             }
         }
--- a/src/main/kotlin/burlridge/worker/TaskReconciler.kt
+++ b/src/main/kotlin/burlridge/worker/TaskReconciler.kt
@@ -46,14 +46,14 @@
         val index = report.task.substringAfter('/').toIntOrNull() ?: return null
         val job = registry.jobs[jobId]
         val done = report.exitReason == "done"
-        if (job != null && done && !job.durable.get(index)) {
+        if (job != null && done && !job.persistedDone.get(index)) {
             registry.markDone(job, index)
             return null
         }
         if (allocationOf(machine, report) != null) return null
         // A repeat of the start may still come, and after the removal it would count as new. One that is done ends at once
         // again; any other must first be void, for it may run elsewhere by then, or be cancelled.
-        val harmless = done && (job != null || registry.end(jobId)?.jobState == JobState.DONE)
+        val harmless = done && (job != null || registry.endOf(jobId)?.jobState == JobState.DONE)
         if (!harmless && machine.seenToken <= machine.lastStartToken) {
             if (machine.token <= machine.lastStartToken) machine.token = nextToken()
             return null
@@ -62,7 +62,8 @@
     }
 
     /** Its job is over, or its user has asked to cancel it. */
-    fun isCancelled(allocation: Allocation): Boolean = registry.jobs[allocation.job]?.let { it.ending == JobState.CANCELLED } ?: true
+    fun isCancelled(allocation: Allocation): Boolean =
+        registry.jobs[allocation.job]?.let { it.pendingEndState == JobState.CANCELLED } ?: true
 
     /** Whether [claim] is of a gang that saves when it is stopped. */
     fun savesAsGang(allocation: Allocation): Boolean =
--- a/src/main/kotlin/burlridge/worker/WorkerManager.kt
+++ b/src/main/kotlin/burlridge/worker/WorkerManager.kt
@@ -256,7 +256,7 @@
                 "task ${allocation.taskName} run ${allocation.attempt} lost on ${allocation.machine}: $reason",
             )
         }
-        registry.allocations.release(allocation, lost = true)
+        registry.allocations.release(allocation, isLost = true)
         onChange()
     }
 
@@ -370,7 +370,7 @@
         machines.remove(machine.id)
         setOrphans(machine, emptySet())
         loseAll(machine, reason)
-        registry.allocations.byMachine.remove(machine.id)
+        registry.allocations.forgetMachine(machine.id)
     }
 
     internal companion object {
--- a/src/test/kotlin/burlridge/allocation/JobRegistryTest.kt
+++ b/src/test/kotlin/burlridge/allocation/JobRegistryTest.kt
@@ -35,7 +35,7 @@
             """{"job":{"id":"$job","lane":"l","crew":"crew","shape":"$shape","urgency":"high","pieces":$tasks,"vcpus":1.0,"gpus":0.0,
             "ramGb":1.0,"bundle":"i","pullGb":1.0,"together":false,"spread":false,"loaners":true,"guessS":1.0,"markEveryS":0.0,
             "markCostS":0.0},"fp":"x","at":0}"""
-        registry.admit(job, Json.parse(row), 1)
+        registry.admit(Row("live/$job", Json.parse(row), 1))
     }
 
     /** Starts are task, run, machine, session, zone and whether lost. */
@@ -64,7 +64,7 @@
         assertEquals(mapOf("j-1/0" to 2), on("m-1"))
         assertEquals(
             1.0,
-            registry.allocations.used
+            registry.allocations.usageByTeam
                 .getValue("crew")
                 .cpus,
         )
@@ -80,7 +80,7 @@
         assertEquals(4, job.highestAttempt)
         assertEquals(
             0.0,
-            registry.allocations.used
+            registry.allocations.usageByTeam
                 .getValue("crew")
                 .cpus,
         )
--- a/src/test/kotlin/burlridge/allocation/LimitsTest.kt
+++ b/src/test/kotlin/burlridge/allocation/LimitsTest.kt
@@ -83,7 +83,7 @@
             "ramGb":0.0,"bundle":"i","pullGb":1.0,"together":false,"spread":false,"loaners":true,"guessS":1.0,"markEveryS":0.0,
             "markCostS":0.0}"""
         put("live/$id", """{"job":$body,"fp":"x","at":0}""")
-        return checkNotNull(registry.admit(id, Json.parse("""{"job":$body,"fp":"x","at":0}"""), stampOf("live/$id")))
+        return checkNotNull(registry.admit(Row("live/$id", Json.parse("""{"job":$body,"fp":"x","at":0}"""), stampOf("live/$id"))))
     }
 
     private fun put(
@@ -102,7 +102,7 @@
     fun `the largest job's progress and end fit, beside rows that the old limits allowed`() {
         pass(3.0)
         val job = admit("j-1", JobSpecLimits.TASKS)
-        val bits = Base64.getEncoder().encodeToString(BitSet().apply { set(0, Progress.CHUNK) }.toByteArray())
+        val bits = Base64.getEncoder().encodeToString(BitSet().apply { set(0, ProgressCodec.TASKS_PER_ROW) }.toByteArray())
         repeat(2) { chunk ->
             // Written before the limits were lowered.
             state.lower(valueKb = 8.0, changesPerTransaction = 8)
@@ -110,10 +110,10 @@
             state.lower(valueKb = 2.0, changesPerTransaction = 4)
             registry.loadProgress(Row("prog/j-1/$chunk", Json.parse("""{"bits":"$bits"}"""), 1))
         }
-        assertEquals(2 * Progress.CHUNK, job.durable.cardinality())
-        (2 * Progress.CHUNK until JobSpecLimits.TASKS - 1).forEach { registry.markDone(job, it) }
+        assertEquals(2 * ProgressCodec.TASKS_PER_ROW, job.persistedDone.cardinality())
+        (2 * ProgressCodec.TASKS_PER_ROW until JobSpecLimits.TASKS - 1).forEach { registry.markDone(job, it) }
         pass(120.0)
-        assertEquals(JobSpecLimits.TASKS - 1, job.durable.cardinality())
+        assertEquals(JobSpecLimits.TASKS - 1, job.persistedDone.cardinality())
         assertTrue(state.keys("prog/").size > 4)
         registry.markDone(job, JobSpecLimits.TASKS - 1)
         pass(20.0)
@@ -149,22 +149,22 @@
         registry.reconcileLoaded()
 
         fun claimsOf(tasks: IntRange) = tasks.map { job.allocations.get(it) }
-        claimsOf(0..0).forEach { registry.allocations.release(it, lost = true) }
+        claimsOf(0..0).forEach { registry.allocations.release(it, isLost = true) }
         pass(5.0)
         // Of 149 nothing is known yet: too much for a row.
-        assertEquals(1, decode(Row("round/1-0", Json.parse(value), 1)).allocations.count { it.task == 0 })
+        assertEquals(1, AllocationBatchCodec.decode(Row("round/1-0", Json.parse(value), 1)).allocations.count { it.task == 0 })
         claimsOf(1..130).forEach {
-            registry.allocations.release(it, lost = false)
+            registry.allocations.release(it, isLost = false)
             registry.markDone(job, it.task)
-            job.durable.set(it.task)
+            job.persistedDone.set(it.task)
         }
-        claimsOf(131..131).forEach { registry.allocations.release(it, lost = true) }
+        claimsOf(131..131).forEach { registry.allocations.release(it, isLost = true) }
         pass(5.0)
         var row = ""
         state.handle("GET", "/store/round/1-0", "") { _, body -> row = body }
         assertTrue("[131,1,\"m-00000131\",1,0,1]" in row, row)
         (0 until 200).forEach { if (!job.done.get(it)) registry.markDone(job, it) }
-        claimsOf(132..149).forEach { it?.let { allocation -> registry.allocations.release(allocation, lost = false) } }
+        claimsOf(132..149).forEach { it?.let { allocation -> registry.allocations.release(allocation, isLost = false) } }
         pass(20.0)
         assertEquals(emptyList<String>(), state.keys("round/"))
         assertEquals(0, state.refusedAsTooLarge)
--- a/src/test/kotlin/burlridge/allocation/ProductionTest.kt
+++ b/src/test/kotlin/burlridge/allocation/ProductionTest.kt
@@ -43,40 +43,41 @@
     @Test
     fun `a round of production is read, and written byte for byte as it writes it`() {
         for (row in rows("round/")) {
-            val batch = decode(row)
+            val batch = AllocationBatchCodec.decode(row)
             assertTrue(batch.allocations.size > 100)
-            assertEquals(Json.write(row.value), Json.write(encode(batch, row.value.path("tok").asLong(), row.value.path("until").asLong())))
+            val written = AllocationBatchCodec.encode(batch, row.value.path("tok").asLong(), row.value.path("until").asLong())
+            assertEquals(Json.write(row.value), Json.write(written))
         }
     }
 
     @Test
     fun `progress of production is read, and written alike where a value holds it`() {
         val row = rows("prog/").single()
-        val large = Progress(8 * 1024)
+        val large = ProgressCodec(8 * 1024)
         val done = assertNotNull(large.decode(row)).let { large.decode(row) } ?: return
-        assertEquals(Progress.CHUNK, done.cardinality())
-        val part = large.partOf(job(40_000), 5)
-        assertEquals(row.key, part.key)
-        assertEquals(Json.write(row.value), Json.write(large.encode(done, part)))
+        assertEquals(ProgressCodec.TASKS_PER_ROW, done.cardinality())
+        val range = large.rangeOf(job(40_000), 5)
+        assertEquals(row.key, range.key)
+        assertEquals(Json.write(row.value), Json.write(large.encode(done, range)))
     }
 
     /** Guards progress under the limits to come: rows of the old form are too large, and the old version must not misread the new. */
     @Test
     fun `where values are smaller progress is kept in a form that production passes over`() {
-        val small = Progress(2 * 1024)
+        val small = ProgressCodec(2 * 1024)
         val done = java.util.BitSet().apply { set(0, 40_000) }
         val read = java.util.BitSet()
         var task = 0
         while (task < 40_000) {
-            val part = small.partOf(job(40_000), task)
-            val value = small.encode(done, part)
+            val range = small.rangeOf(job(40_000), task)
+            val value = small.encode(done, range)
             assertTrue(Json.write(value).length <= 2 * 1024, "${Json.write(value).length} bytes")
-            assertNull(part.key.substringAfterLast('/').toIntOrNull(), "production reads a number as its own chunk")
-            read.or(checkNotNull(small.decode(Row(part.key, value, 1))))
-            task = part.end
+            assertNull(range.key.substringAfterLast('/').toIntOrNull(), "production reads a number as its own chunk")
+            read.or(checkNotNull(small.decode(Row(range.key, value, 1))))
+            task = range.end
         }
         assertEquals(done, read)
-        assertEquals("prog/j-000090/0", small.partOf(job(500), 3).key)
+        assertEquals("prog/j-000090/0", small.rangeOf(job(500), 3).key)
     }
 
     private fun job(tasks: Int): Job {
--- a/src/test/kotlin/burlridge/balance/HotspotMitigationTest.kt
+++ b/src/test/kotlin/burlridge/balance/HotspotMitigationTest.kt
@@ -16,7 +16,11 @@
     private val settings = BalanceSettings()
     private val machine = Machine("m-1", 0.0)
 
-    private fun job(): Job = Job(SimulatedCluster(0).job(1, 10, runSeconds = 10.0), 1, 0).also { it.ranSeconds = 40.0 }.also { it.ran = 4 }
+    private fun job(): Job =
+        Job(SimulatedCluster(0).job(1, 10, runSeconds = 10.0), 1, 0).also { it.finishedRunSeconds = 40.0 }.also {
+            it.finishedRunCount =
+                4
+        }
 
     private fun LoadTracker.at(
         now: Double,
