--- a/src/main/kotlin/burlridge/allocation/ActiveJobRow.kt
+++ b/src/main/kotlin/burlridge/allocation/ActiveJobRow.kt
@@ -9,7 +9,8 @@
     val submittedMillis: Long,
 ) {
     internal companion object {
-        private const val KEY_PREFIX = "live/"
+        /** The prefix of the rows of all jobs that have not ended. */
+        const val KEY_PREFIX: String = "live/"
 
         fun key(job: String): String = KEY_PREFIX + job
 
--- a/src/main/kotlin/burlridge/api/JobApi.kt
+++ b/src/main/kotlin/burlridge/api/JobApi.kt
@@ -246,8 +246,8 @@
         val row = verdict.liveRow(spec)
         val transaction =
             Transaction(
-                listOf(Condition("live/${spec.id}", 0), Condition("over/${spec.id}", 0)),
-                listOf(Change.Put("live/${spec.id}", row)),
+                listOf(Condition(ActiveJobRow.key(spec.id), 0), Condition(FinishedJobRow.key(spec.id), 0)),
+                listOf(Change.Put(ActiveJobRow.key(spec.id), row)),
             )
         store.commit(transaction, RequestPriority.USER, PATIENCE_SECONDS) { result ->
             when (result) {
@@ -382,7 +382,7 @@
         val job = registry.jobs[id]
         if (job != null) return cancel(job, onResult)
         val term = leadership.term
-        store.get("live/$id", RequestPriority.USER) { live ->
+        store.get(ActiveJobRow.key(id), RequestPriority.USER) { live ->
             when (live) {
                 is ReadResult.Found -> {
                     val found =
--- a/src/main/kotlin/burlridge/api/StoredJobReader.kt
+++ b/src/main/kotlin/burlridge/api/StoredJobReader.kt
@@ -1,5 +1,6 @@
 package burlridge.api
 
+import burlridge.allocation.ActiveJobRow
 import burlridge.allocation.FinishedJobRow
 import burlridge.allocation.JobRegistry
 import burlridge.allocation.JobRowCodec
@@ -42,7 +43,7 @@
         id: String,
         onResult: (StoredJob?) -> Unit,
     ) {
-        store.get("live/$id", RequestPriority.USER) { live ->
+        store.get(ActiveJobRow.key(id), RequestPriority.USER) { live ->
             when (live) {
                 is ReadResult.Found -> {
                     onResult(
@@ -55,7 +56,7 @@
                 }
 
                 ReadResult.Absent -> {
-                    store.get("over/$id", RequestPriority.USER) { over ->
+                    store.get(FinishedJobRow.key(id), RequestPriority.USER) { over ->
                         when (over) {
                             is ReadResult.Found -> onResult(recordEnd(id, over.value))
                             ReadResult.Absent -> onResult(StoredJob.Missing)
--- a/src/main/kotlin/burlridge/app/Controller.kt
+++ b/src/main/kotlin/burlridge/app/Controller.kt
@@ -1,6 +1,7 @@
 package burlridge.app
 
 import burlridge.admin.AdminRequests
+import burlridge.allocation.ActiveJobRow
 import burlridge.allocation.AllocationPhase
 import burlridge.allocation.JobRegistry
 import burlridge.api.JobApi
@@ -249,7 +250,7 @@
     /** The news may be old and the job long over, so its row is read before it counts. */
     private fun admit(job: String) {
         val term = leadership.term
-        store.get("live/$job", RequestPriority.USER) { live ->
+        store.get(ActiveJobRow.key(job), RequestPriority.USER) { live ->
             if (leadership.isLeader && leadership.term == term && jobApi.loaded && live is ReadResult.Found) {
                 registry.admit(live.value)
                 placeSoon()
--- a/src/main/kotlin/burlridge/app/LeaderStateLoader.kt
+++ b/src/main/kotlin/burlridge/app/LeaderStateLoader.kt
@@ -1,15 +1,19 @@
 package burlridge.app
 
+import burlridge.allocation.ActiveJobRow
 import burlridge.allocation.JobRegistry
 import burlridge.balance.Balance
 import burlridge.core.StepContext
 import burlridge.failover.Failover
 import burlridge.fleet.Fleet
 import burlridge.leadership.Leadership
+import burlridge.store.ListResult
 import burlridge.store.Listing
 import burlridge.store.RequestPriority
 import burlridge.store.Row
 import burlridge.store.StoreClient
+import burlridge.store.WatchEvent
+import burlridge.store.WatchResult
 
 /**
  * What a new leader reads before it acts, and the other members' submissions that it watches from then on. Where a standby replica
@@ -62,12 +66,12 @@
                     Unit
                 }
 
-                listing == null -> {
+                listing !is ListResult.Listed -> {
                     context.schedule(RELOAD_SECONDS) { if (mine(term)) readAll(term, onResult) }
                 }
 
                 else -> {
-                    listings[prefix] = listing
+                    listings[prefix] = listing.value
                     read(prefixes.drop(1), listings, term, onResult)
                 }
             }
@@ -80,7 +84,7 @@
         fromReplica: Boolean,
         onResult: () -> Unit,
     ) {
-        val live = listings.getValue("live/")
+        val live = listings.getValue(ActiveJobRow.KEY_PREFIX)
         live.rows.forEach { registry.admit(it) }
         listings.getValue("prog/").rows.forEach { registry.loadProgress(it) }
         listings.getValue("round/").rows.forEach { registry.allocations.loadBatch(it) }
@@ -96,32 +100,33 @@
     /** Other members' submissions, should their message be lost. */
     private fun follow(term: Long) {
         if (!mine(term)) return
-        store.watch("live/", followAt, FOLLOW_SECONDS) { status, body ->
+        store.watch(ActiveJobRow.KEY_PREFIX, followAt, FOLLOW_SECONDS) { result ->
             if (mine(term)) {
-                when {
-                    status == OK && body != null -> {
-                        body.path("events").forEach { e ->
-                            val key = e.path("set").asText("")
-                            if (key.startsWith("live/")) registry.admit(Row(key, e.path("value"), e.path("stamp").asLong()))
-                        }
-                        followAt = maxOf(followAt, body.path("ledgerRev").asLong())
-                        if (body.path("events").size() > 0) onNews()
-                    }
-
-                    status == GONE -> {
-                        relist(term)
-                    }
+                when (result) {
+                    is WatchResult.Changes -> admitChanges(result)
+                    WatchResult.Compacted -> relist(term)
+                    is WatchResult.Failed -> Unit
                 }
                 context.schedule(FOLLOW_PAUSE_SECONDS) { follow(term) }
             }
         }
     }
 
+    private fun admitChanges(changes: WatchResult.Changes) {
+        changes.events?.forEach { event ->
+            if (event is WatchEvent.Put && event.key.startsWith(ActiveJobRow.KEY_PREFIX)) {
+                registry.admit(Row(event.key, event.value, event.modRevision))
+            }
+        }
+        followAt = maxOf(followAt, changes.revision)
+        if (changes.isNews) onNews()
+    }
+
     private fun relist(term: Long) {
-        store.list("live/", RequestPriority.CLAIM) { live ->
-            if (live != null && mine(term)) {
-                live.rows.forEach { registry.admit(it) }
-                followAt = maxOf(followAt, live.revision)
+        store.list(ActiveJobRow.KEY_PREFIX, RequestPriority.CLAIM) { live ->
+            if (live is ListResult.Listed && mine(term)) {
+                live.value.rows.forEach { registry.admit(it) }
+                followAt = maxOf(followAt, live.value.revision)
             }
         }
     }
@@ -129,10 +134,8 @@
     internal companion object {
         /** The prefixes of all rows that a new leader reads, those of drains and moves where they are switched on. */
         fun prefixes(withBalance: Boolean): List<String> =
-            listOf("live/", "prog/", "round/", "rental/") + if (withBalance) Balance.PREFIXES else emptyList()
+            listOf(ActiveJobRow.KEY_PREFIX, "prog/", "round/", "rental/") + if (withBalance) Balance.PREFIXES else emptyList()
 
-        private const val OK = 200
-        private const val GONE = 410
         private const val RELOAD_SECONDS = 0.5
         private const val FOLLOW_SECONDS = 10.0
         private const val FOLLOW_PAUSE_SECONDS = 0.5
--- a/src/main/kotlin/burlridge/failover/IncomingHandover.kt
+++ b/src/main/kotlin/burlridge/failover/IncomingHandover.kt
@@ -1,10 +1,11 @@
 package burlridge.failover
 
-import burlridge.core.HttpStatus
 import burlridge.core.StepContext
 import burlridge.leadership.Leadership
 import burlridge.leadership.TermRow
 import burlridge.message.HandoverMessage
+import burlridge.store.LeaseGrant
+import burlridge.store.LeaseRenewal
 import burlridge.store.ReadResult
 import burlridge.store.RequestPriority
 import burlridge.store.StoreClient
@@ -75,19 +76,19 @@
     private fun prepare(offer: AcceptedOffer) {
         current = offer
         val sentAt = context.now
-        store.grantLease((leadership.leaseSeconds * MILLIS_PER_SECOND).toLong()) { lease ->
+        store.grantLease((leadership.leaseSeconds * MILLIS_PER_SECOND).toLong()) { grant ->
             when {
                 current !== offer -> {
-                    lease?.let { store.revokeLease(it) }
+                    if (grant is LeaseGrant.Granted) store.revokeLease(grant.leaseId)
                 }
 
-                lease == null -> {
+                grant !is LeaseGrant.Granted -> {
                     current = null
                     port.send(offer.from, HandoverMessage.Decline(offer.attempt, DeclineReason.LeaseNotGranted.text))
                 }
 
                 else -> {
-                    offer.lease = lease
+                    offer.lease = grant.leaseId
                     offer.renewedAt = sentAt
                     offer.nextRenewAt = sentAt + leadership.leaseSeconds / RENEWALS_PER_LEASE
                     offer.nextCheckAt = context.now + leadership.leaseSeconds / CHECKS_PER_LEASE
@@ -116,10 +117,13 @@
     ) {
         val sentAt = context.now
         offer.nextRenewAt = sentAt + leadership.leaseSeconds / RENEWALS_PER_LEASE
-        store.renewLease(lease, leadership.leaseSeconds / RENEWALS_PER_LEASE) { status ->
+        store.renewLease(lease, leadership.leaseSeconds / RENEWALS_PER_LEASE) { renewal ->
             if (current !== offer) return@renewLease
-            if (status == HttpStatus.OK) offer.renewedAt = sentAt
-            if (status == HttpStatus.NOT_FOUND) current = null
+            when (renewal) {
+                LeaseRenewal.RENEWED -> offer.renewedAt = sentAt
+                LeaseRenewal.EXPIRED -> current = null
+                LeaseRenewal.UNKNOWN -> Unit
+            }
         }
     }
 
--- a/src/main/kotlin/burlridge/failover/ReplicaCatchUp.kt
+++ b/src/main/kotlin/burlridge/failover/ReplicaCatchUp.kt
@@ -4,6 +4,7 @@
 import burlridge.store.Listing
 import burlridge.store.RequestPriority
 import burlridge.store.StoreClient
+import burlridge.store.WatchResult
 
 /** Whether a standby replica could be brought up to the fencing token of a new leader. */
 internal sealed interface CatchUpResult {
@@ -33,11 +34,12 @@
     ) {
         if (index == tables.size) return onResult(listings())
         val table = tables[index]
-        store.watch(table.prefix, table.revision, 0.0, RequestPriority.LEADERSHIP) { status, body ->
+        store.watch(table.prefix, table.revision, 0.0, RequestPriority.LEADERSHIP) { result ->
             val fault =
-                when {
-                    status != HttpStatus.OK || body == null -> ReplicaFault.CatchUpFailed(table.prefix, status)
-                    else -> (table.apply(body) as? Applied.Inconsistent)?.fault ?: verify(table)
+                when (result) {
+                    is WatchResult.Changes -> (table.apply(result) as? Applied.Inconsistent)?.fault ?: verify(table)
+                    WatchResult.Compacted -> ReplicaFault.CatchUpFailed(table.prefix, HttpStatus.GONE)
+                    is WatchResult.Failed -> ReplicaFault.CatchUpFailed(table.prefix, result.status)
                 }
             if (fault == null) catchUp(index + 1, onResult) else onResult(CatchUpResult.Failed(fault))
         }
--- a/src/main/kotlin/burlridge/failover/ReplicaTable.kt
+++ b/src/main/kotlin/burlridge/failover/ReplicaTable.kt
@@ -3,7 +3,8 @@
 import burlridge.json.Json
 import burlridge.store.Listing
 import burlridge.store.Row
-import com.fasterxml.jackson.databind.JsonNode
+import burlridge.store.WatchEvent
+import burlridge.store.WatchResult
 import kotlinx.collections.immutable.PersistentMap
 import kotlinx.collections.immutable.persistentHashMapOf
 
@@ -62,42 +63,38 @@
     }
 
     /** Applies the answer to a watch from [revision]; a batch that contradicts itself or this table changes nothing. */
-    fun apply(answer: JsonNode): Applied {
-        val batchRevision = answer.path("ledgerRev").asLong(-1)
-        val changes = answer.path("events")
-        val fault = check(changes, batchRevision)
+    fun apply(changes: WatchResult.Changes): Applied {
+        val fault = check(changes)
         if (fault != null) return Applied.Inconsistent(fault)
-        if (!changes.isEmpty) {
+        val events = changes.events.orEmpty()
+        if (events.isNotEmpty()) {
             val changed = rows.builder()
-            changes.forEach { change ->
-                val key = keyOf(change)
-                changed.remove(key)?.let { updateTotals(key, it, -1) }
-                if (change.has("set")) {
-                    val row = ReplicaRow(change.path("stamp").asLong(), Json.write(change.path("value")))
-                    changed[key] = row
-                    updateTotals(key, row, 1)
+            events.forEach { event ->
+                changed.remove(event.key)?.let { updateTotals(event.key, it, -1) }
+                if (event is WatchEvent.Put) {
+                    val row = ReplicaRow(event.modRevision, Json.write(event.value))
+                    changed[event.key] = row
+                    updateTotals(event.key, row, 1)
                 }
             }
             rows = changed.build()
         }
-        revision = batchRevision
+        revision = changes.revision
         return Applied.Complete
     }
 
     /** Null where all changes may be applied. */
-    private fun check(
-        changes: JsonNode,
-        batchRevision: Long,
-    ): BatchFault? {
+    private fun check(changes: WatchResult.Changes): BatchFault? {
+        val batchRevision = changes.revision
         if (batchRevision < revision) return BatchFault.RevisionWentBack(batchRevision, revision)
-        if (!changes.isArray) return BatchFault.NoChanges
+        val events = changes.events ?: return BatchFault.NoChanges
         var previous = revision
-        for (change in changes) {
-            val modRevision = change.path("stamp").asLong(-1)
-            val key = keyOf(change)
+        for (event in events) {
+            val modRevision = event.modRevision
+            val key = event.key
             when {
                 !key.startsWith(prefix) -> return BatchFault.KeyOutsidePrefix(key, prefix)
-                change.has("set") && !change.has("value") -> return BatchFault.MissingValue(key)
+                event is WatchEvent.Put && event.value.isMissingNode -> return BatchFault.MissingValue(key)
                 modRevision <= revision -> return BatchFault.ChangeTooOld(key, modRevision, revision)
                 modRevision < previous -> return BatchFault.ChangeOutOfOrder(key, modRevision, previous)
                 modRevision > batchRevision -> return BatchFault.ChangeTooNew(key, modRevision, batchRevision)
@@ -107,8 +104,6 @@
         return null
     }
 
-    private fun keyOf(change: JsonNode): String = change.path("set").asText(change.path("remove").asText(""))
-
     /** Adds a row to [size] and [digest], or with a [sign] of -1 takes it away. */
     private fun updateTotals(
         key: String,
--- a/src/main/kotlin/burlridge/failover/StandbyReplica.kt
+++ b/src/main/kotlin/burlridge/failover/StandbyReplica.kt
@@ -1,11 +1,12 @@
 package burlridge.failover
 
-import burlridge.core.HttpStatus
 import burlridge.core.StepContext
 import burlridge.message.FailoverStatus
+import burlridge.store.ListResult
 import burlridge.store.Listing
 import burlridge.store.RequestPriority
 import burlridge.store.StoreClient
+import burlridge.store.WatchResult
 
 /** How far a standby replica is; [label] stands in the report. */
 internal enum class ReplicaState(
@@ -126,12 +127,12 @@
         store.list(table.prefix, RequestPriority.CLEANUP) { listing ->
             if (generation != requestGeneration) return@list
             isRequestOpen = false
-            if (listing == null) {
-                nextTickAt = context.now + refreshSeconds
-            } else {
-                table.load(listing)
-                context.count("failover.replica.loaded", listing.rows.size)
+            if (listing is ListResult.Listed) {
+                table.load(listing.value)
+                context.count("failover.replica.loaded", listing.value.rows.size)
                 onTableLoaded()
+            } else {
+                nextTickAt = context.now + refreshSeconds
             }
         }
     }
@@ -178,13 +179,13 @@
     ) {
         val requestGeneration = generation
         isRequestOpen = true
-        store.watch(table.prefix, table.revision, 0.0) { status, body ->
+        store.watch(table.prefix, table.revision, 0.0) { result ->
             if (generation != requestGeneration) return@watch
             isRequestOpen = false
-            when {
-                status == HttpStatus.OK && body != null -> {
+            when (result) {
+                is WatchResult.Changes -> {
                     failures = 0
-                    val applied = table.apply(body)
+                    val applied = table.apply(result)
                     if (applied is Applied.Inconsistent) {
                         discard(ReplicaFault.InconsistentChanges(table.prefix, applied.fault))
                     } else if (!discardIfTooLarge()) {
@@ -192,13 +193,13 @@
                     }
                 }
 
-                status == HttpStatus.GONE -> {
+                WatchResult.Compacted -> {
                     discard(ReplicaFault.ChangesCompacted(table.prefix, table.revision))
                 }
 
-                // An answer may also be too long to read; a full read has pages.
-                ++failures >= FAILURES_TO_DISCARD && store.isServing -> {
-                    discard(ReplicaFault.ChangesUnavailable(table.prefix))
+                is WatchResult.Failed -> {
+                    // An answer may also be too long to read; a full read has pages.
+                    if (++failures >= FAILURES_TO_DISCARD && store.isServing) discard(ReplicaFault.ChangesUnavailable(table.prefix))
                 }
             }
         }
@@ -211,10 +212,11 @@
         store.listPage(table.prefix, from, AUDIT_ROWS, RequestPriority.CLEANUP) { page ->
             if (generation != requestGeneration) return@listPage
             isRequestOpen = false
-            if (page == null) return@listPage
-            auditFrom = if (page.truncated) page.rows.last().key else ""
+            if (page !is ListResult.Listed) return@listPage
+            val (rows, truncated, revision) = page.value
+            auditFrom = if (truncated) rows.last().key else ""
             context.count("failover.replica.audits")
-            val shown = AuditPage(from, page.rows, page.truncated, page.revision)
+            val shown = AuditPage(from, rows, truncated, revision)
             // The replica is brought up to the page's revision first: a change that has not arrived yet is no difference.
             follow(table) {
                 ReplicaAudit.difference(table, shown)?.let { discard(ReplicaFault.AuditFailed(table.prefix, it)) }
--- a/src/main/kotlin/burlridge/leadership/ElectionCampaign.kt
+++ b/src/main/kotlin/burlridge/leadership/ElectionCampaign.kt
@@ -1,6 +1,7 @@
 package burlridge.leadership
 
 import burlridge.core.StepContext
+import burlridge.store.LeaseGrant
 import burlridge.store.ReadResult
 import burlridge.store.RequestPriority
 import burlridge.store.Row
@@ -127,13 +128,13 @@
         cause: ElectionCause,
     ) {
         val sentAt = context.now
-        store.grantLease((lease.ttlSeconds * MILLIS_PER_SECOND).toLong()) { leaseId ->
-            if (leaseId == null) {
+        store.grantLease((lease.ttlSeconds * MILLIS_PER_SECOND).toLong()) { grant ->
+            if (grant !is LeaseGrant.Granted) {
                 isCampaigning = false
                 return@grantLease
             }
             val history = if (lastTerm == null) emptyMap() else formerLeaders.after(lastTerm)
-            claim(revisions, Candidacy((lastTerm?.term ?: 0L) + 1, leaseId, sentAt, history, cause))
+            claim(revisions, Candidacy((lastTerm?.term ?: 0L) + 1, grant.leaseId, sentAt, history, cause))
         }
     }
 
--- a/src/main/kotlin/burlridge/leadership/GangFeatureGate.kt
+++ b/src/main/kotlin/burlridge/leadership/GangFeatureGate.kt
@@ -4,6 +4,7 @@
 import burlridge.json.Json
 import burlridge.store.Change
 import burlridge.store.Condition
+import burlridge.store.ListResult
 import burlridge.store.RequestPriority
 import burlridge.store.StoreClient
 import burlridge.store.Transaction
@@ -69,9 +70,9 @@
         nextReadAt = context.now + context.settings.workers.reportSeconds
         store.list(MemberVersionRow.PREFIX, priority) { listing ->
             isReading = false
-            if (listing == null) return@list onResult(GangSupport.UNKNOWN)
+            if (listing !is ListResult.Listed) return@list onResult(GangSupport.UNKNOWN)
             val supporting =
-                listing.rows
+                listing.value.rows
                     .filter { MemberVersionRow.decode(it.value).version >= MIN_GANG_VERSION }
                     .map { it.key.removePrefix(MemberVersionRow.PREFIX) }
             if (context.settings.member !in supporting) writeOwnVersion()
--- a/src/main/kotlin/burlridge/leadership/LeaderLease.kt
+++ b/src/main/kotlin/burlridge/leadership/LeaderLease.kt
@@ -1,7 +1,7 @@
 package burlridge.leadership
 
-import burlridge.core.HttpStatus
 import burlridge.core.StepContext
+import burlridge.store.LeaseRenewal
 import burlridge.store.StoreClient
 
 /**
@@ -97,20 +97,20 @@
     private fun renew(id: Long) {
         isRenewing = true
         val sentAt = context.now
-        store.renewLease(id, ttlSeconds / RENEWAL_TIMEOUT_FRACTION) { status ->
+        store.renewLease(id, ttlSeconds / RENEWAL_TIMEOUT_FRACTION) { renewal ->
             isRenewing = false
             if (leaseId != id) return@renewLease
-            when (status) {
-                HttpStatus.OK -> {
+            when (renewal) {
+                LeaseRenewal.RENEWED -> {
                     renewedAt = sentAt
                     nextRenewAt = sentAt + ttlSeconds / RENEWALS_PER_TTL
                 }
 
-                HttpStatus.NOT_FOUND -> {
+                LeaseRenewal.EXPIRED -> {
                     onExpired()
                 }
 
-                else -> {
+                LeaseRenewal.UNKNOWN -> {
                     nextRenewAt = context.now + ttlSeconds / RETRIES_PER_TTL
                 }
             }
--- a/src/main/kotlin/burlridge/leadership/LeaderRowWatch.kt
+++ b/src/main/kotlin/burlridge/leadership/LeaderRowWatch.kt
@@ -1,8 +1,8 @@
 package burlridge.leadership
 
-import burlridge.core.HttpStatus
 import burlridge.core.StepContext
 import burlridge.store.StoreClient
+import burlridge.store.WatchResult
 
 /**
  * Notices that the leader row has changed before the next poll would: a leader that is gone is followed sooner, and during an upgrade by a
@@ -23,11 +23,10 @@
     ) {
         if (watchedRevision == modRevision) return
         watchedRevision = modRevision
-        store.watch(LeaderRow.KEY, modRevision, timeoutSeconds) { status, body ->
+        store.watch(LeaderRow.KEY, modRevision, timeoutSeconds) { result ->
             if (watchedRevision != modRevision) return@watch
             watchedRevision = 0
-            val hasChanged = status == HttpStatus.OK && body != null && body.path("events").size() > 0
-            if (hasChanged) onChanged()
+            if (result is WatchResult.Changes && result.isNews) onChanged()
         }
     }
 }
--- a/src/main/kotlin/burlridge/store/StoreClient.kt
+++ b/src/main/kotlin/burlridge/store/StoreClient.kt
@@ -1,6 +1,7 @@
 package burlridge.store
 
 import burlridge.core.CallOutcome
+import burlridge.core.HttpStatus
 import burlridge.core.StepContext
 import burlridge.json.Json
 import com.fasterxml.jackson.databind.JsonNode
@@ -60,7 +61,7 @@
     fun list(
         prefix: String,
         priority: RequestPriority,
-        onResult: (Listing?) -> Unit,
+        onResult: (ListResult<Listing>) -> Unit,
     ) {
         pages(prefix, "", priority, ArrayList(), 0L, onResult)
     }
@@ -71,33 +72,38 @@
         priority: RequestPriority,
         rows: ArrayList<Row>,
         firstRevision: Long,
-        onResult: (Listing?) -> Unit,
+        onResult: (ListResult<Listing>) -> Unit,
     ) {
         listPage(prefix, from, PAGE, priority) { page ->
-            if (page == null) return@listPage onResult(null)
-            rows += page.rows
-            val revision = if (from.isEmpty()) page.revision else firstRevision
-            if (page.truncated) pages(prefix, rows.last().key, priority, rows, revision, onResult) else onResult(Listing(rows, revision))
+            if (page !is ListResult.Listed) return@listPage onResult(ListResult.Failed)
+            rows += page.value.rows
+            val revision = if (from.isEmpty()) page.value.revision else firstRevision
+            if (page.value.truncated) {
+                pages(prefix, rows.last().key, priority, rows, revision, onResult)
+            } else {
+                onResult(ListResult.Listed(Listing(rows, revision)))
+            }
         }
     }
 
-    /** One page of the rows under [prefix], those after the key [from]; null where it cannot be read. */
+    /** One page of the rows under [prefix], those after the key [from]. */
     fun listPage(
         prefix: String,
         from: String,
         limit: Int,
         priority: RequestPriority,
-        onResult: (ListPage?) -> Unit,
+        onResult: (ListResult<ListPage>) -> Unit,
     ) {
-        enqueue(priority, 0, READ_PATIENCE_SECONDS, { onResult(null) }) {
+        enqueue(priority, 0, READ_PATIENCE_SECONDS, { onResult(ListResult.Failed) }) {
             val after = if (from.isEmpty()) "" else "&from=$from"
             call("GET", "/store?starts=$prefix$after&limit=$limit", null, CALL_TIMEOUT_SECONDS) { status, body ->
                 val pairs = body?.get("pairs")
                 if (status != 200 || pairs == null || !pairs.isArray) {
-                    onResult(null)
+                    onResult(ListResult.Failed)
                 } else {
                     val rows = pairs.map { Row(it.path("key").asText(), it.path("value"), it.path("stamp").asLong()) }
-                    onResult(ListPage(rows, body.path("truncated").asBoolean() && rows.isNotEmpty(), body.path("ledgerRev").asLong()))
+                    val truncated = body.path("truncated").asBoolean() && rows.isNotEmpty()
+                    onResult(ListResult.Listed(ListPage(rows, truncated, body.path("ledgerRev").asLong())))
                 }
             }
         }
@@ -262,22 +268,30 @@
 
     fun grantLease(
         ttlMillis: Long,
-        onResult: (Long?) -> Unit,
+        onResult: (LeaseGrant) -> Unit,
     ) {
-        enqueue(RequestPriority.LEADERSHIP, 0, READ_PATIENCE_SECONDS, { onResult(null) }) {
+        enqueue(RequestPriority.LEADERSHIP, 0, READ_PATIENCE_SECONDS, { onResult(LeaseGrant.Failed) }) {
             call("POST", "/leases", "{\"ttlMs\":$ttlMillis}", CALL_TIMEOUT_SECONDS) { status, body ->
-                onResult(if (status == 200) body?.path("tether")?.takeIf { it.isNumber }?.asLong() else null)
+                val leaseId = body?.path("tether")?.takeIf { status == HttpStatus.OK && it.isNumber }?.asLong()
+                onResult(if (leaseId == null) LeaseGrant.Failed else LeaseGrant.Granted(leaseId))
             }
         }
     }
 
-    /** Calls back with 200, 404 or null where nothing is known. */
     fun renewLease(
         leaseId: Long,
         timeoutSeconds: Double,
-        onResult: (Int?) -> Unit,
+        onResult: (LeaseRenewal) -> Unit,
     ) {
-        call("POST", "/leases/$leaseId/renew", "", timeoutSeconds) { status, _ -> onResult(status.takeIf { it == 200 || it == 404 }) }
+        call("POST", "/leases/$leaseId/renew", "", timeoutSeconds) { status, _ ->
+            onResult(
+                when (status) {
+                    HttpStatus.OK -> LeaseRenewal.RENEWED
+                    HttpStatus.NOT_FOUND -> LeaseRenewal.EXPIRED
+                    else -> LeaseRenewal.UNKNOWN
+                },
+            )
+        }
     }
 
     fun revokeLease(leaseId: Long) {
@@ -289,11 +303,13 @@
         from: Long,
         blockSeconds: Double,
         priority: RequestPriority = RequestPriority.CLAIM,
-        onResult: (Int, JsonNode?) -> Unit,
+        onResult: (WatchResult) -> Unit,
     ) {
-        enqueue(priority, 0, READ_PATIENCE_SECONDS, { onResult(0, null) }) {
+        enqueue(priority, 0, READ_PATIENCE_SECONDS, { onResult(WatchResult.Failed(WatchResult.NO_STATUS)) }) {
             val path = "/follow?starts=$prefix&from=$from&blockMs=${(blockSeconds * 1000).toLong()}"
-            call("GET", path, null, blockSeconds + CALL_TIMEOUT_SECONDS, onResult)
+            call("GET", path, null, blockSeconds + CALL_TIMEOUT_SECONDS) { status, body ->
+                onResult(StoreCodec.decodeWatch(status, body))
+            }
         }
     }
 
--- a/src/main/kotlin/burlridge/store/StoreMessages.kt
+++ b/src/main/kotlin/burlridge/store/StoreMessages.kt
@@ -65,6 +65,16 @@
     data object Failed : ReadResult<Nothing>
 }
 
+/** How the listing of the rows under a prefix ended. */
+internal sealed interface ListResult<out T> {
+    data class Listed<T>(
+        val value: T,
+    ) : ListResult<T>
+
+    /** The rows, or some of them, could not be read. */
+    data object Failed : ListResult<Nothing>
+}
+
 internal data class Listing(
     val rows: List<Row>,
     val revision: Long,
--- a/src/test/kotlin/burlridge/failover/StandbyReplicaTest.kt
+++ b/src/test/kotlin/burlridge/failover/StandbyReplicaTest.kt
@@ -1,8 +1,11 @@
 package burlridge.failover
 
+import burlridge.core.HttpStatus
 import burlridge.json.Json
 import burlridge.store.Listing
 import burlridge.store.Row
+import burlridge.store.StoreCodec
+import burlridge.store.WatchResult
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Assertions.assertNotEquals
 import org.junit.jupiter.api.Assertions.assertNull
@@ -19,7 +22,7 @@
         value: String = "{\"n\":$modRevision}",
     ) = Row(key, Json.parse(value), modRevision)
 
-    private fun apply(text: String): Applied = table.apply(Json.parse(text))
+    private fun apply(text: String): Applied = table.apply(StoreCodec.decodeWatch(HttpStatus.OK, Json.parse(text)) as WatchResult.Changes)
 
     @Test
     fun `changes are applied in order, and a snapshot shows none that come later`() {
