--- a/src/main/kotlin/burlridge/admin/AdminRequests.kt
+++ b/src/main/kotlin/burlridge/admin/AdminRequests.kt
@@ -2,30 +2,32 @@
 
 import burlridge.balance.MachineRequests
 import burlridge.core.HttpResponse
+import burlridge.core.HttpStatus
 import burlridge.failover.MemberRequests
 
-/** The operators' requests, on each member's own address; a part that is switched off knows no path. */
+/** Routes the operators' requests, which each member serves on its own address. */
 internal class AdminRequests(
+    /** Null where failover is switched off: then its paths are not found. */
     private val members: MemberRequests?,
+    /** Null where balance is switched off. */
     private val machines: MachineRequests?,
 ) {
     fun handle(
         method: String,
         path: String,
         body: String,
-        /** Whether another member took the request and passed it on. */
-        passedOn: Boolean,
-        onResult: (HttpResponse) -> Unit,
+        /** Whether another member received the request and forwarded it. */
+        isForwarded: Boolean,
+        respond: (HttpResponse) -> Unit,
     ) {
         when {
-            members != null && MemberRequests.serves(path) -> members.handle(method, path, onResult)
-            machines != null && MachineRequests.serves(path) -> machines.handle(method, path, body, passedOn, onResult)
-            else -> onResult(HttpResponse.error(NOT_FOUND, "no such path"))
+            members != null && MemberRequests.serves(path) -> members.handle(method, path, respond)
+            machines != null && MachineRequests.serves(path) -> machines.handle(method, path, body, isForwarded, respond)
+            else -> respond(HttpResponse.error(HttpStatus.NOT_FOUND, "no such path"))
         }
     }
 
     internal companion object {
         const val PREFIX: String = "/admin/"
-        private const val NOT_FOUND = 404
     }
 }
--- a/src/main/kotlin/burlridge/app/FailoverReportFormatter.kt
+++ b/src/main/kotlin/burlridge/app/FailoverReportFormatter.kt
@@ -3,41 +3,48 @@
 import com.fasterxml.jackson.databind.JsonNode
 import java.time.Instant
 
-/** A controller's failover report as lines of text. */
+/**
+ * A controller's failover report as lines of text for `burlridge status`. It reads the JSON leniently instead of decoding it to a report: the
+ * controller may be of another version than the command line, and a field that is missing is shown as empty.
+ */
 internal object FailoverReportFormatter {
     fun describe(report: JsonNode): String =
         buildString {
-            val draining = if (report.path("draining").asBoolean()) ", draining" else ""
-            val doubts = if (report.path("doubts_itself").asBoolean()) ", doubts its own view after a pause" else ""
-            appendLine("${report.text("member")}: ${report.text("role")}$draining$doubts")
+            val isRecovering = report.path("doubts_itself").asBoolean()
+            val recovering = if (isRecovering) ", doubts its own view after a pause" else ""
+            appendLine("${report.text("member")}: ${report.text("role")}${draining(report)}$recovering")
             appendLine("  leader ${report.path("leader").asText("unknown")}, term ${report.text("term")}")
-            report.path("members").forEach { appendLine("  ${member(it)}") }
-            appendLine("  ${replica(report.path("replica"))}")
+            report.path("members").forEach { appendLine("  ${describeMember(it)}") }
+            appendLine("  ${describeReplica(report.path("replica"))}")
             appendLine("  handover given: ${report.text("outgoing_handover")}; taken: ${report.text("incoming_handover")}")
             appendLine("  false suspicions ${report.text("false_suspicions")}, own pauses ${report.text("own_pauses")}")
-            report.path("leader_changes").forEach { change ->
-                appendLine(
-                    "  ${Instant.ofEpochMilli(change.path("at_ms").asLong())} term ${change.text("term")}: " +
-                        "${change.text("leader")} leads: ${change.text("cause")}",
-                )
-            }
+            report.path("leader_changes").forEach { appendLine("  ${describeChange(it)}") }
         }.trimEnd()
 
-    private fun member(view: JsonNode): String {
-        val silent = if (view.has("silent_s")) "%.1f s ago".format(view.path("silent_s").asDouble()) else "never heard"
-        val draining = if (view.path("draining").asBoolean()) ", draining" else ""
-        val slow = if (view.path("slow").asBoolean()) ", slow" else ""
-        val revision = view.path("replica_revision").asLong()
+    private fun describeMember(member: JsonNode): String {
+        val silent = if (member.has("silent_s")) "%.1f s ago".format(member.path("silent_s").asDouble()) else "never heard"
+        val slow = if (member.path("slow").asBoolean()) ", slow" else ""
+        val revision = member.path("replica_revision").asLong()
         val replica = if (revision >= 0) ", replica at $revision" else ""
-        return "${view.text("member")} ${view.text("state")} ($silent, level %.1f, ${view.text("reason")})$draining$slow$replica"
-            .format(view.path("level").asDouble())
+        return "${member.text(
+            "member",
+        )} ${member.text("state")} ($silent, level %.1f, ${member.text("reason")})${draining(member)}$slow$replica"
+            .format(member.path("level").asDouble())
     }
 
-    private fun replica(replica: JsonNode): String {
+    private fun describeReplica(replica: JsonNode): String {
         val lag = if (replica.has("lag_s")) ", refreshed %.1f s ago".format(replica.path("lag_s").asDouble()) else ""
         val discard = replica.text("last_discard").let { if (it.isEmpty()) "" else "; last thrown away: $it" }
         return "standby replica ${replica.text("state")}: ${replica.text("rows")} rows, ${replica.text("bytes")} bytes$lag$discard"
     }
 
+    private fun describeChange(change: JsonNode): String {
+        val at = Instant.ofEpochMilli(change.path("at_ms").asLong())
+        return "$at term ${change.text("term")}: ${change.text("leader")} leads: ${change.text("cause")}"
+    }
+
+    /** Of this member or of another one. */
+    private fun draining(report: JsonNode): String = if (report.path("draining").asBoolean()) ", draining" else ""
+
     private fun JsonNode.text(name: String): String = path(name).asText("")
 }
--- a/src/main/kotlin/burlridge/app/LeaderChangeTracer.kt
+++ b/src/main/kotlin/burlridge/app/LeaderChangeTracer.kt
@@ -3,25 +3,19 @@
 import burlridge.core.Effect
 import burlridge.failover.LeaderChangeEvent
 import burlridge.failover.Liveness
-import burlridge.json.Json
 import io.opentelemetry.api.common.AttributeKey
 import io.opentelemetry.api.common.Attributes
 import io.opentelemetry.api.trace.Span
 import io.opentelemetry.context.Context
-import io.opentelemetry.sdk.common.CompletableResultCode
 import io.opentelemetry.sdk.trace.SdkTracerProvider
-import io.opentelemetry.sdk.trace.data.SpanData
 import io.opentelemetry.sdk.trace.export.SimpleSpanProcessor
-import io.opentelemetry.sdk.trace.export.SpanExporter
-import org.slf4j.LoggerFactory
 import java.io.File
-import java.io.IOException
 import java.util.concurrent.TimeUnit
 
 /**
  * Traces of leader changes, through OpenTelemetry, appended to a local file. A change is one trace: its root span `leader change` begins
- * with the first sign of it, a suspicion, a handover or the election itself, and ends when all workers have been answered; `read rows`
- * and `first start` are its children. A handover given by this member is a trace of its own.
+ * with the first sign of it, a suspicion or the election itself, and ends when all workers have been answered; `read rows` and
+ * `first start` are its children. A handover offered by this member is a trace of its own.
  */
 internal class LeaderChangeTracer(
     file: File,
@@ -30,107 +24,110 @@
     private val provider =
         SdkTracerProvider
             .builder()
-            .addSpanProcessor(SimpleSpanProcessor.create(SpanFile(file)))
+            .addSpanProcessor(SimpleSpanProcessor.create(SpanFileExporter(file)))
             .build()
     private val tracer = provider.get("burlridge.failover")
-    private var change: Span? = null
+
+    /** The spans that are open; null where there is none of the kind. */
+    private var leaderChange: Span? = null
     private var readRows: Span? = null
     private var firstStart: Span? = null
     private var handover: Span? = null
 
+    /** Takes the events of this package's traces; others are ignored. */
     fun record(trace: Effect.Trace) {
-        val at = trace.wallMillis
+        val wallMillis = trace.wallMillis
         when (val event = trace.event) {
-            is LeaderChangeEvent.LivenessChanged -> livenessChanged(event, at)
-            is LeaderChangeEvent.HandoverBegan -> handoverBegan(event, at)
-            is LeaderChangeEvent.HandoverEnded -> handoverEnded(event, at)
-            is LeaderChangeEvent.Elected -> elected(event, at)
-            is LeaderChangeEvent.RowsRead -> rowsRead(event, at)
-            is LeaderChangeEvent.FirstStart -> firstStart = firstStart?.end(at)
-            is LeaderChangeEvent.AllWorkersAnswered -> allAnswered(event, at)
-            is LeaderChangeEvent.Deposed -> deposed(event, at)
+            is LeaderChangeEvent.LivenessChanged -> onLivenessChanged(event, wallMillis)
+            is LeaderChangeEvent.HandoverBegan -> onHandoverBegan(event, wallMillis)
+            is LeaderChangeEvent.HandoverEnded -> onHandoverEnded(event, wallMillis)
+            is LeaderChangeEvent.Elected -> onElected(event, wallMillis)
+            is LeaderChangeEvent.RowsRead -> onRowsRead(event, wallMillis)
+            is LeaderChangeEvent.FirstStart -> firstStart = firstStart?.end(wallMillis)
+            is LeaderChangeEvent.AllWorkersAnswered -> onAllWorkersAnswered(event, wallMillis)
+            is LeaderChangeEvent.Deposed -> onDeposed(event, wallMillis)
             else -> Unit
         }
     }
 
-    private fun livenessChanged(
+    private fun onLivenessChanged(
         event: LeaderChangeEvent.LivenessChanged,
-        at: Long,
+        wallMillis: Long,
     ) {
-        val changed = event.change
-        val attributes = Attributes.of(MEMBER, changed.member, REASON, changed.reason)
-        if (changed.current == Liveness.SUSPECTED && change == null) change = span("leader change", at, null)
-        change?.addEvent(changed.current.label, attributes, at, TimeUnit.MILLISECONDS)
-        // Heard again, and nobody was elected here: a false alarm, or another member's business.
-        if (changed.current != Liveness.SUSPECTED && readRows == null) change = change?.end(at)
+        val change = event.change
+        val attributes = Attributes.of(MEMBER, change.member, REASON, change.reason)
+        if (change.current == Liveness.SUSPECTED && leaderChange == null) leaderChange = startSpan("leader change", wallMillis, null)
+        leaderChange?.addEvent(change.current.label, attributes, wallMillis, TimeUnit.MILLISECONDS)
+        // Alive again or failed, and nobody was elected here: a false suspicion, or another member takes over.
+        if (change.current != Liveness.SUSPECTED && readRows == null) leaderChange = leaderChange?.end(wallMillis)
     }
 
-    private fun handoverBegan(
+    private fun onHandoverBegan(
         event: LeaderChangeEvent.HandoverBegan,
-        at: Long,
+        wallMillis: Long,
     ) {
-        handover?.end(at)
-        handover = span("handover", at, null).setAttribute(MEMBER, event.successor).setAttribute(REASON, event.reason)
+        handover?.end(wallMillis)
+        handover = startSpan("handover", wallMillis, null).setAttribute(MEMBER, event.successor).setAttribute(REASON, event.reason)
     }
 
-    private fun handoverEnded(
+    private fun onHandoverEnded(
         event: LeaderChangeEvent.HandoverEnded,
-        at: Long,
+        wallMillis: Long,
     ) {
         handover?.setAttribute(MEMBER, event.successor)?.setAttribute(OUTCOME, event.outcome)
-        handover = handover?.end(at)
+        handover = handover?.end(wallMillis)
     }
 
-    private fun elected(
+    private fun onElected(
         event: LeaderChangeEvent.Elected,
-        at: Long,
+        wallMillis: Long,
     ) {
-        val root = change ?: span("leader change", at, null)
+        val root = leaderChange ?: startSpan("leader change", wallMillis, null)
         root.setAttribute(TERM, event.term).setAttribute(REASON, event.cause)
-        change = root
-        readRows = span("read rows", at, root)
-        firstStart = span("first start", at, root)
+        leaderChange = root
+        readRows = startSpan("read rows", wallMillis, root)
+        firstStart = startSpan("first start", wallMillis, root)
     }
 
-    private fun rowsRead(
+    private fun onRowsRead(
         event: LeaderChangeEvent.RowsRead,
-        at: Long,
+        wallMillis: Long,
     ) {
         readRows?.setAttribute(ROWS, event.rows.toLong())?.setAttribute(FROM_REPLICA, event.fromReplica)
-        readRows = readRows?.end(at)
+        readRows = readRows?.end(wallMillis)
     }
 
-    private fun allAnswered(
+    private fun onAllWorkersAnswered(
         event: LeaderChangeEvent.AllWorkersAnswered,
-        at: Long,
+        wallMillis: Long,
     ) {
-        change?.setAttribute(MACHINES, event.machines.toLong())
-        change = change?.end(at)
+        leaderChange?.setAttribute(MACHINES, event.machines.toLong())
+        leaderChange = leaderChange?.end(wallMillis)
     }
 
-    private fun deposed(
+    private fun onDeposed(
         event: LeaderChangeEvent.Deposed,
-        at: Long,
+        wallMillis: Long,
     ) {
-        change?.setAttribute(OUTCOME, "deposed: ${event.cause}")
-        readRows = readRows?.end(at)
-        firstStart = firstStart?.end(at)
-        change = change?.end(at)
+        leaderChange?.setAttribute(OUTCOME, "deposed: ${event.cause}")
+        readRows = readRows?.end(wallMillis)
+        firstStart = firstStart?.end(wallMillis)
+        leaderChange = leaderChange?.end(wallMillis)
     }
 
-    private fun span(
+    private fun startSpan(
         name: String,
-        at: Long,
+        wallMillis: Long,
         parent: Span?,
     ): Span {
-        val builder = tracer.spanBuilder(name).setStartTimestamp(at, TimeUnit.MILLISECONDS).setAttribute(OWN_NAME, member)
+        val builder = tracer.spanBuilder(name).setStartTimestamp(wallMillis, TimeUnit.MILLISECONDS).setAttribute(OWN_NAME, member)
         if (parent == null) builder.setNoParent() else builder.setParent(Context.root().with(parent))
         return builder.startSpan()
     }
 
     /** Ends the span; null, for the variable that held it. */
-    private fun Span.end(at: Long): Span? {
-        end(at, TimeUnit.MILLISECONDS)
+    private fun Span.end(wallMillis: Long): Span? {
+        end(wallMillis, TimeUnit.MILLISECONDS)
         return null
     }
 
@@ -145,47 +142,3 @@
         val FROM_REPLICA: AttributeKey<Boolean> = AttributeKey.booleanKey("burlridge.from_replica")
     }
 }
-
-/** Appends each finished span to [file] as one line of JSON. A disk that is full or read-only costs traces and one log line, no more. */
-internal class SpanFile(
-    private val file: File,
-) : SpanExporter {
-    private val log = LoggerFactory.getLogger("burlridge")
-    private var failed = false
-
-    override fun export(spans: Collection<SpanData>): CompletableResultCode =
-        try {
-            file.appendText(spans.joinToString("") { Json.write(encode(it)) + "\n" })
-            failed = false
-            CompletableResultCode.ofSuccess()
-        } catch (e: IOException) {
-            if (!failed) log.error("traces cannot be written to {}: {}", file, e.message)
-            failed = true
-            CompletableResultCode.ofFailure()
-        }
-
-    private fun encode(span: SpanData) =
-        Json.obj {
-            put("trace", span.traceId)
-            put("span", span.spanId)
-            if (span.parentSpanContext.isValid) put("parent", span.parentSpanId)
-            put("name", span.name)
-            put("start_ms", span.startEpochNanos / NANOS_PER_MILLI)
-            put("ms", (span.endEpochNanos - span.startEpochNanos) / NANOS_PER_MILLI)
-            val attributes = putObject("attributes")
-            span.attributes.forEach { key, value -> attributes.put(key.key, value.toString()) }
-            val events = putArray("events")
-            span.events.forEach { event ->
-                val entry = events.addObject().put("at_ms", event.epochNanos / NANOS_PER_MILLI).put("name", event.name)
-                event.attributes.forEach { key, value -> entry.put(key.key, value.toString()) }
-            }
-        }
-
-    override fun flush(): CompletableResultCode = CompletableResultCode.ofSuccess()
-
-    override fun shutdown(): CompletableResultCode = CompletableResultCode.ofSuccess()
-
-    private companion object {
-        const val NANOS_PER_MILLI = 1_000_000L
-    }
-}
--- a/src/main/kotlin/burlridge/app/OrderlyShutdown.kt
+++ b/src/main/kotlin/burlridge/app/OrderlyShutdown.kt
@@ -4,16 +4,16 @@
 import java.util.concurrent.TimeUnit
 
 /**
- * Holds up the end of a process that is asked to stop (SIGTERM) until its leadership has been handed over, at most [patienceSeconds]. The
- * signal arrives on a thread of its own; the event loop looks at [requested] at its next tick.
+ * Delays the end of a process that is asked to stop (SIGTERM) until its leadership has been handed over, at most by [timeoutSeconds]. The
+ * signal runs a shutdown hook on a thread of its own; the event loop reads [isRequested] at its next tick and calls [complete].
  */
 internal class OrderlyShutdown(
-    private val patienceSeconds: Double,
+    private val timeoutSeconds: Double,
 ) {
-    private val done = CountDownLatch(1)
+    private val completed = CountDownLatch(1)
 
     @Volatile
-    var requested: Boolean = false
+    var isRequested: Boolean = false
         private set
 
     fun install() {
@@ -21,13 +21,13 @@
     }
 
     private fun await() {
-        requested = true
-        done.await((patienceSeconds * MILLIS_PER_SECOND).toLong(), TimeUnit.MILLISECONDS)
+        isRequested = true
+        completed.await((timeoutSeconds * MILLIS_PER_SECOND).toLong(), TimeUnit.MILLISECONDS)
     }
 
-    /** Nothing is left to hand over. */
+    /** Lets the process end: nothing is left to hand over, or nobody could take over. */
     fun complete() {
-        done.countDown()
+        completed.countDown()
     }
 
     private companion object {
--- a/src/main/kotlin/burlridge/app/Service.kt
+++ b/src/main/kotlin/burlridge/app/Service.kt
@@ -53,7 +53,7 @@
     }
 
     private fun drainIfAsked(shutdown: OrderlyShutdown) {
-        if (!shutdown.requested) return
+        if (!shutdown.isRequested) return
         step(Input.DrainRequested)
         if (controller.drained || !controller.canDrain) shutdown.complete()
     }
--- a/src/main/kotlin/burlridge/failover/ClusterView.kt
+++ b/src/main/kotlin/burlridge/failover/ClusterView.kt
@@ -43,7 +43,7 @@
     /** The members that could take over the leadership now, the one with the most recent replica first. */
     fun successors(): List<String> =
         others
-            .filter { isAvailable(it) && statuses[it]?.slow == false }
+            .filter { isAvailable(it) && statuses[it]?.isSlow == false }
             .sortedByDescending { statuses[it]?.replicaRevision ?: FailoverStatus.NO_REPLICA }
 
     fun hasAvailableMember(): Boolean = others.any { isAvailable(it) }
@@ -51,7 +51,7 @@
     /** Whether another member is alive, not draining and holds a standby replica. */
     fun hasPreparedMember(): Boolean = others.any { isAvailable(it) && (statuses[it]?.replicaRevision ?: FailoverStatus.NO_REPLICA) >= 0 }
 
-    private fun isAvailable(other: String): Boolean = detector.isAlive(other) && statuses[other]?.draining == false
+    private fun isAvailable(other: String): Boolean = detector.isAlive(other) && statuses[other]?.isDraining == false
 
     fun reports(): List<MemberReport> = detector.views(context.now).map { reportOf(it) }
 
@@ -63,8 +63,8 @@
             level = view.level,
             reason = view.reason,
             silentSeconds = view.lastHeartbeatAt?.let { context.now - it },
-            isDraining = status?.draining ?: false,
-            isSlow = status?.slow ?: false,
+            isDraining = status?.isDraining ?: false,
+            isSlow = status?.isSlow ?: false,
             replicaRevision = status?.replicaRevision ?: FailoverStatus.NO_REPLICA,
         )
     }
--- a/src/main/kotlin/burlridge/message/FailoverMessage.kt
+++ b/src/main/kotlin/burlridge/message/FailoverMessage.kt
@@ -3,16 +3,16 @@
 import kotlinx.serialization.SerialName
 import kotlinx.serialization.Serializable
 
-/** What a member that has failover switched on adds to its status; versions before pass over it. */
+/** What a member that has failover switched on adds to its status: its heartbeat. Versions before failover ignore it. */
 @Serializable
 internal data class FailoverStatus(
-    /** When the sender's process began, in milliseconds of the time of day. */
+    /** When the sender's process made its first step, in milliseconds of the time of day. */
     val incarnation: Long,
-    /** Counts the sender's statuses, so that copies and overtaken ones are known. */
+    /** Counts the sender's statuses, so that copies and overtaken ones are recognized. */
     val sequence: Long,
-    val draining: Boolean = false,
-    /** It stood still several times lately. */
-    val slow: Boolean = false,
+    val isDraining: Boolean = false,
+    /** Whether the sender stalled several times recently. */
+    val isSlow: Boolean = false,
     /** The revision up to which its standby replica is complete; [NO_REPLICA] where it keeps none. */
     val replicaRevision: Long = NO_REPLICA,
 ) {
@@ -21,12 +21,16 @@
     }
 }
 
-/** The steps of a planned handover. All name the [attempt], which is drawn anew for each. */
+/**
+ * The steps of a planned handover from the leader to a successor: [Offer], answered by [Accept] or [Decline]; then [Transferred], or
+ * [Withdraw] where the leader keeps its term.
+ */
 @Serializable
 internal sealed interface HandoverMessage {
+    /** Drawn anew by the leader for each offer; all later steps carry it. */
     val attempt: Long
 
-    /** From the leader of [term] to the successor it names. */
+    /** Sent by the leader of [term] to the successor that it selected. */
     @Serializable
     @SerialName("o")
     data class Offer(
@@ -35,15 +39,17 @@
         val reason: String,
     ) : HandoverMessage
 
-    /** The successor is caught up and holds [lease], to which the leader's row may be attached. */
+    /** Sent by the successor once it holds [lease], to which the leader's row may be attached. */
     @Serializable
     @SerialName("a")
     data class Accept(
         override val attempt: Long,
+        /** The term of the offer. */
         val term: Long,
         val lease: Long,
     ) : HandoverMessage
 
+    /** Sent by a successor that cannot take over; the leader offers the term to the next one. */
     @Serializable
     @SerialName("d")
     data class Decline(
@@ -51,7 +57,7 @@
         val reason: String,
     ) : HandoverMessage
 
-    /** The rows name the successor as leader of [term]; it reads them before it believes so. */
+    /** Sent by the former leader once the rows name the successor as leader of [term]; the successor reads them before it leads. */
     @Serializable
     @SerialName("t")
     data class Transferred(
@@ -59,7 +65,7 @@
         val term: Long,
     ) : HandoverMessage
 
-    /** The leader goes on leading. */
+    /** Sent by the leader to a successor that it does not hand over to after all. */
     @Serializable
     @SerialName("w")
     data class Withdraw(
--- a/src/main/kotlin/burlridge/peer/PeerRequests.kt
+++ b/src/main/kotlin/burlridge/peer/PeerRequests.kt
@@ -6,39 +6,42 @@
 import burlridge.message.PeerMessage
 import it.unimi.dsi.fastutil.longs.Long2ObjectOpenHashMap
 
-/** Links between the controllers: statuses, requests passed to the leader, and news of accepted jobs. */
+/** Requests forwarded to other controllers and news of accepted jobs; knows from their statuses which members can be asked. */
 internal class PeerRequests(
     private val context: StepContext,
 ) {
     private val pendingRequests = Long2ObjectOpenHashMap<(HttpResponse?) -> Unit>()
 
-    /** Begins anywhere: a reply to a question of our former self must not meet one of ours. */
+    /** Begins at random: a response to a request of this member's previous process must not match one of this process. */
     private var nextRequestId = context.random.nextLong(Long.MAX_VALUE / 2)
     private val statuses = HashMap<String, PeerMessage.Status>()
-    private val heardAt = HashMap<String, Double>()
+    private val lastMessageAt = HashMap<String, Double>()
 
+    /** Takes note of any message: its sender is alive. */
     fun onMessage(message: PeerMessage) {
-        heardAt[message.from] = context.now
+        lastMessageAt[message.from] = context.now
         if (message is PeerMessage.Status) statuses[message.from] = message
     }
 
-    /** Another member that lately said the state service answers it. */
+    /** A member, not silent, whose last status said that it reaches the state service; null where there is none. */
     fun memberWithStore(): String? = statuses.values.firstOrNull { it.storeReachable && !isSilent(it.from) }?.from
 
+    /** Whether [leader] said as leader that it receives no heartbeats from [zone]. */
     fun leaderMissesZone(
         leader: String,
         zone: String,
     ): Boolean = statuses[leader]?.let { it.isLeader && zone in it.zonesWithoutHeartbeats } ?: false
 
-    fun isSilent(member: String): Boolean = context.now > (heardAt[member] ?: -1e9) + SILENT_SECONDS
+    /** Whether no message of [member] has arrived lately. */
+    fun isSilent(member: String): Boolean = context.now > (lastMessageAt[member] ?: Double.NEGATIVE_INFINITY) + SILENT_SECONDS
 
-    /** Asks [member]; null when it does not answer in time. A member long unheard of is not waited for. */
+    /** Forwards a request to [member]; null where it does not respond within [timeoutSeconds], at once where it is silent. */
     fun forward(
         member: String,
         method: String,
         path: String,
         body: String,
-        patienceSeconds: Double,
+        timeoutSeconds: Double,
         sendDeadline: Double = Effect.NO_DEADLINE,
         onResult: (HttpResponse?) -> Unit,
     ) {
@@ -46,11 +49,13 @@
         val id = nextRequestId++
         pendingRequests.put(id, onResult)
         context.send(member, PeerMessage.ForwardedRequest(context.settings.member, id, method, path, body), sendDeadline)
-        context.schedule(patienceSeconds) { pendingRequests.remove(id)?.invoke(null) }
+        context.schedule(timeoutSeconds) { pendingRequests.remove(id)?.invoke(null) }
     }
 
-    fun onResponse(reply: PeerMessage.ForwardedResponse) {
-        pendingRequests.remove(reply.requestId)?.invoke(HttpResponse(reply.status, reply.body, reply.retryAfterSeconds.takeIf { it > 0 }))
+    /** One that comes after the timeout is ignored. */
+    fun onResponse(response: PeerMessage.ForwardedResponse) {
+        val retryAfterSeconds = response.retryAfterSeconds.takeIf { it > 0 }
+        pendingRequests.remove(response.requestId)?.invoke(HttpResponse(response.status, response.body, retryAfterSeconds))
     }
 
     fun broadcastAccepted(job: String) {
--- a/src/main/kotlin/burlridge/peer/PeerTransport.kt
+++ b/src/main/kotlin/burlridge/peer/PeerTransport.kt
@@ -19,37 +19,43 @@
 import kotlinx.io.Buffer
 import kotlinx.io.readByteArray
 
-/** One outgoing connection to each other member; frames are a length and a protobuf message. */
+/**
+ * One outgoing connection to each other member, and those that they open to this one. A frame is a length of four bytes, big-endian, and a
+ * protobuf message. Messages to a member that is down or slow are dropped, the oldest first.
+ */
 internal class PeerTransport(
     private val settings: Settings,
     private val loop: EventLoop,
-    private val unknown: () -> Unit,
-    private val receive: (PeerMessage) -> Unit,
+    private val onUnknownMessage: () -> Unit,
+    private val onMessage: (PeerMessage) -> Unit,
 ) {
-    private class Outgoing(
+    private class QueuedMessage(
         val message: PeerMessage,
         val sendDeadline: Double,
     )
 
-    /** Where a zone is cut off from the leader another member passes on all of its reports, so the queue grows with the fleet. */
-    private val queueLength = maxOf(LEAST_QUEUE, (settings.limits.maxConnections * QUEUE_PART).toInt())
-    private val queues = settings.others.associate { it.member to Channel<Outgoing>(queueLength, BufferOverflow.DROP_OLDEST) }
+    /** Where a zone is cut off from the leader another member relays all of its heartbeats, so the queue grows with the fleet. */
+    private val queueCapacity = maxOf(MIN_QUEUE_CAPACITY, (settings.limits.maxConnections * QUEUE_SLOTS_PER_CONNECTION).toInt())
+    private val queues = settings.others.associate { it.member to Channel<QueuedMessage>(queueCapacity, BufferOverflow.DROP_OLDEST) }
 
+    /** Queues [message]; a name that is no other member is ignored. Past [sendDeadline], in seconds of the steady clock, it is dropped. */
     fun send(
         member: String,
         message: PeerMessage,
         sendDeadline: Double = Effect.NO_DEADLINE,
     ) {
-        queues[member]?.trySend(Outgoing(message, sendDeadline))
+        queues[member]?.trySend(QueuedMessage(message, sendDeadline))
     }
 
     fun start(scope: CoroutineScope) {
-        settings.others.forEach { peer -> scope.launch { dial(scope, peer.endpoint, queues.getValue(peer.member)) } }
-        Connection.listen(loop, scope, settings.peerBind, BACKLOG, { true }) { Frames() }
+        settings.others.forEach { peer ->
+            scope.launch { keepConnected(scope, peer.endpoint, queues.getValue(peer.member)) }
+        }
+        Connection.listen(loop, scope, settings.peerBind, BACKLOG, { true }) { FrameReader() }
     }
 
     /** Reads the frames of one accepted connection. */
-    private inner class Frames : Connection.Handler {
+    private inner class FrameReader : Connection.Handler {
         override fun takeWhole(
             connection: Connection,
             bytes: ByteArray,
@@ -58,71 +64,81 @@
         override suspend fun serve(connection: Connection) {
             while (true) {
                 val size = connection.input.readInt()
-                if (size !in 1..MOST_FRAME) break
-                // A kind of message that only a later version knows ends nothing: the frame is whole, and the next one may be known.
-                PeerMessage.decodeOrNull(connection.input.readByteArray(size))?.let(receive) ?: unknown()
+                if (size !in 1..MAX_FRAME_BYTES) break
+                val frame = connection.input.readByteArray(size)
+                // A kind of message that only a later version knows is no reason to close: the frame is whole, and the next may be known.
+                PeerMessage.decodeOrNull(frame)?.let(onMessage) ?: onUnknownMessage()
             }
         }
 
         override fun ended(connection: Connection) = Unit
     }
 
-    private suspend fun dial(
+    /** Connects to one member, sends its queue, and connects again whenever that ends. */
+    private suspend fun keepConnected(
         scope: CoroutineScope,
-        to: Endpoint,
-        queue: Channel<Outgoing>,
+        target: Endpoint,
+        queue: Channel<QueuedMessage>,
     ) {
         while (true) {
             try {
-                val connection = withTimeout(CONNECT_MILLIS) { Connection.connect(loop, scope, to) }
-                try {
-                    deliver(connection, queue)
-                } finally {
-                    connection.close()
-                }
+                connectAndSend(scope, target, queue)
             } catch (_: TimeoutCancellationException) {
-                // A silent member: dial again.
+                // The member does not respond: connect again.
             } catch (e: CancellationException) {
                 throw e
             } catch (_: Exception) {
-                // A member that is down: dial again.
+                // The member is down, or its name does not resolve. Whatever it was, nothing but another attempt helps.
             }
-            // What waited meanwhile is old news.
+            // Messages queued for the old connection are out of date.
             while (queue.tryReceive().isSuccess) Unit
-            delay(REDIAL_MILLIS)
+            delay(RECONNECT_MILLIS)
         }
     }
 
-    private suspend fun deliver(
-        connection: Connection,
-        queue: Channel<Outgoing>,
+    private suspend fun connectAndSend(
+        scope: CoroutineScope,
+        target: Endpoint,
+        queue: Channel<QueuedMessage>,
     ) {
-        while (!connection.closed) {
-            val frames = Buffer()
-            var next = queue.receive()
-            // What has gathered goes out together.
-            while (true) {
-                if (next.sendDeadline >= System.nanoTime() / NANOS_PER_SECOND) {
-                    val bytes = PeerMessage.encode(next.message)
-                    frames.writeInt(bytes.size)
-                    frames.write(bytes)
-                }
-                if (frames.size >= ENOUGH_AT_ONCE) break
-                next = queue.tryReceive().getOrNull() ?: break
+        val connection = withTimeout(CONNECT_MILLIS) { Connection.connect(loop, scope, target) }
+        try {
+            while (!connection.closed) {
+                val frames = nextFrames(queue)
+                if (frames.size > 0) withTimeout(WRITE_MILLIS) { connection.write(frames.readByteArray()) }
             }
-            if (frames.size > 0) withTimeout(WRITE_MILLIS) { connection.write(frames.readByteArray()) }
+        } finally {
+            connection.close()
         }
     }
 
+    /** Waits for a message and takes those queued behind it along in one write; empty where all are past their deadline. */
+    private suspend fun nextFrames(queue: Channel<QueuedMessage>): Buffer {
+        val frames = Buffer()
+        var next = queue.receive()
+        while (true) {
+            if (next.sendDeadline >= System.nanoTime() / NANOS_PER_SECOND) {
+                val bytes = PeerMessage.encode(next.message)
+                frames.writeInt(bytes.size)
+                frames.write(bytes)
+            }
+            if (frames.size >= MAX_WRITE_BYTES) break
+            next = queue.tryReceive().getOrNull() ?: break
+        }
+        return frames
+    }
+
     private companion object {
         const val BACKLOG = 64
-        const val LEAST_QUEUE = 256
-        const val QUEUE_PART = 0.25
+        const val MIN_QUEUE_CAPACITY = 256
+        const val QUEUE_SLOTS_PER_CONNECTION = 0.25
         const val NANOS_PER_SECOND = 1e9
         const val CONNECT_MILLIS = 1_000L
         const val WRITE_MILLIS = 2_000L
-        const val REDIAL_MILLIS = 300L
-        const val MOST_FRAME = 256 * 1024
-        const val ENOUGH_AT_ONCE = 64 * 1024
+        const val RECONNECT_MILLIS = 300L
+        const val MAX_FRAME_BYTES = 256 * 1024
+
+        /** A write of so many bytes is not extended further. */
+        const val MAX_WRITE_BYTES = 64 * 1024
     }
 }
