--- a/src/main/kotlin/burlridge/allocation/Job.kt
+++ b/src/main/kotlin/burlridge/allocation/Job.kt
@@ -89,6 +89,9 @@
     /** Whether any of its tasks has ever been allocated. */
     val hasBeenAllocated: Boolean get() = !done.isEmpty || lastAttemptByTask.isNotEmpty()
 
+    /** The time since its submission at [wallMillis]; it spans changes of leader. */
+    fun ageSeconds(wallMillis: Long): Double = (wallMillis - submittedMillis) / MILLIS_PER_SECOND
+
     /** Remembers the attempt number of [allocation], so that it is not used again. */
     fun recordAttempt(allocation: Allocation) {
         lastAttemptByTask.put(allocation.task, maxOf(allocation.attempt, lastAttemptByTask.get(allocation.task)))
@@ -110,6 +113,8 @@
     }
 
     private companion object {
+        const val MILLIS_PER_SECOND = 1000.0
+
         /** A mean of fewer runs says too little, except in a small job, where half of its tasks do. */
         const val MIN_RUNS_FOR_MEAN = 4
     }
--- a/src/main/kotlin/burlridge/allocation/JobRegistry.kt
+++ b/src/main/kotlin/burlridge/allocation/JobRegistry.kt
@@ -112,7 +112,7 @@
         job.allocations.values
             .filter { it.phase == AllocationPhase.COMMITTED }
             .forEach { allocations.release(it, isLost = true) }
-        val ageSeconds = (context.wallMillis - job.submittedMillis) / MILLIS_PER_SECOND
+        val ageSeconds = job.ageSeconds(context.wallMillis).toLong()
         context.info("job ended", "job" to id, "state" to row.jobState.wire, "age_seconds" to ageSeconds)
         job.endListeners.forEach { it(row.jobState) }
         job.endListeners.clear()
@@ -130,6 +130,5 @@
     private companion object {
         const val MAX_FINISHED_JOBS = 20_000
         const val CLEAN_UP_INTERVAL_SECONDS = 1.0
-        const val MILLIS_PER_SECOND = 1000
     }
 }
--- a/src/main/kotlin/burlridge/placement/BestFitSelector.kt
+++ b/src/main/kotlin/burlridge/placement/BestFitSelector.kt
@@ -3,10 +3,9 @@
 import burlridge.core.StepContext
 import burlridge.fleet.Fleet
 import burlridge.job.JobSpec
-import burlridge.job.Resources
 import burlridge.worker.Machine
 
-/** Best fit over a few sampled machines. */
+/** Selects the machine for a task: best fit over a few machines sampled at random. */
 internal class BestFitSelector(
     private val context: StepContext,
     private val fleet: Fleet,
@@ -16,22 +15,15 @@
     /** Null where nobody balances load. */
     var policy: PlacementPolicy? = null
 
-    fun exceedsQuota(
-        name: String,
-        use: Resources,
-    ): Boolean {
-        val team = context.settings.teams[name] ?: return true
-        return (team.cpusMax > 0 && use.cpus > team.cpusMax) || (team.gpusMax > 0 && use.gpus > team.gpusMax)
-    }
-
+    /** Whether a task of [spec], whose job has tasks in [zones] already, may be placed on [capacity]. */
     fun fits(
         spec: JobSpec,
         zones: Map<String, Int>,
         capacity: MachineCapacity,
     ): Boolean =
-        (capacity.remainingStarts > 0 || spec.gang) && spec.size.fits(capacity.free) && zoneAllows(spec, zones, capacity.machine.zone)
+        (capacity.remainingStarts > 0 || spec.gang) && spec.size.fits(capacity.free) && isZoneAllowed(spec, zones, capacity.machine.zone)
 
-    private fun zoneAllows(
+    private fun isZoneAllowed(
         spec: JobSpec,
         zones: Map<String, Int>,
         zone: String,
@@ -40,55 +32,62 @@
         return !spec.spread || (zones[zone] ?: 0) < (spec.tasks + 1) / 2
     }
 
-    /** Best fit over a sample drawn from [machines]; what is drawn and has no room any more is struck out. */
-    fun sample(
+    /**
+     * The best fit for a task of [spec] over a sample drawn from [candidates]; null where none of them fits. A drawn candidate that does
+     * not fit is removed from [candidates]; those drawn are moved to their end, so that none is drawn twice.
+     */
+    fun select(
         candidates: MutableList<MachineCapacity>,
         spec: JobSpec,
         zones: Map<String, Int>,
     ): MachineCapacity? {
         var best: MachineCapacity? = null
-        var least = Double.MAX_VALUE
-        var drawn = 0
-        // Drawn ones go to the end, so that none is drawn twice.
-        var open = candidates.size
-        while (drawn < sampleSize && open > 0) {
-            val at = context.random.nextInt(open)
-            val capacity = candidates[at]
-            open--
+        var lowestCost = Double.MAX_VALUE
+        var sampled = 0
+        var undrawn = candidates.size
+        while (sampled < sampleSize && undrawn > 0) {
+            val drawnIndex = context.random.nextInt(undrawn)
+            val capacity = candidates[drawnIndex]
+            undrawn--
             context.count("placement.candidates")
-            candidates[at] = candidates[open]
-            candidates[open] = capacity
+            candidates[drawnIndex] = candidates[undrawn]
+            candidates[undrawn] = capacity
             if (!fits(spec, zones, capacity)) {
-                candidates[open] = candidates.last()
+                candidates[undrawn] = candidates.last()
                 candidates.removeLast()
                 continue
             }
-            drawn++
-            val left = leftover(capacity, spec)
-            if (left < least) {
+            sampled++
+            val cost = cost(capacity, spec)
+            if (cost < lowestCost) {
                 best = capacity
-                least = left
+                lowestCost = cost
             }
         }
         return best
     }
 
-    private fun leftover(
+    /** What would stay free on [capacity] beside a task of [spec], and the image fetch, in units of a CPU. */
+    private fun cost(
         capacity: MachineCapacity,
         spec: JobSpec,
     ): Double {
-        val left = capacity.free - spec.size
-        val memoryUnit = capacity.total.memoryGb.coerceAtLeast(1.0) / capacity.total.cpus.coerceAtLeast(1.0)
-        return left.cpus + left.gpus * GPU_WEIGHT + left.memoryGb / memoryUnit / 2 +
-            expectedFetchSeconds(capacity.machine, spec) * CPUS_PER_SECOND
+        val unused = capacity.free - spec.size
+        val memoryGbPerCpu = capacity.total.memoryGb.coerceAtLeast(1.0) / capacity.total.cpus.coerceAtLeast(1.0)
+        return unused.cpus + unused.gpus * CPUS_PER_GPU + unused.memoryGb / memoryGbPerCpu / 2 +
+            expectedFetchSeconds(capacity.machine, spec) * CPUS_PER_FETCH_SECOND
     }
 
     /** As [fetchSeconds], with what else is being fetched there where that is known. */
     fun expectedFetchSeconds(
         machine: Machine,
         spec: JobSpec,
-    ): Double = fetchSeconds(machine, spec).let { aloneSeconds -> policy?.fetchSeconds(machine, spec, aloneSeconds) ?: aloneSeconds }
+    ): Double {
+        val aloneSeconds = fetchSeconds(machine, spec)
+        return policy?.fetchSeconds(machine, spec, aloneSeconds) ?: aloneSeconds
+    }
 
+    /** The seconds that [machine] takes to fetch the image of [spec] if it fetches nothing else; 0 where it holds the image. */
     fun fetchSeconds(
         machine: Machine,
         spec: JobSpec,
@@ -98,6 +97,7 @@
         return if (rate > 0) spec.imageGb / rate else 0.0
     }
 
+    /** The fetch rate of machines of [type]; 0 where it is not known. */
     fun fetchGbPerSecond(type: String): Double =
         fleet.catalog
             ?.types
@@ -105,8 +105,7 @@
             ?.fetchGbPerSecond ?: 0.0
 
     private companion object {
-        /** A second of fetching weighs as much as so many CPUs left over. */
-        const val CPUS_PER_SECOND = 0.5
-        const val GPU_WEIGHT = 16.0
+        const val CPUS_PER_FETCH_SECOND = 0.5
+        const val CPUS_PER_GPU = 16.0
     }
 }
--- /dev/null
+++ b/src/main/kotlin/burlridge/placement/CapacityReservation.kt
@@ -0,0 +1,13 @@
+package burlridge.placement
+
+import burlridge.allocation.Job
+import burlridge.worker.Machine
+
+/** Capacity on [machine] that is reserved for a task which is moving there, until it is gone from its present machine. */
+internal class CapacityReservation(
+    val job: Job,
+    val task: Int,
+    val machine: Machine,
+) {
+    val taskName: String get() = "${job.spec.id}/$task"
+}
--- a/src/main/kotlin/burlridge/placement/GangPlacement.kt
+++ b/src/main/kotlin/burlridge/placement/GangPlacement.kt
@@ -1,78 +1,75 @@
 package burlridge.placement
 
-import burlridge.allocation.Allocation
 import burlridge.allocation.GangRules
 import burlridge.allocation.GangState
 import burlridge.allocation.Job
-import burlridge.allocation.QuotaCharge
 import burlridge.core.StepContext
 import burlridge.fleet.Fleet
 import burlridge.job.JobSpec
 import burlridge.worker.WorkerManager
 
-/**
- * Seats for a whole gang or for none of it: one plan decides zone, machines and the team's limit for all tasks at once, and one
- * run number is claimed for them all.
- */
+/** Places a gang as a whole or not at all: zone, machines and quota are settled for all tasks at once, under one attempt number. */
 internal class GangPlacement(
     private val context: StepContext,
     private val workers: WorkerManager,
     private val fleet: Fleet,
     private val fit: BestFitSelector,
+    private val objectives: PlacementObjectives,
+    private val quotas: TeamQuotas,
 ) {
-    /** Within which a job class's gangs are to start. */
-    private val startWithin =
-        context.settings.objectives
-            .filter { it.kind == "wait" && it.jobClass != null && it.withinSeconds != null }
-            .groupBy { it.jobClass }
-            .mapValues { (_, aims) -> aims.minOf { it.withinSeconds ?: Double.MAX_VALUE } }
+    /** Whether [job] is a gang whose class has a start objective: it is placed first, and capacity for the next one is reserved. */
+    fun hasStartObjective(job: Job): Boolean = job.spec.gang && objectives.hasStartObjective(job.spec.jobClass)
 
-    /** A gang whose job class is to start at once: it is placed first, and room for the next one is kept. */
-    fun hasStartObjective(job: Job): Boolean = job.spec.gang && startWithin.containsKey(job.spec.jobClass)
-
-    /** Whether the next attempt may be claimed: nothing of the last one, nor any orphaned task of it, is left anywhere. */
+    /** Whether the next attempt may be allocated: nothing of the last one, nor any task of it without an allocation, is left anywhere. */
     fun canStartAttempt(job: Job): Boolean =
         GangRules.state(job) == GangState.IDLE && job.notBeforeByTask.getOrDefault(0, 0.0) <= context.now &&
             !workers.hasOrphans(job.spec.id)
 
-    /** Where there is no room for all, what there is is kept from those that come after, until it is enough. */
+    /** Allocates all tasks of [job]. Where they do not all fit, the free capacity is held back from later jobs until they do. */
     fun place(
         job: Job,
         plan: PlacementPlan,
     ) {
         val spec = job.spec
-        val after = plan.used(spec.team) + spec.size * spec.tasks
-        if (fit.exceedsQuota(spec.team, after)) {
-            // Its team's limit is kept for it as well, or single tasks would use each bit that falls free.
-            plan.used[spec.team] = after
+        val usage = plan.usageOf(spec.team) + spec.size * spec.tasks
+        if (quotas.isExceeded(spec.team, usage)) {
+            // Its quota is held back as well, or single tasks would use every bit of it that becomes free.
+            plan.setUsage(spec.team, usage)
             return
         }
-        val groups = groups(spec, plan)
+        val groups = candidateGroups(spec, plan)
         for (candidates in groups) {
             if (fitCount(candidates, spec) < spec.tasks) continue
             val assigned = assign(spec, spec.tasks, candidates)
             if (assigned.size == spec.tasks) {
-                plan.used[spec.team] = after
-                plan.jobs += spec.id
+                plan.setUsage(spec.team, usage)
                 val attempt = job.highestAttempt + 1
-                assigned.forEachIndexed { task, capacity -> plan.allocations += newAllocation(spec, task, attempt, capacity) }
+                assigned.forEachIndexed { task, capacity -> plan.allocate(spec, task, attempt, capacity.machine) }
                 return
             }
-            assigned.forEach { it.free += spec.size }
+            assigned.forEach { it.release(spec.size) }
         }
-        // Not where even empty machines would not do: room kept for what can never come would be lost to all others.
+        holdBackLargestGroup(spec, groups, plan)
+    }
+
+    /** Not where even idle machines would not suffice: what is held back for a gang that can never run there would be lost to all others. */
+    private fun holdBackLargestGroup(
+        spec: JobSpec,
+        groups: List<List<MachineCapacity>>,
+        plan: PlacementPlan,
+    ) {
         groups
-            .filter { candidates -> emptyFitCount(spec, plan, candidates) >= spec.tasks }
+            .filter { candidates -> idleFitCount(spec, plan, candidates) >= spec.tasks }
             .maxByOrNull { fitCount(it, spec) }
             ?.let { assign(spec, spec.tasks, it) }
     }
 
-    /** Room for the gangs that surely come soon is kept from all other work; never more than a part of what there is. */
+    /** Holds back capacity for the gangs that are expected soon; never more than a part of the machines. */
     fun reserveForExpectedGangs(plan: PlacementPlan) {
         for (need in fleet.expectedGangs()) {
-            val candidates = groups(need.spec, plan).firstOrNull() ?: continue
-            val most = emptyFitCount(need.spec, plan, candidates) / MAX_RESERVED_FRACTION_DIVISOR
-            assign(need.spec, minOf(need.tasks, most), candidates)
+            val candidates = candidateGroups(need.spec, plan).firstOrNull() ?: continue
+            val maxTasks = idleFitCount(need.spec, plan, candidates) / MACHINES_PER_RESERVED_MACHINE
+            assign(need.spec, minOf(need.tasks, maxTasks), candidates)
         }
     }
 
@@ -81,8 +78,8 @@
         spec: JobSpec,
     ): Int = candidates.sumOf { it.fitCount(spec.size) }
 
-    /** How many tasks of [spec] the machines of the group that [machines] belong to would hold if nothing else were on them. */
-    private fun emptyFitCount(
+    /** How many tasks of [spec] would fit on the machines of the group of [candidates], full ones included, if all were idle. */
+    private fun idleFitCount(
         spec: JobSpec,
         plan: PlacementPlan,
         candidates: List<MachineCapacity>,
@@ -91,24 +88,8 @@
         return plan.poolsFor(spec).filter { !spec.oneZone || it.first.zone == zone }.sumOf { it.machineCount * it.total.holds(spec.size) }
     }
 
-    private fun newAllocation(
-        spec: JobSpec,
-        task: Int,
-        attempt: Int,
-        capacity: MachineCapacity,
-    ): Allocation =
-        Allocation(
-            spec.id,
-            task,
-            attempt,
-            capacity.machine.id,
-            capacity.machine.agentEpoch,
-            capacity.machine.zone,
-            QuotaCharge(spec.team, spec.size),
-        )
-
-    /** The rooms that may hold the gang together: those of a zone where it must be one, the zone that holds its image first. */
-    private fun groups(
+    /** Groups of machines that may hold the gang together: one for each zone where it must be in one, those that hold its image first. */
+    private fun candidateGroups(
         spec: JobSpec,
         plan: PlacementPlan,
     ): List<List<MachineCapacity>> {
@@ -125,7 +106,7 @@
             )
     }
 
-    /** Takes room for up to [tasks] of [spec] in [machines]: where the image is, then where it is fetched in time, the smallest first. */
+    /** Takes capacity for up to [tasks] tasks of [spec], and returns it, one element for each task. */
     private fun assign(
         spec: JobSpec,
         tasks: Int,
@@ -133,16 +114,16 @@
     ): List<MachineCapacity> {
         val assigned = ArrayList<MachineCapacity>()
         val zones = HashMap<String, Int>()
-        for (group in preferred(spec, candidates)) {
-            // Where idle machines are returned, those in use go first, so that others fall idle.
-            val (idle, inUse) = group.partition { fleet.returnsIdle && it.free == it.total }
-            val (empty, shared) = idle.toMutableList() to inUse.toMutableList()
+        for (group in byFetchTime(spec, candidates)) {
+            // Where idle machines are returned, those in use are filled first, so that others fall idle.
+            val (idle, inUse) = group.partition { fleet.returnsIdle && it.isIdle }
+            val (idleLeft, shared) = idle.toMutableList() to inUse.toMutableList()
             while (assigned.size < tasks) {
-                // The machine that the last one has gone to fetches the image anyway.
+                // The machine of the last task fetches the image anyway.
                 val capacity =
                     assigned.lastOrNull()?.takeIf { fit.fits(spec, zones, it) }
-                        ?: fit.sample(shared, spec, zones) ?: fit.sample(empty, spec, zones) ?: break
-                capacity.free -= spec.size
+                        ?: fit.select(shared, spec, zones) ?: fit.select(idleLeft, spec, zones) ?: break
+                capacity.take(spec.size)
                 zones.merge(capacity.machine.zone, 1, Int::plus)
                 assigned += capacity
             }
@@ -151,22 +132,23 @@
         return assigned
     }
 
-    private fun preferred(
+    /** Machines that hold the image first, then those that fetch it in time, smallest types first, then the others, fastest first. */
+    private fun byFetchTime(
         spec: JobSpec,
         candidates: List<MachineCapacity>,
     ): List<List<MachineCapacity>> {
-        val (holders, others) = candidates.partition { spec.image in it.machine.images }
-        val limitSeconds = startWithin[spec.jobClass] ?: Double.MAX_VALUE
+        val (imageHolders, others) = candidates.partition { spec.image in it.machine.images }
+        val limitSeconds = objectives.startSeconds(spec.jobClass)
         val byType = others.groupBy { it.machine.type }.values
-        val (quick, slow) = byType.partition { fit.fetchSeconds(it.first().machine, spec) * SLOW_FETCH <= limitSeconds }
-        return listOf(holders) + quick + slow.sortedBy { fit.fetchSeconds(it.first().machine, spec) }
+        val (inTime, late) = byType.partition { fit.fetchSeconds(it.first().machine, spec) * FETCH_TIME_MARGIN <= limitSeconds }
+        return listOf(imageHolders) + inTime + late.sortedBy { fit.fetchSeconds(it.first().machine, spec) }
     }
 
     private companion object {
-        /** A fetch takes up to a third longer than its type's rate says, and what goes before it takes some time as well. */
-        const val SLOW_FETCH = 1.5
+        /** A fetch takes up to a third longer than its type's rate says, and what precedes it takes some time as well. */
+        const val FETCH_TIME_MARGIN = 1.5
 
-        /** Of the room that there would be on empty machines, one part in so many may be kept for the gangs of a lane. */
-        const val MAX_RESERVED_FRACTION_DIVISOR = 4
+        /** One machine in so many may be reserved for the expected gangs of a class. */
+        const val MACHINES_PER_RESERVED_MACHINE = 4
     }
 }
--- a/src/main/kotlin/burlridge/placement/MoveTargetFinder.kt
+++ b/src/main/kotlin/burlridge/placement/MoveTargetFinder.kt
@@ -4,47 +4,44 @@
 import burlridge.allocation.Job
 import burlridge.worker.Machine
 
-/** Where running tasks could go besides where they are; each one found takes its room from those asked for later. */
+/** Finds machines that running tasks can move to. Each one found is reserved, so that later requests do not count on its capacity. */
 internal class MoveTargetFinder(
     private val plan: PlacementPlan,
     private val fit: BestFitSelector,
+    private val quotas: TeamQuotas,
 ) {
-    /** A machine with room, and how long it takes there to fetch the image. */
+    /** A machine that the task fits on, and how long it takes there to fetch the image. */
     class Candidate(
         val machine: Machine,
         val fetchSeconds: Double,
     )
 
     /**
-     * A machine with room for the task of [claim] that [suits], the smallest type first; null where there is none, or its team's limit is
-     * in the way.
+     * Reserves capacity for the task of [allocation] on another machine that [isSuitable], trying the smallest types first. Null where there
+     * is none, or the team's quota does not allow it.
      */
     fun reserveTarget(
         job: Job,
         allocation: Allocation,
-        suits: (Candidate) -> Boolean = { true },
+        isSuitable: (Candidate) -> Boolean = { true },
     ): Machine? {
         val spec = job.spec
-        // The task counts in both places until it is gone from where it is.
-        val after = plan.used(spec.team) + spec.size
-        if (fit.exceedsQuota(spec.team, after)) return null
+        // The task counts on both machines until it is gone from the present one.
+        if (quotas.isExceeded(spec.team, plan.usageOf(spec.team) + spec.size)) return null
         val zones = plan.zonesOf(job)
-        for (group in plan.poolsFor(spec).groupBy { it.first.type }.values) {
+        for (poolsOfType in plan.poolsFor(spec).groupBy { it.first.type }.values) {
             val candidates =
-                group
-                    .flatMap { it.candidates }
-                    .filterTo(ArrayList()) {
-                        isTarget(it, job, allocation) &&
-                            suits(Candidate(it.machine, fit.expectedFetchSeconds(it.machine, spec)))
-                    }
-            val capacity = fit.sample(candidates, spec, zones) ?: continue
-            plan.reserve(CapacityReservation(job, allocation.task, capacity.machine))
-            return capacity.machine
+                poolsOfType.flatMap { it.candidates }.filterTo(ArrayList()) {
+                    canMoveTo(it, job, allocation) && isSuitable(Candidate(it.machine, fit.expectedFetchSeconds(it.machine, spec)))
+                }
+            val target = fit.select(candidates, spec, zones)?.machine ?: continue
+            plan.reserve(CapacityReservation(job, allocation.task, target))
+            return target
         }
         return null
     }
 
-    private fun isTarget(
+    private fun canMoveTo(
         capacity: MachineCapacity,
         job: Job,
         allocation: Allocation,
--- a/src/main/kotlin/burlridge/placement/PlacementPlan.kt
+++ b/src/main/kotlin/burlridge/placement/PlacementPlan.kt
@@ -2,76 +2,91 @@
 
 import burlridge.allocation.Allocation
 import burlridge.allocation.Job
+import burlridge.allocation.QuotaCharge
 import burlridge.job.JobSpec
 import burlridge.job.Resources
 import burlridge.worker.Machine
 
-/** A machine with room, and what of it is free. */
-internal class MachineCapacity(
-    val machine: Machine,
-    val total: Resources,
-    var free: Resources,
-    /** Only for what would else wait too long. */
-    val isAvoided: Boolean = false,
-    /** How many more single tasks it may get now. */
-    var remainingStarts: Int = Int.MAX_VALUE,
-) {
-    /** How many tasks of [size] find room. */
-    fun fitCount(size: Resources): Int = free.holds(size)
-}
-
-/** The machines with room of one type, zone and kind. */
-internal class MachinePool(
-    val total: Resources,
-    val first: Machine,
-    val candidates: ArrayList<MachineCapacity> = ArrayList(),
-) {
-    /** Its machines, full ones as well. */
-    var machineCount: Int = 0
-}
-
-/** What a job asks of a machine; where one job found no room, another that asks for no less need not look. */
-internal data class ResourceRequest(
-    val types: List<String>?,
-    val zone: String?,
-    val spot: Boolean,
-    val size: Resources,
-)
-
-/** What one round has used up and found out. */
+/** One placement round: the capacity and quota that are left, and the allocations that it makes. */
 internal class PlacementPlan(
+    /** The smallest machines first. */
     val pools: List<MachinePool>,
-    val used: HashMap<String, Resources>,
+    private val usageByTeam: HashMap<String, Resources>,
 ) {
-    val allocations = ArrayList<Allocation>()
-    val jobs = HashSet<String>()
-    val unplaceable = ArrayList<ResourceRequest>()
-
-    fun isUnplaceable(spec: JobSpec): Boolean =
-        unplaceable.any { it.types == spec.types && it.zone == spec.zone && (it.spot || !spec.spot) && it.size.fits(spec.size) }
+    /** The allocations made so far, and the ids of their jobs. */
+    val allocations: ArrayList<Allocation> = ArrayList()
+    val jobs: HashSet<String> = HashSet()
 
-    /** Room that is kept for single tasks, and taken from all others. */
-    val reservations = ArrayList<CapacityReservation>()
+    /** Reservations that hold capacity and quota in this plan. */
+    val reservations: ArrayList<CapacityReservation> = ArrayList()
+    private val placedFromReservation = HashSet<String>()
+    private val unplaceable = ArrayList<ResourceRequest>()
 
-    /** Names of tasks that were placed where room was kept for them. */
-    val placedFromReservation = HashSet<String>()
+    /** Needed only where there are reservations, so not built in most rounds. */
     private val capacityByMachine: Map<String, MachineCapacity> by lazy(LazyThreadSafetyMode.NONE) {
         pools.flatMap { it.candidates }.associateBy { it.machine.id }
     }
 
+    /** What is free on [machine]; null where nothing is, or it is not usable. */
     fun capacityOn(machine: String): MachineCapacity? = capacityByMachine[machine]
 
-    fun reserve(capacity: CapacityReservation) {
-        val spec = capacity.job.spec
-        val there = capacityOn(capacity.machine.id)?.takeIf { spec.size.fits(it.free) } ?: return
-        there.free -= spec.size
-        used.merge(spec.team, spec.size, Resources::plus)
-        reservations += capacity
+    /** What the allocations and reservations of [team] take, those of this plan included. */
+    fun usageOf(team: String): Resources = usageByTeam[team] ?: Resources.NONE
+
+    fun setUsage(
+        team: String,
+        usage: Resources,
+    ) {
+        usageByTeam[team] = usage
+    }
+
+    /** Adds an allocation of [task]; its capacity and quota are taken by the caller. */
+    fun allocate(
+        spec: JobSpec,
+        task: Int,
+        attempt: Int,
+        machine: Machine,
+    ) {
+        jobs += spec.id
+        val charge = QuotaCharge(spec.team, spec.size)
+        allocations += Allocation(spec.id, task, attempt, machine.id, machine.agentEpoch, machine.zone, charge)
+    }
+
+    /** No machine is left that satisfies [spec]'s request. */
+    fun markUnplaceable(spec: JobSpec) {
+        unplaceable += ResourceRequest.of(spec)
+    }
+
+    /** Whether an earlier job that asks for no more has found no machine in this round. */
+    fun isUnplaceable(spec: JobSpec): Boolean = unplaceable.any { it.isImpliedBy(spec) }
+
+    /** Takes capacity and quota for [reservation], if they are still free. */
+    fun reserve(reservation: CapacityReservation) {
+        val spec = reservation.job.spec
+        val capacity = capacityOn(reservation.machine.id)?.takeIf { spec.size.fits(it.free) } ?: return
+        capacity.take(spec.size)
+        usageByTeam.merge(spec.team, spec.size, Resources::plus)
+        reservations += reservation
+    }
+
+    /** Returns what [reservation] takes: its task is about to be placed. */
+    fun release(reservation: CapacityReservation) {
+        val spec = reservation.job.spec
+        capacityOn(reservation.machine.id)?.release(spec.size)
+        usageByTeam.merge(spec.team, spec.size, Resources::minus)
+        reservations -= reservation
     }
 
+    fun markPlacedFromReservation(taskName: String) {
+        placedFromReservation += taskName
+    }
+
+    /** Whether this plan has placed [taskName] where capacity was reserved for it. */
+    fun isPlacedFromReservation(taskName: String): Boolean = taskName in placedFromReservation
+
     /**
-     * In which zones the tasks of [job] count: where they may be, where this plan places them, and where room is kept for those that
-     * move, which count in both zones.
+     * The number of [job]'s tasks in each zone: those that are allocated, those that this plan places from reservations, and those that
+     * have a reservation; a task that moves counts in both zones.
      */
     fun zonesOf(job: Job): HashMap<String, Int> {
         val zones = HashMap<String, Int>()
@@ -81,16 +96,6 @@
         return zones
     }
 
-    /** The task that it was kept for is about to take it, or no longer wants it. */
-    fun release(capacity: CapacityReservation) {
-        val spec = capacity.job.spec
-        capacityOn(capacity.machine.id)?.let { it.free += spec.size }
-        used.merge(spec.team, spec.size, Resources::minus)
-        reservations -= capacity
-    }
-
-    fun used(team: String): Resources = used[team] ?: Resources.NONE
-
     /** The pools whose machines [spec] may use and that are large enough. */
     fun poolsFor(spec: JobSpec): List<MachinePool> =
         pools.filter { spec.size.fits(it.total) && spec.allows(it.first.type, it.first.zone, it.first.spot) }
--- /dev/null
+++ b/src/main/kotlin/burlridge/placement/PlacementPlanBuilder.kt
@@ -0,0 +1,66 @@
+package burlridge.placement
+
+import burlridge.allocation.JobRegistry
+import burlridge.core.StepContext
+import burlridge.fleet.Fleet
+import burlridge.fleet.InstanceOffering
+import burlridge.job.Resources
+import burlridge.worker.Machine
+import burlridge.worker.WorkerManager
+
+/** Builds the plan of a placement round from the machines that are usable now. */
+internal class PlacementPlanBuilder(
+    private val context: StepContext,
+    private val registry: JobRegistry,
+    private val workers: WorkerManager,
+    private val fleet: Fleet,
+) {
+    /** Reservations of [policy] are taken from the plan's capacity; [policy] is null where nobody balances load. */
+    fun build(policy: PlacementPolicy?): PlacementPlan {
+        val plan = PlacementPlan(pools(policy), HashMap(registry.allocations.usageByTeam))
+        policy?.reservations()?.forEach(plan::reserve)
+        return plan
+    }
+
+    /** The smallest machines first: a task that fits one should not break up a larger one. */
+    private fun pools(policy: PlacementPolicy?): List<MachinePool> {
+        val catalog = fleet.catalog ?: return emptyList()
+        val pools = HashMap<InstanceOffering, MachinePool>()
+        for (machine in workers.machines.values) {
+            if (!isUsable(machine)) continue
+            val total = catalog.types[machine.type]?.size ?: continue
+            val free = free(machine, total)
+            val pool = pools.getOrPut(InstanceOffering(machine.type, machine.zone, machine.spot)) { MachinePool(total, machine) }
+            pool.machineCount++
+            if (free.cpus > 0 && free.memoryGb > 0) pool.candidates += capacity(machine, total, free, policy)
+        }
+        return pools.values.sortedWith(compareBy({ it.total.gpus }, { it.total.cpus }, { it.total.memoryGb }, { !it.first.spot }))
+    }
+
+    private fun capacity(
+        machine: Machine,
+        total: Resources,
+        free: Resources,
+        policy: PlacementPolicy?,
+    ): MachineCapacity {
+        if (policy == null) return MachineCapacity(machine, total, free)
+        return MachineCapacity(machine, total, free, policy.isAvoided(machine), policy.remainingStarts(machine))
+    }
+
+    private fun isUsable(machine: Machine): Boolean =
+        isInService(machine) && context.now >= machine.notBefore && context.now >= machine.nextCommandAt &&
+            !workers.isSilent(machine) && !workers.isNotReporting(machine) && workers.reaches(machine)
+
+    private fun isInService(machine: Machine): Boolean =
+        machine.up && machine.isResponsive && !machine.leaseExpired && !machine.draining && machine.reclaimAt == null
+
+    /** What neither allocations nor tasks without one, started by an earlier leader, take. */
+    private fun free(
+        machine: Machine,
+        total: Resources,
+    ): Resources {
+        var free = total - registry.allocations.usageOn(machine.id)
+        machine.orphans.forEach { taskName -> registry.jobs[taskName.substringBefore('/')]?.let { free -= it.spec.size } }
+        return free
+    }
+}
--- a/src/main/kotlin/burlridge/placement/PlacementReason.kt
+++ b/src/main/kotlin/burlridge/placement/PlacementReason.kt
@@ -1,10 +1,10 @@
 package burlridge.placement
 
-/** Why a task was placed otherwise than by best fit over a sample. */
+/** Why a task was placed otherwise than by best fit over a sample; [text] is shown to operators. */
 internal enum class PlacementReason(
     val text: String,
 ) {
     RESERVED_CAPACITY("room was kept there for it"),
     AVOIDED_AFTER_WAIT("it had waited too long to go round a hot machine"),
-    COLD_FOR_AIM("its class is to start at once, and only machines that have just joined had room"),
+    SLOW_STARTING_FOR_OBJECTIVE("its class is to start at once, and only machines that have just joined had room"),
 }
--- /dev/null
+++ b/src/main/kotlin/burlridge/placement/ResourceRequest.kt
@@ -0,0 +1,21 @@
+package burlridge.placement
+
+import burlridge.job.JobSpec
+import burlridge.job.Resources
+
+/** What a task asks of a machine. */
+internal data class ResourceRequest(
+    /** The machine types and the zone that it may use; null for any. */
+    val types: List<String>?,
+    val zone: String?,
+    /** Whether it may use spot machines. */
+    val spot: Boolean,
+    val size: Resources,
+) {
+    /** Whether a task of [spec] fits only where this request does: if no machine satisfies this one, none satisfies that. */
+    fun isImpliedBy(spec: JobSpec): Boolean = types == spec.types && zone == spec.zone && (spot || !spec.spot) && size.fits(spec.size)
+
+    internal companion object {
+        fun of(spec: JobSpec): ResourceRequest = ResourceRequest(spec.types, spec.zone, spec.spot, spec.size)
+    }
+}
