--- a/src/main/kotlin/burlridge/balance/Balance.kt
+++ b/src/main/kotlin/burlridge/balance/Balance.kt
@@ -17,71 +17,64 @@
 import burlridge.worker.WorkerManager
 import com.fasterxml.jackson.databind.JsonNode
 
-/** What the rest of a controller lends to this package. */
-internal class BalanceDependencies(
-    val store: StoreClient,
-    val leadership: Leadership,
-    val registry: JobRegistry,
-    val workers: WorkerManager,
-    val fleet: Fleet,
-    val placement: Placement,
-)
-
-/** Drains that last and moves of running tasks, for the one member that leads; the others only pass requests on. */
+/**
+ * Drains, moves of running tasks, hot machines and slow start, for the member that leads; followers only forward requests. Off unless the
+ * operators' settings have a section `[balance]`.
+ */
 internal class Balance(
     private val context: StepContext,
     private val settings: BalanceSettings,
-    private val ports: BalanceDependencies,
-    private val placeSoon: () -> Unit,
+    private val dependencies: BalanceDependencies,
+    private val requestPlacement: () -> Unit,
 ) : PlacementPolicy {
-    private val workers = ports.workers
+    private val workers = dependencies.workers
     private val index = DrainIndex()
-    private val drains: Drains = Drains(context, ports.store, ports.leadership, ::rebuildIndex)
+    private val drains: DrainRegistry = DrainRegistry(context, dependencies.store, dependencies.leadership, ::rebuildIndex)
     private val decisions = DecisionLog(context, settings.decisions)
-    private val moves = Moves(context, settings, ports.store, ports.leadership, ports.registry, workers, decisions)
-    private val evacuation = GracefulEviction(context, settings, ports.registry, workers, moves) { ports.placement.moveTargetFinder() }
-    private val relief =
-        HotspotMitigation(context, settings, ports.registry, workers, moves, decisions) { ports.placement.moveTargetFinder() }
+    private val moves =
+        MoveExecutor(context, settings, dependencies.store, dependencies.leadership, dependencies.registry, workers, decisions)
+    private val eviction =
+        GracefulEviction(context, settings, dependencies.registry, workers, moves) { dependencies.placement.moveTargetFinder() }
+    private val hotspots =
+        HotspotMitigation(context, settings, dependencies.registry, workers, moves, decisions) { dependencies.placement.moveTargetFinder() }
     private val slowStart =
-        SlowStart(context, settings, ports.registry) { type ->
-            ports.fleet.catalog
+        SlowStart(context, settings, dependencies.registry) { type ->
+            dependencies.fleet.catalog
                 ?.types
                 ?.get(type)
                 ?.bootSeconds ?: 0.0
         }
-    private val safety = DrainSafety(context.settings, ports.registry, workers, ports.fleet)
+    private val cordons = Cordons(index, workers, dependencies.fleet, decisions)
+    private val drainSafety = DrainSafety(context.settings, dependencies.registry, workers, dependencies.fleet)
     private val times = context.settings.workers
     private val retentionMillis = (times.leaseSeconds * RETENTION_LEASES * MILLIS_PER_SECOND).toLong()
-    private var sweepAt = 0.0
+    private var nextSweepAt = 0.0
     private var progress: Map<Drain, DrainProgress> = emptyMap()
 
-    /** Machines in a drained network that were seen to join; each holds new rentals of its kind off once. */
-    private val joined = HashSet<String>()
-
     init {
-        ports.placement.policy = this
-        ports.fleet.isZoneDrained = index::isDrained
+        dependencies.placement.policy = this
+        dependencies.fleet.isZoneDrained = index::isDrained
         workers.onSlow = { machine ->
-            decisions.add(Decision.LeftForSlowness(machine.id))
-            drains.request(DrainTarget.Named(machine.id), DrainCause.SLOW) {}
+            decisions.add(Decision.StragglerEvicted(machine.id))
+            drains.request(DrainTarget.SingleMachine(machine.id), DrainCause.SLOW) {}
         }
         if (settings.hotFactor > 0) {
-            workers.onHeard = relief::heard
-            workers.outcomes.onRan = relief::ended
+            workers.onHeard = hotspots::onHeartbeat
+            workers.outcomes.onRan = hotspots::onTaskCompleted
         }
     }
 
-    override fun reservations(): List<CapacityReservation> = moves.kept()
+    override fun reservations(): List<CapacityReservation> = moves.reservations()
 
-    override fun isAvoided(machine: Machine): Boolean = machine.id in relief.hot
+    override fun isAvoided(machine: Machine): Boolean = machine.id in hotspots.hot
 
     override fun onPlaced(
         taskName: String,
         machine: String,
         reason: PlacementReason,
-    ) = decisions.add(Decision.Placed(taskName, machine, reason))
+    ) = decisions.add(Decision.TaskPlaced(taskName, machine, reason))
 
-    /** Why what is known of a task or machine was decided, by this leader. */
+    /** The decisions of this term about the task or machine [subject], with reasons, as JSON. */
     fun explain(subject: String): JsonNode = decisions.explain(subject)
 
     override fun remainingStarts(machine: Machine): Int = slowStart.startsLeft(machine)
@@ -95,63 +88,41 @@
     private fun rebuildIndex() {
         index.rebuild(drains.all)
         progress = emptyMap()
-        sweepAt = 0.0
+        nextSweepAt = 0.0
     }
 
+    /** Forgets everything: a new term begins, or this one has ended. */
     fun clear() {
         drains.clear()
         moves.clear()
-        evacuation.clear()
-        relief.clear()
+        eviction.clear()
+        hotspots.clear()
         decisions.clear()
-        joined.clear()
+        cordons.clear()
     }
 
-    /** What earlier leaders left, read before anything is placed. */
+    /** Loads the rows of earlier leaders, before anything is placed. */
     fun load(listings: Map<String, Listing>) {
         listings[Drain.PREFIX]?.rows?.forEach(drains::load)
         listings[MoveBatch.PREFIX]?.rows?.forEach(moves::load)
     }
 
-    /** Takes covered machines out of service, and puts back those that no drain covers any more; before every placement round. */
+    /** Takes covered machines out of service, and puts back those that no drain covers any more; before every scheduling cycle. */
     fun applyCordons() {
-        if (drains.isEmpty) return
-        for (machine in workers.machines.values) {
-            val drain = if (index.isEmpty) null else index.covering(machine)
-            if (drain != null) cordon(machine, drain) else uncordon(machine)
-        }
-    }
-
-    private fun cordon(
-        machine: Machine,
-        drain: Drain,
-    ) {
-        if (machine.drainReason == null) {
-            decisions.add(Decision.Covered(machine.id, drain))
-            if (drain.cause == DrainCause.SLOW) workers.evictStraggler(machine) else machine.drainReason = DrainReason.OPERATOR
-        }
-        // Where the cloud puts new machines cannot be chosen by network: what it gave there is not asked for again at once.
-        if (drain.target is DrainTarget.InNetwork && machine.idleSince >= machine.knownSince && joined.add(machine.id)) {
-            ports.fleet.holdOff(machine)
-        }
-    }
-
-    private fun uncordon(machine: Machine) {
-        if (machine.drainReason != DrainReason.OPERATOR) return
-        machine.drainReason = null
-        decisions.add(Decision.BackInService(machine.id))
+        if (!drains.isEmpty) cordons.apply()
     }
 
+    /** Advances moves and drains, ten times per heartbeat interval. */
     fun tick() {
-        if (context.now < sweepAt) return
-        sweepAt = context.now + times.reportSeconds / SWEEPS_PER_REPORT
+        if (context.now < nextSweepAt) return
+        nextSweepAt = context.now + times.reportSeconds / SWEEPS_PER_REPORT
         moves.tick()
-        relief.tick()
-        if (moves.openMoves.isNotEmpty()) placeSoon()
+        hotspots.tick()
+        if (moves.openMoves.isNotEmpty()) requestPlacement()
         if (drains.isEmpty) return
-        applyCordons()
+        cordons.apply()
         workers.machines.values.forEach { if (it.drainReason == DrainReason.SLOW) workers.evictStraggler(it) }
-        progress = if (index.isEmpty) emptyMap() else evacuation.sweep(index::covering)
+        progress = if (index.isEmpty) emptyMap() else eviction.sweep(index::covering)
         drains.all.forEach(::advance)
     }
 
@@ -159,76 +130,81 @@
         when (drain.state) {
             DrainState.REQUESTED -> drains.advance(drain, DrainState.DRAINING)
             DrainState.DRAINING -> if (isEmptied(drain)) drains.advance(drain, DrainState.DRAINED)
-            DrainState.DRAINED -> if (drain.target is DrainTarget.Named && isOld(drain)) drains.forget(drain)
-            DrainState.CANCELLED -> if (isOld(drain)) drains.forget(drain)
+            DrainState.DRAINED -> if (drain.target is DrainTarget.SingleMachine && isExpired(drain)) drains.forget(drain)
+            DrainState.CANCELLED -> if (isExpired(drain)) drains.forget(drain)
         }
     }
 
-    /** A new leader may not know yet which machines there are, nor where those are that only claims name. */
+    /** A new leader may not know yet which machines exist, nor where those are that are known from allocations only. */
     private fun isEmptied(drain: Drain): Boolean {
-        if (drain in progress || !ports.fleet.isListed) return false
-        // One that only claims name, and that has none left, is gone: nothing is ever heard of it again.
+        if (drain in progress || !dependencies.fleet.isListed) return false
+        // A machine known from allocations only, with none left, is gone and never reports again.
         val withTasks =
             workers.machines.values.filter {
-                !ports.registry.allocations.byMachine[it.id]
+                !dependencies.registry.allocations.byMachine[it.id]
                     .isNullOrEmpty()
             }
-        return withTasks.none { it.type.isEmpty() || (drain.target is DrainTarget.InNetwork && it.address == null) }
+        return withTasks.none { it.type.isEmpty() || (drain.target is DrainTarget.Network && it.address == null) }
     }
 
-    private fun isOld(drain: Drain): Boolean = context.wallMillis - drain.changedMillis > retentionMillis
-
-    // --- what operators ask
+    private fun isExpired(drain: Drain): Boolean = context.wallMillis - drain.changedMillis > retentionMillis
 
+    /** Begins a drain of [target]; unless [forced] it is refused where it would leave a task without any machine that fits. */
     fun drain(
         target: DrainTarget,
         forced: Boolean,
         onResult: (DrainChange) -> Unit,
     ) {
-        val problem = safety.unknown(target) ?: if (forced) null else safety.lastOf(target, index)
-        if (problem != null) onResult(DrainChange.Refused(problem)) else drains.request(target, DrainCause.OPERATOR, onResult)
+        val exists = drainSafety.checkExists(target)
+        val check = if (exists == DrainCheck.Allowed && !forced) drainSafety.checkCapacityRemains(target, index) else exists
+        when (check) {
+            is DrainCheck.Refused -> onResult(DrainChange.Refused(check.reason))
+            DrainCheck.Allowed -> drains.request(target, DrainCause.OPERATOR, onResult)
+        }
     }
 
+    /** Cancels the drain of [target]. */
     fun undrain(
         target: DrainTarget,
         onResult: (DrainChange) -> Unit,
     ) = drains.cancel(target) { change ->
-        if (change is DrainChange.Written && target is DrainTarget.Named) putBack(target.machine)
-        placeSoon()
+        if (change is DrainChange.Written && target is DrainTarget.SingleMachine) clearStragglerMark(target.machine)
+        requestPlacement()
         onResult(change)
     }
 
-    /** A machine that was found slow serves again, until it is found slow once more. */
-    private fun putBack(id: String) {
+    /** Lets a machine that was found to be a straggler serve again, until it is found to be one once more. */
+    private fun clearStragglerMark(id: String) {
         val machine = workers.machines[id]?.takeIf { it.drainReason == DrainReason.SLOW } ?: return
         machine.drainReason = null
     }
 
+    /** The state of drains and moves, for operators. */
     fun report(): BalanceReport =
         BalanceReport(
             context.settings.member,
             drains.all.map { DrainReport(it, progress[it] ?: DrainProgress()) },
-            noticed(),
-            relief.hot.associateWith { relief.picture.slowdown(it, context.now) },
+            machinesWithReclaimNotice(),
+            hotspots.hot.associateWith { hotspots.loadTracker.slowdown(it, context.now) },
             moves.openMoves,
             moves.spentLately,
             settings.movesPerMinute,
             (drains.damaged + moves.damaged).toList(),
         )
 
-    /** Machines that the cloud takes back; their workers repeat the notice in every report, so that it needs no row. */
-    private fun noticed(): List<String> =
+    /** Spot machines that the cloud reclaims; their workers repeat the notice in every heartbeat, so it needs no row. */
+    private fun machinesWithReclaimNotice(): List<String> =
         workers.machines.values
             .filter { it.reclaimAt != null }
             .map { it.id }
 
     internal companion object {
-        /** Rows that a new leader reads beside its others. */
+        /** Prefixes of the rows that a new leader reads for this package. */
         val PREFIXES: List<String> = listOf(Drain.PREFIX, MoveBatch.PREFIX)
         private const val SWEEPS_PER_REPORT = 10
         private const val MILLIS_PER_SECOND = 1000
 
-        /** How long the row of a drain that is over can still be looked at, in worker leases. */
+        /** How long the row of a finished drain is kept, in worker leases. */
         private const val RETENTION_LEASES = 10
     }
 }
--- /dev/null
+++ b/src/main/kotlin/burlridge/balance/BalanceDependencies.kt
@@ -0,0 +1,18 @@
+package burlridge.balance
+
+import burlridge.allocation.JobRegistry
+import burlridge.fleet.Fleet
+import burlridge.leadership.Leadership
+import burlridge.placement.Placement
+import burlridge.store.StoreClient
+import burlridge.worker.WorkerManager
+
+/** The parts of a controller that this package works with. */
+internal class BalanceDependencies(
+    val store: StoreClient,
+    val leadership: Leadership,
+    val registry: JobRegistry,
+    val workers: WorkerManager,
+    val fleet: Fleet,
+    val placement: Placement,
+)
--- a/src/main/kotlin/burlridge/balance/Decision.kt
+++ b/src/main/kotlin/burlridge/balance/Decision.kt
@@ -2,23 +2,33 @@
 
 import burlridge.placement.PlacementReason
 
-/** Something that this package decided, with its reason; [subjects] are the tasks and machines that it is about. */
+/** A decision of this package that operators can read by `burlridge explain`, with its reason. */
 internal sealed interface Decision {
+    /** What `burlridge explain` and the counters call this kind of decision; on the wire, so independent of the class's name. */
+    val kind: String
+
+    /** The tasks and machines that it is about. */
     val subjects: List<String>
+
+    /** The decision and its reason in one sentence, as operators read it. */
     val text: String
 
-    data class Placed(
+    /** A task was placed otherwise than by best fit over a sample. */
+    data class TaskPlaced(
         val task: String,
         val machine: String,
         val reason: PlacementReason,
     ) : Decision {
+        override val kind: String get() = "Placed"
         override val subjects: List<String> get() = listOf(task, machine)
         override val text: String get() = "$task is placed on $machine: ${reason.text}"
     }
 
-    data class Planned(
+    /** A running task or gang is to be moved. */
+    data class MovePlanned(
         val move: Move,
     ) : Decision {
+        override val kind: String get() = "Planned"
         override val subjects: List<String> get() = listOfNotNull(move.taskName, move.job, move.from, move.to)
         override val text: String get() {
             val what = if (move.isGang) "gang ${move.job} of ${move.tasks}" else move.taskName
@@ -27,57 +37,73 @@
         }
     }
 
-    data class RoomGivenUp(
+    /** The capacity reserved at the target of a move is released. */
+    data class ReservationReleased(
         val move: Move,
     ) : Decision {
+        override val kind: String get() = "RoomGivenUp"
         override val subjects: List<String> get() = listOfNotNull(move.taskName, move.to)
         override val text: String
             get() = "room kept on ${move.to} for ${move.taskName} is given up: it came too late, or the machine is out of service"
     }
 
-    data class PutBack(
+    /** A planned move does not take place. */
+    data class MoveRevoked(
         val move: Move,
     ) : Decision {
+        override val kind: String get() = "PutBack"
         override val subjects: List<String> get() = listOf(move.taskName, move.from)
         override val text: String get() = "${move.taskName} stays on ${move.from}: its drain was called off before the stop was sent"
     }
 
-    data class BecameHot(
+    /** A machine gets nothing new because its tasks are slow. */
+    data class MachineBecameHot(
         val machine: String,
+        /** How many times as long as elsewhere its tasks take. */
         val slowdown: Double,
     ) : Decision {
+        override val kind: String get() = "BecameHot"
         override val subjects: List<String> get() = listOf(machine)
         override val text: String
             get() = "$machine is hot and gets nothing new: its tasks take %.2f times as long as elsewhere".format(slowdown)
     }
 
-    data class Cooled(
+    /** A hot machine gets new tasks again. */
+    data class MachineCooledDown(
         val machine: String,
+        /** How many times as long as elsewhere its tasks take. */
         val slowdown: Double,
     ) : Decision {
+        override val kind: String get() = "Cooled"
         override val subjects: List<String> get() = listOf(machine)
         override val text: String get() = "$machine is not counted as hot any more (slowdown %.2f)".format(slowdown)
     }
 
-    data class LeftForSlowness(
+    /** A machine is emptied and returned because it is a straggler. */
+    data class StragglerEvicted(
         val machine: String,
     ) : Decision {
+        override val kind: String get() = "LeftForSlowness"
         override val subjects: List<String> get() = listOf(machine)
         override val text: String get() = "$machine is left for being slow"
     }
 
-    data class Covered(
+    /** A machine is taken out of service by a drain. */
+    data class MachineCordoned(
         val machine: String,
         val drain: Drain,
     ) : Decision {
+        override val kind: String get() = "Covered"
         override val subjects: List<String> get() = listOf(machine)
         override val text: String
             get() = "$machine is out of service: drain of ${drain.target.kind} ${drain.target.value} (${drain.cause.wire})"
     }
 
-    data class BackInService(
+    /** A machine serves again since no drain applies to it any more. */
+    data class MachineUncordoned(
         val machine: String,
     ) : Decision {
+        override val kind: String get() = "BackInService"
         override val subjects: List<String> get() = listOf(machine)
         override val text: String get() = "$machine is back in service: no drain covers it"
     }
--- a/src/main/kotlin/burlridge/balance/DecisionLog.kt
+++ b/src/main/kotlin/burlridge/balance/DecisionLog.kt
@@ -4,10 +4,10 @@
 import burlridge.json.Json
 import com.fasterxml.jackson.databind.JsonNode
 
-/** The latest decisions of this leader's term, the oldest dropped first; what operators read by `burlridge explain`. */
+/** The latest decisions of this leader's term, for `burlridge explain`; the oldest are dropped first. */
 internal class DecisionLog(
     private val context: StepContext,
-    private val most: Int,
+    private val maxEntries: Int,
 ) {
     private class Entry(
         val atMillis: Long,
@@ -16,24 +16,26 @@
 
     private val entries = ArrayDeque<Entry>()
 
-    /** Decisions of this term, those that were dropped included. */
+    /** Decisions of this term, including those dropped. */
     private var count = 0L
     private var sinceMillis = 0L
 
+    /** Forgets everything: a new term begins, or this one has ended. */
     fun clear() {
         entries.clear()
         count = 0
         sinceMillis = context.wallMillis
     }
 
+    /** Records and counts [decision]. */
     fun add(decision: Decision) {
-        context.count(COUNTER + decision::class.java.simpleName)
+        context.count(COUNTER + decision.kind)
         count++
         entries.addLast(Entry(context.wallMillis, decision))
-        if (entries.size > most) entries.removeFirst()
+        if (entries.size > maxEntries) entries.removeFirst()
     }
 
-    /** Everything that is still known about the task or machine [subject], in the order of time. */
+    /** All kept decisions about the task or machine [subject], oldest first, as JSON. */
     fun explain(subject: String): JsonNode =
         Json.obj {
             put("member", context.settings.member)
@@ -45,7 +47,7 @@
                     list
                         .addObject()
                         .put("at_ms", entry.atMillis)
-                        .put("kind", entry.decision::class.java.simpleName)
+                        .put("kind", entry.decision.kind)
                         .put("text", entry.decision.text)
                 }
             }
--- a/src/main/kotlin/burlridge/balance/Drain.kt
+++ b/src/main/kotlin/burlridge/balance/Drain.kt
@@ -75,7 +75,7 @@
             val target =
                 try {
                     DrainTarget.parse(value.path("target"))
-                } catch (_: DrainRefused) {
+                } catch (_: InvalidDrainTargetException) {
                     return null
                 }
             val state = DrainState.of(value.path("st").asText()) ?: return null
--- a/src/main/kotlin/burlridge/balance/DrainIndex.kt
+++ b/src/main/kotlin/burlridge/balance/DrainIndex.kt
@@ -14,9 +14,9 @@
 
     fun rebuild(drains: List<Drain>) {
         val active = drains.filter { it.active }
-        byMachine = active.filter { it.target is DrainTarget.Named }.associateBy { it.target.value }
-        byZone = active.filter { it.target is DrainTarget.InZone }.associateBy { it.target.value }
-        networks = active.filter { it.target is DrainTarget.InNetwork }
+        byMachine = active.filter { it.target is DrainTarget.SingleMachine }.associateBy { it.target.value }
+        byZone = active.filter { it.target is DrainTarget.Zone }.associateBy { it.target.value }
+        networks = active.filter { it.target is DrainTarget.Network }
         byHost.clear()
     }
 
--- a/src/main/kotlin/burlridge/balance/Drains.kt
+++ b/src/main/kotlin/burlridge/balance/DrainRegistry.kt
@@ -13,24 +13,25 @@
 
 /** What became of a request for a change of a drain. */
 internal sealed interface DrainChange {
-    /** Durable, as [drain] says; perhaps before it was asked for. */
+    /** Durable as [drain] says; it may have been so before. */
     data class Written(
         val drain: Drain,
     ) : DrainChange
 
-    /** Another change of the same drain is being written; this one was not begun. */
+    /** Another change of the same drain is being written; this one did not begin. */
     data object Busy : DrainChange
 
+    /** Nothing was written; [reason] is one line for the operator. */
     data class Refused(
         val reason: String,
     ) : DrainChange
 }
 
 /**
- * The drains there are: a row each, named after its target, written by the leader alone under the fence of its term and the row's own
- * stamp. A new leader reads them all before it places anything.
+ * All drains, a row each, keyed by its target. Only the leader writes them, by compare-and-swap on the row and under its fence. A new
+ * leader reads them all before it places anything.
  */
-internal class Drains(
+internal class DrainRegistry(
     private val context: StepContext,
     private val store: StoreClient,
     private val leadership: Leadership,
@@ -39,35 +40,39 @@
     private class Entry(
         var drain: Drain?,
     ) {
-        /** The change whose row's outcome is open, and who waits for it. */
+        /** The change that is being written, and the callbacks that wait for its outcome. */
         var writing: Drain? = null
-        val waiting = ArrayList<(DrainChange) -> Unit>()
+        val waiters = ArrayList<(DrainChange) -> Unit>()
     }
 
     private val entries = LinkedHashMap<String, Entry>()
 
     /** Keys of rows that cannot be read; they are left as they are. */
     val damaged: LinkedHashSet<String> = LinkedHashSet()
+
+    /** All drains, cancelled ones that are still kept included. */
     val all: List<Drain> get() = entries.values.mapNotNull { it.drain }
     val isEmpty: Boolean get() = entries.isEmpty()
 
+    /** Forgets everything: a new term begins, or this one has ended. */
     fun clear() {
         entries.clear()
         damaged.clear()
         onChange()
     }
 
+    /** Takes over a row of an earlier leader. */
     fun load(row: Row) {
         val drain = Drain.decode(row)
         if (drain != null) {
             entries[row.key] = Entry(drain)
             onChange()
         } else if (damaged.add(row.key)) {
-            context.infoRateLimited("damaged drain rows", "row ${row.key} cannot be read and is left as it is")
+            context.infoLimited("drain row unreadable", "row" to row.key)
         }
     }
 
-    /** Begins a drain of [target], or joins the one there is. */
+    /** Begins a drain of [target], or joins the existing one. */
     fun request(
         target: DrainTarget,
         cause: DrainCause,
@@ -82,7 +87,7 @@
         change(entry, next, onResult)
     }
 
-    /** Calls the drain of [target] off. */
+    /** Cancels the drain of [target]. */
     fun cancel(
         target: DrainTarget,
         onResult: (DrainChange) -> Unit,
@@ -97,7 +102,7 @@
         change(entry, now.copy(state = DrainState.CANCELLED, changedMillis = context.wallMillis), onResult)
     }
 
-    /** Moves [drain] on; nothing happens while another change of it is being written, since the next sweep asks again. */
+    /** Puts [drain] into [state]. Nothing happens while another change of it is being written: the next sweep asks again. */
     fun advance(
         drain: Drain,
         state: DrainState,
@@ -114,12 +119,12 @@
         val writing = entry.writing
         when {
             writing == null -> {
-                entry.waiting += onResult
+                entry.waiters += onResult
                 write(entry, next)
             }
 
             writing.active == next.active -> {
-                entry.waiting += onResult
+                entry.waiters += onResult
             }
 
             else -> {
@@ -140,15 +145,15 @@
             )
         store.commitUntilKnown(transaction, RequestPriority.CLAIM, leadership.whileLeading(leadership.term)) { result ->
             when {
-                result is TransactionResult.Committed -> written(entry, next.copy(modRevision = result.revision))
+                result is TransactionResult.Committed -> onWritten(entry, next.copy(modRevision = result.revision))
                 result is TransactionResult.Conflict && Leadership.TERM in result.failed -> leadership.stepDownOnPassedTerm()
                 result is TransactionResult.Conflict -> readBack(entry, next)
-                else -> given(entry, entry.drain, DrainChange.Refused("its row is not taken by the state service"))
+                else -> settle(entry, entry.drain, DrainChange.Refused("its row is not taken by the state service"))
             }
         }
     }
 
-    /** Only the leader writes this row: an earlier copy of the same change was the one that was carried out. */
+    /** Only the leader writes this row, so an earlier copy of the same change was the one that was executed. */
     private fun readBack(
         entry: Entry,
         next: Drain,
@@ -159,21 +164,26 @@
             when {
                 !mine() -> Unit
                 read is ReadResult.Failed -> context.schedule(RETRY_SECONDS) { if (mine()) readBack(entry, next) }
-                row != null && next.isWrittenIn(row) -> written(entry, next.copy(modRevision = row.modRevision))
-                else -> given(entry, row?.let(Drain::decode), DrainChange.Refused("its row was changed by someone else"))
+                row != null && next.isWrittenIn(row) -> onWritten(entry, next.copy(modRevision = row.modRevision))
+                else -> settle(entry, row?.let(Drain::decode), DrainChange.Refused("its row was changed by someone else"))
             }
         }
     }
 
-    private fun written(
+    private fun onWritten(
         entry: Entry,
         drain: Drain,
     ) {
-        context.info("drain of ${drain.target.kind} ${drain.target.value}: ${drain.state.wire} (${drain.cause.wire})")
-        given(entry, drain, DrainChange.Written(drain))
+        context.info(
+            "drain changed",
+            drain.target.kind to drain.target.value,
+            "state" to drain.state.wire,
+            "cause" to drain.cause.wire,
+        )
+        settle(entry, drain, DrainChange.Written(drain))
     }
 
-    private fun given(
+    private fun settle(
         entry: Entry,
         drain: Drain?,
         outcome: DrainChange,
@@ -183,12 +193,12 @@
         entry.writing = null
         if (drain == null && key != null) entries.remove(key)
         onChange()
-        val told = entry.waiting.toList()
-        entry.waiting.clear()
-        told.forEach { it(outcome) }
+        val notified = entry.waiters.toList()
+        entry.waiters.clear()
+        notified.forEach { it(outcome) }
     }
 
-    /** Removes the row of a [drain] that is long over. */
+    /** Removes the row of a [drain] that ended long ago. */
     fun forget(drain: Drain) {
         val entry = entries[drain.rowKey]?.takeIf { it.writing == null && it.drain == drain } ?: return
         entry.writing = drain
@@ -201,8 +211,8 @@
             when {
                 result is TransactionResult.Conflict && Leadership.TERM in result.failed -> leadership.stepDownOnPassedTerm()
 
-                // Only we write this row: where its stamp has passed, an earlier copy has removed it.
-                else -> given(entry, null, DrainChange.Busy)
+                // Only this leader writes the row: if its revision has moved on, an earlier copy of this write has removed it.
+                else -> settle(entry, null, DrainChange.Busy)
             }
         }
     }
--- a/src/main/kotlin/burlridge/balance/DrainSafety.kt
+++ b/src/main/kotlin/burlridge/balance/DrainSafety.kt
@@ -8,7 +8,18 @@
 import burlridge.worker.Machine
 import burlridge.worker.WorkerManager
 
-/** Says what is wrong with a drain before it is begun. */
+/** Whether a drain may begin. */
+internal sealed interface DrainCheck {
+    /** Nothing is wrong with it. */
+    data object Allowed : DrainCheck
+
+    /** It may not begin; [reason] is one line for the operator. */
+    data class Refused(
+        val reason: String,
+    ) : DrainCheck
+}
+
+/** Checks a drain before it begins. */
 internal class DrainSafety(
     settings: Settings,
     private val registry: JobRegistry,
@@ -20,14 +31,19 @@
             .filter { it.cpus > 0 || it.gpus > 0 }
             .mapTo(HashSet()) { it.name }
 
-    /** A machine or zone that nobody knows; a network may be empty now and have machines later. */
-    fun unknown(target: DrainTarget): String? =
+    /** Refuses a machine or zone that is not known; a network may have no machines now and get some later. */
+    fun checkExists(target: DrainTarget): DrainCheck =
         when (target) {
-            is DrainTarget.Named -> "unknown machine ${target.machine}".takeIf { target.machine !in workers.machines }
-            is DrainTarget.InZone -> "unknown zone ${target.zone}".takeIf { target.zone !in zones() }
-            is DrainTarget.InNetwork -> null
+            is DrainTarget.SingleMachine -> allowedIf(target.machine in workers.machines) { "unknown machine ${target.machine}" }
+            is DrainTarget.Zone -> allowedIf(target.zone in zones()) { "unknown zone ${target.zone}" }
+            is DrainTarget.Network -> DrainCheck.Allowed
         }
 
+    private fun allowedIf(
+        condition: Boolean,
+        reason: () -> String,
+    ): DrainCheck = if (condition) DrainCheck.Allowed else DrainCheck.Refused(reason())
+
     private fun zones(): Set<String> {
         val rented = workers.machines.values.map { it.zone }
         return rented.toSet() +
@@ -38,34 +54,38 @@
                 .orEmpty()
     }
 
-    /** What loses the last machine that can hold it: a task of a guaranteed team, or one that waits. */
-    fun lastOf(
+    /** Refuses a drain that takes the last machine on which a task of a guaranteed team, or a waiting task, fits. */
+    fun checkCapacityRemains(
         target: DrainTarget,
         drained: DrainIndex,
-    ): String? {
+    ): DrainCheck {
         val serving =
             workers.machines.values.filter {
                 it.up && !it.leaseExpired && !it.draining && it.reclaimAt == null &&
                     drained.covering(it) == null
             }
         val (leaving, staying) = serving.partition(target::matches)
-        if (leaving.isEmpty()) return null
+        if (leaving.isEmpty()) return DrainCheck.Allowed
         if (staying.isEmpty() && guaranteed.isNotEmpty()) {
-            return "it takes the last machine, and ${guaranteed.sorted().joinToString()} is guaranteed room; force it if that is meant"
+            return refused(
+                "it takes the last machine, and ${guaranteed.sorted().joinToString()} is guaranteed room; force it if that is meant",
+            )
         }
         val stranded =
             registry.jobs.values.firstOrNull {
-                isOwedRoom(it) && leaving.any { m -> holds(m, it.spec) } &&
-                    staying.none { m -> holds(m, it.spec) }
+                needsCapacity(it) && leaving.any { m -> canHold(m, it.spec) } &&
+                    staying.none { m -> canHold(m, it.spec) }
             }
-        return stranded?.let {
-            "it takes the last machine that can hold a task of ${it.spec.id} (team ${it.spec.team}); force it if that is meant"
-        }
+                ?: return DrainCheck.Allowed
+        val owner = "${stranded.spec.id} (team ${stranded.spec.team})"
+        return refused("it takes the last machine that can hold a task of $owner; force it if that is meant")
     }
 
-    private fun isOwedRoom(job: Job): Boolean = job.pendingEndState == null && (job.unallocatedCount > 0 || job.spec.team in guaranteed)
+    private fun refused(reason: String): DrainCheck = DrainCheck.Refused(reason)
+
+    private fun needsCapacity(job: Job): Boolean = job.pendingEndState == null && (job.unallocatedCount > 0 || job.spec.team in guaranteed)
 
-    private fun holds(
+    private fun canHold(
         machine: Machine,
         spec: JobSpec,
     ): Boolean {
--- a/src/main/kotlin/burlridge/balance/DrainTarget.kt
+++ b/src/main/kotlin/burlridge/balance/DrainTarget.kt
@@ -8,7 +8,7 @@
 import inet.ipaddr.IPAddressStringParameters
 
 /** A drain that cannot be asked for; the message is one line for the operator. */
-internal class DrainRefused(
+internal class InvalidDrainTargetException(
     message: String,
 ) : Exception(message)
 
@@ -25,7 +25,7 @@
 
     fun encode(to: ObjectNode): ObjectNode = to.put(kind, value)
 
-    data class Named(
+    data class SingleMachine(
         val machine: String,
     ) : DrainTarget {
         override val key: String get() = "$MACHINE/$machine"
@@ -35,7 +35,7 @@
         override fun matches(machine: Machine): Boolean = machine.id == this.machine
     }
 
-    data class InZone(
+    data class Zone(
         val zone: String,
     ) : DrainTarget {
         override val key: String get() = "$ZONE/$zone"
@@ -46,7 +46,7 @@
     }
 
     /** All addresses of a block; [block] has no bits set behind its prefix. */
-    data class InNetwork(
+    data class Network(
         val block: IPAddress,
     ) : DrainTarget {
         override val key: String get() = "$NETWORK/$value"
@@ -80,29 +80,40 @@
                 .apply { iPv4AddressParametersBuilder.allow_inet_aton(false) }
                 .toParams()
 
-        /** The one target that [node] names; a [DrainRefused] says what is wrong with any other. */
+        /** The one target that [node] names; a [InvalidDrainTargetException] says what is wrong with any other. */
         fun parse(node: JsonNode?): DrainTarget {
             val named = listOf(MACHINE, ZONE, NETWORK).filter { node?.path(it)?.isTextual == true }
-            val kind = named.singleOrNull() ?: throw DrainRefused("name one $MACHINE, one $NETWORK or one $ZONE")
+            val kind = named.singleOrNull() ?: throw InvalidDrainTargetException("name one $MACHINE, one $NETWORK or one $ZONE")
             val value = node?.path(kind)?.asText().orEmpty()
             return when (kind) {
-                MACHINE -> Named(name(kind, value))
-                ZONE -> InZone(name(kind, value))
-                else -> InNetwork(block(value))
+                MACHINE -> SingleMachine(name(kind, value))
+                ZONE -> Zone(name(kind, value))
+                else -> Network(block(value))
             }
         }
 
         private fun name(
             kind: String,
             value: String,
-        ): String = if (NAME.matches(value)) value else throw DrainRefused("\"${value.take(SHOWN)}\" is no name of a $kind")
+        ): String =
+            if (NAME.matches(
+                    value,
+                )
+            ) {
+                value
+            } else {
+                throw InvalidDrainTargetException("\"${value.take(MAX_SHOWN_CHARS)}\" is no name of a $kind")
+            }
 
         private fun block(value: String): IPAddress {
             val address = IPAddressString(value, ADDRESSES).address
             val block = address?.let { if (it.isPrefixed) it.toPrefixBlock() else it }
-            return block ?: throw DrainRefused("\"${value.take(SHOWN)}\" is no network range like 10.1.0.0/24 or 2001:db8::/48")
+            return block
+                ?: throw InvalidDrainTargetException(
+                    "\"${value.take(MAX_SHOWN_CHARS)}\" is no network range like 10.1.0.0/24 or 2001:db8::/48",
+                )
         }
 
-        private const val SHOWN = 60
+        private const val MAX_SHOWN_CHARS = 60
     }
 }
--- a/src/main/kotlin/burlridge/balance/GracefulEviction.kt
+++ b/src/main/kotlin/burlridge/balance/GracefulEviction.kt
@@ -13,66 +13,42 @@
 import burlridge.worker.Machine
 import burlridge.worker.WorkerManager
 
-/** Why a task is still on a machine that is drained. */
-internal enum class StayReason(
-    val text: String,
-) {
-    STOPPING("being stopped"),
-    FINISHING("surely ends soon"),
-    NOT_PERMITTED("its class is never moved"),
-    DOES_NOT_SAVE("does not save and may not be repeated"),
-    MOVED_OFTEN("has been moved as often as it may"),
-    OVER_BUDGET("waits for the budget of moves"),
-    NO_ROOM("waits for room elsewhere"),
-    UNHEARD("its machine is not heard, so nothing can be proven of it"),
-    NOT_YET("its start is under way"),
-}
-
-/** What is left on the machines of one drain. */
-internal class DrainProgress {
-    var machines = 0
-    val tasks = java.util.EnumMap<StayReason, Int>(StayReason::class.java)
-
-    fun stays(
-        reason: StayReason,
-        count: Int = 1,
-    ) {
-        tasks.merge(reason, count, Int::plus)
-    }
-}
-
-/** Empties the machines that operators drain: what surely ends soon finishes, and the rest is moved as far as its class permits. */
+/**
+ * Empties machines that operators drain: tasks that certainly end soon are left to finish, the rest are moved as far as their job class
+ * permits.
+ */
 internal class GracefulEviction(
     private val context: StepContext,
     private val settings: BalanceSettings,
     private val registry: JobRegistry,
     private val workers: WorkerManager,
-    private val moves: Moves,
+    private val moves: MoveExecutor,
     private val targets: () -> MoveTargetFinder,
 ) {
     private val finishSeconds = settings.finishReports * context.settings.workers.reportSeconds
-    private val roomSeconds = settings.roomLeases * context.settings.workers.leaseSeconds
+    private val capacityWaitSeconds = settings.roomLeases * context.settings.workers.leaseSeconds
 
-    /** Since when a task has found no room elsewhere. */
-    private var roomlessSince = HashMap<String, Double>()
+    /** Since when each task has found no capacity elsewhere, by task name. */
+    private var withoutTargetSince = HashMap<String, Double>()
 
-    fun clear() = roomlessSince.clear()
+    /** Forgets what this term has seen. */
+    fun clear() = withoutTargetSince.clear()
 
-    /** One sweep over the machines that drains cover; what it finds is the progress of each drain. */
+    /** One sweep over the machines that drains cover, by [covering]; returns the progress of each drain. */
     fun sweep(covering: (Machine) -> Drain?): Map<Drain, DrainProgress> {
         val progress = HashMap<Drain, DrainProgress>()
         val sweep = Sweep()
         for (machine in workers.machines.values.toList()) {
             val drain = covering(machine) ?: continue
-            val here = progress.getOrPut(drain) { DrainProgress() }
-            here.machines++
+            val drainProgress = progress.getOrPut(drain) { DrainProgress() }
+            drainProgress.machines++
             if (machine.drainReason != DrainReason.OPERATOR) continue
             workers.releaseUndispatched(machine, "never sent, and its machine is drained")
             for (allocation in registry.allocations.byMachine[machine.id]
                 ?.values
                 .orEmpty()) {
                 val job = registry.jobs[allocation.job]?.takeIf { it.pendingEndState != JobState.CANCELLED } ?: continue
-                here.stays(sweep.look(machine, job, allocation))
+                drainProgress.addRemaining(sweep.assess(machine, job, allocation))
             }
         }
         sweep.finish()
@@ -82,23 +58,23 @@
     private inner class Sweep {
         private val planned = ArrayList<Move>()
         private val gangs = HashSet<String>()
-        private val roomless = HashMap<String, Double>()
-        private val room by lazy(LazyThreadSafetyMode.NONE) { targets() }
+        private val withoutTarget = HashMap<String, Double>()
+        private val targetFinder by lazy(LazyThreadSafetyMode.NONE) { targets() }
 
-        fun look(
+        fun assess(
             machine: Machine,
             job: Job,
             allocation: Allocation,
-        ): StayReason =
+        ): EvictionDelay =
             when {
-                allocation.phase <= AllocationPhase.COMMITTED -> StayReason.NOT_YET
+                allocation.phase <= AllocationPhase.COMMITTED -> EvictionDelay.STARTING
 
                 allocation.stopGraceSeconds != null || allocation.phase == AllocationPhase.CHECKPOINTING ||
-                    allocation.job in gangs -> StayReason.STOPPING
+                    allocation.job in gangs -> EvictionDelay.STOPPING
 
-                workers.isSilent(machine) || !machine.isResponsive || machine.leaseExpired -> StayReason.UNHEARD
+                workers.isSilent(machine) || !machine.isResponsive || machine.leaseExpired -> EvictionDelay.NO_HEARTBEAT
 
-                endsSoon(job, allocation) -> StayReason.FINISHING
+                endsSoon(job, allocation) -> EvictionDelay.FINISHING
 
                 else -> tryMove(machine, job, allocation)
             }
@@ -107,17 +83,17 @@
             machine: Machine,
             job: Job,
             allocation: Allocation,
-        ): StayReason {
+        ): EvictionDelay {
             val task = if (job.spec.gang) Move.WHOLE_GANG else allocation.task
             val taskName = "${allocation.job}/$task"
             val permission = settings.permission(job.spec.jobClass)
             val count = moves.countOf(taskName) + 1
             return when {
-                moves.isOpen(taskName) -> StayReason.STOPPING
-                permission == MovePermission.NEVER -> StayReason.NOT_PERMITTED
-                permission == MovePermission.SAVED && job.spec.checkpointSeconds <= 0 -> StayReason.DOES_NOT_SAVE
-                count > settings.movesPerTask -> StayReason.MOVED_OFTEN
-                moves.writing || planned.size >= moves.mostPerRow -> StayReason.OVER_BUDGET
+                moves.isOpen(taskName) -> EvictionDelay.STOPPING
+                permission == MovePermission.NEVER -> EvictionDelay.NOT_PERMITTED
+                permission == MovePermission.SAVED && job.spec.checkpointSeconds <= 0 -> EvictionDelay.NO_CHECKPOINTS
+                count > settings.movesPerTask -> EvictionDelay.MOVE_LIMIT_REACHED
+                moves.writing || planned.size >= moves.maxMovesPerRow -> EvictionDelay.OVER_BUDGET
                 else -> plan(machine, job, allocation, task, count)
             }
         }
@@ -128,50 +104,50 @@
             allocation: Allocation,
             task: Int,
             count: Int,
-        ): StayReason {
+        ): EvictionDelay {
             val spec = job.spec
             val tasks = if (spec.gang) spec.tasks else 1
             val move = Move(allocation.job, task, allocation.attempt, spec.team, spec.jobClass, machine.id, null, count, tasks)
-            if (!moves.permits(move)) return StayReason.OVER_BUDGET
-            // A gang finds its seats only once it is gone: no room is kept for it.
-            val target = if (spec.gang) null else room.reserveTarget(job, allocation)
-            if (target == null && !spec.gang && !waitedLong(move.taskName)) return StayReason.NO_ROOM
+            if (!moves.permits(move)) return EvictionDelay.OVER_BUDGET
+            // A gang is placed as a whole once it has stopped, so no capacity is reserved for it.
+            val target = if (spec.gang) null else targetFinder.reserveTarget(job, allocation)
+            if (target == null && !spec.gang && !hasWaitedForCapacity(move.taskName)) return EvictionDelay.NO_CAPACITY
             moves.spend(move)
             planned += move.copy(to = target?.id)
             if (spec.gang) gangs += allocation.job
-            return StayReason.STOPPING
+            return EvictionDelay.STOPPING
         }
 
-        private fun waitedLong(taskName: String): Boolean {
-            val since = roomlessSince[taskName] ?: context.now
-            roomless[taskName] = since
-            return context.now >= since + roomSeconds
+        private fun hasWaitedForCapacity(taskName: String): Boolean {
+            val since = withoutTargetSince[taskName] ?: context.now
+            withoutTarget[taskName] = since
+            return context.now >= since + capacityWaitSeconds
         }
 
         fun finish() {
-            roomlessSince = roomless
+            withoutTargetSince = withoutTarget
             if (planned.isNotEmpty()) moves.plan(planned)
         }
     }
 
-    /** Whether its run surely ends within the operators' limit, by those of its job that have ended or by its owner's estimate. */
+    /** Whether the task certainly ends within the operators' limit, judged by tasks of its job that have ended, or by the owner's estimate. */
     private fun endsSoon(
         job: Job,
         allocation: Allocation,
     ): Boolean {
-        // Of a task that an earlier leader started, what is known is that it has run since this one knows of it.
+        // Of a task that an earlier leader started it is only known that it has run since this leader loaded it.
         val since =
             allocation.startedAt ?: allocation.allocatedAt.takeIf {
                 allocation.isInherited &&
                     allocation.phase == AllocationPhase.RUNNING
             }
         val ranSeconds = since?.let { context.now - it } ?: 0.0
-        val leftSeconds = (job.meanRunSeconds ?: job.spec.estimateSeconds) * UNSURE - ranSeconds
+        val leftSeconds = (job.meanRunSeconds ?: job.spec.estimateSeconds) * ESTIMATE_MARGIN - ranSeconds
         return leftSeconds in 0.0..finishSeconds
     }
 
     private companion object {
-        /** Runs of one job differ, and estimates are often wrong by half. */
-        const val UNSURE = 1.5
+        /** Run times within one job differ, and estimates are often wrong by half. */
+        const val ESTIMATE_MARGIN = 1.5
     }
 }
--- a/src/main/kotlin/burlridge/balance/LoadTracker.kt
+++ b/src/main/kotlin/burlridge/balance/LoadTracker.kt
@@ -6,7 +6,7 @@
 import it.unimi.dsi.fastutil.objects.Object2ObjectOpenHashMap
 
 /** How loaded a machine is, as far as its reports tell. */
-internal enum class Load {
+internal enum class LoadLevel {
     /** Not heard lately, or nothing has run there yet: neither idle nor hot. */
     UNKNOWN,
     NORMAL,
@@ -25,21 +25,21 @@
     /** After this time without evidence half of what was learned of a machine still counts, in seconds. */
     private val halfLifeSeconds: Double,
 ) {
-    private class MachineLoad {
+    private class MachineRecord {
         var slowdown = 1.0
         var samples = 0
-        var learnedAt = 0.0
+        var sampledAt = 0.0
         var hot = false
     }
 
     /** How long tasks of a class run, as a ratio to their owners' estimates. */
-    private class ClassPace {
+    private class ClassRuntime {
         var ratio = 1.0
         var samples = 0
     }
 
-    private val machines = Object2ObjectOpenHashMap<String, MachineLoad>()
-    private val classes = Object2ObjectOpenHashMap<String, ClassPace>()
+    private val machines = Object2ObjectOpenHashMap<String, MachineRecord>()
+    private val classes = Object2ObjectOpenHashMap<String, ClassRuntime>()
 
     /** Samples taken in so far. */
     var samples: Long = 0
@@ -54,27 +54,27 @@
     }
 
     /** Forgets machines that are gone, once there are many of them. */
-    fun keepOnly(known: Set<String>) {
-        if (machines.size > known.size * 2 + FEW) machines.keys.retainAll(known)
+    fun retainOnly(record: Set<String>) {
+        if (machines.size > record.size * 2 + MIN_SAMPLES) machines.keys.retainAll(record)
     }
 
     /** A task of [job] has run to its end on [machine] in [ranSeconds]. */
-    fun ended(
+    fun recordCompleted(
         machine: String,
         job: Job,
         ranSeconds: Double,
         now: Double,
     ) {
         if (!isPlausible(ranSeconds)) return
-        expectedRunSeconds(job)?.let { learn(machine, ranSeconds / it, END_WEIGHT, now) }
-        val pace = classes.getOrPut(job.spec.jobClass) { ClassPace() }
+        expectedRunSeconds(job)?.let { addSample(machine, ranSeconds / it, COMPLETION_WEIGHT, now) }
+        val runtime = classes.getOrPut(job.spec.jobClass) { ClassRuntime() }
         val ratio = ranSeconds / job.spec.estimateSeconds.coerceAtLeast(1.0)
-        pace.samples++
-        pace.ratio += (ratio - pace.ratio) * maxOf(END_WEIGHT, 1.0 / pace.samples)
+        runtime.samples++
+        runtime.ratio += (ratio - runtime.ratio) * maxOf(COMPLETION_WEIGHT, 1.0 / runtime.samples)
     }
 
     /** A task of [job] still runs on [machine] after [ranSeconds]; news only once it is overdue. */
-    fun runs(
+    fun recordRunning(
         machine: String,
         job: Job,
         ranSeconds: Double,
@@ -82,69 +82,69 @@
     ) {
         if (!isPlausible(ranSeconds)) return
         val ratio = ranSeconds / (expectedRunSeconds(job) ?: return)
-        if (ratio > 1.0) learn(machine, ratio, OVERDUE_WEIGHT, now)
+        if (ratio > 1.0) addSample(machine, ratio, OVERDUE_WEIGHT, now)
     }
 
     /** A clock that jumped, or a start that was never seen, teaches nothing. */
-    private fun isPlausible(ranSeconds: Double): Boolean = ranSeconds.isFinite() && ranSeconds > 0.0 && ranSeconds < LONGEST_RUN_SECONDS
+    private fun isPlausible(ranSeconds: Double): Boolean = ranSeconds.isFinite() && ranSeconds > 0.0 && ranSeconds < MAX_RUN_SECONDS
 
     /** By others of the same job, else by its class; null where neither is known yet. */
     fun expectedRunSeconds(job: Job): Double? {
         job.meanRunSeconds?.let { return it.coerceAtLeast(1.0) }
-        val pace = classes[job.spec.jobClass]?.takeIf { it.samples >= FEW } ?: return null
-        return (job.spec.estimateSeconds * pace.ratio).coerceAtLeast(1.0)
+        val runtime = classes[job.spec.jobClass]?.takeIf { it.samples >= MIN_SAMPLES } ?: return null
+        return (job.spec.estimateSeconds * runtime.ratio).coerceAtLeast(1.0)
     }
 
-    private fun learn(
+    private fun addSample(
         machine: String,
         ratio: Double,
         weight: Double,
         now: Double,
     ) {
-        val load = machines.getOrPut(machine) { MachineLoad() }
-        val faded = faded(load, now)
+        val load = machines.getOrPut(machine) { MachineRecord() }
+        val decayedSlowdown = decayedSlowdown(load, now)
         samples++
         load.samples++
-        load.learnedAt = now
-        load.slowdown = (faded + (ratio.coerceAtMost(MOST_SLOWDOWN) - faded) * weight)
-        if (load.slowdown > settings.hotFactor && load.samples >= FEW) load.hot = true
+        load.sampledAt = now
+        load.slowdown = (decayedSlowdown + (ratio.coerceAtMost(MAX_SLOWDOWN) - decayedSlowdown) * weight)
+        if (load.slowdown > settings.hotFactor && load.samples >= MIN_SAMPLES) load.hot = true
     }
 
-    private fun faded(
-        load: MachineLoad,
+    private fun decayedSlowdown(
+        load: MachineRecord,
         now: Double,
-    ): Double = 1.0 + (load.slowdown - 1.0) * Math.pow(0.5, (now - load.learnedAt) / halfLifeSeconds)
+    ): Double = 1.0 + (load.slowdown - 1.0) * Math.pow(0.5, (now - load.sampledAt) / halfLifeSeconds)
 
     /** How many times as long as elsewhere tasks take on [machine], as far as is known. */
     fun slowdown(
         machine: String,
         now: Double,
-    ): Double = machines[machine]?.let { faded(it, now) } ?: 1.0
+    ): Double = machines[machine]?.let { decayedSlowdown(it, now) } ?: 1.0
 
     fun load(
         machine: Machine,
         silent: Boolean,
         now: Double,
-    ): Load {
-        val known = machines[machine.id] ?: return Load.UNKNOWN
-        if (known.hot && faded(known, now) < settings.coolFactor) known.hot = false
+    ): LoadLevel {
+        val record = machines[machine.id] ?: return LoadLevel.UNKNOWN
+        if (record.hot && decayedSlowdown(record, now) < settings.coolFactor) record.hot = false
         return when {
-            silent -> Load.UNKNOWN
-            known.hot -> Load.HOT
-            known.samples < FEW -> Load.UNKNOWN
-            else -> Load.NORMAL
+            silent -> LoadLevel.UNKNOWN
+            record.hot -> LoadLevel.HOT
+            record.samples < MIN_SAMPLES -> LoadLevel.UNKNOWN
+            else -> LoadLevel.NORMAL
         }
     }
 
     internal companion object {
         /** Fewer samples than these say nothing. */
-        const val FEW: Int = 3
-        private const val END_WEIGHT = 0.3
+        const val MIN_SAMPLES: Int = 3
+        private const val COMPLETION_WEIGHT = 0.3
         private const val OVERDUE_WEIGHT = 0.15
 
         /** More than this is one and the same: such a machine is left for being slow. */
-        private const val MOST_SLOWDOWN = 4.0
-        private const val LONGEST_RUN_SECONDS = 1e6
+        private const val MAX_SLOWDOWN = 4.0
+        private const val MAX_RUN_SECONDS = 1e6
 
         /** An entry with its key, object and place in the table, generously. */
         private const val BYTES_PER_MACHINE = 200L
--- a/src/main/kotlin/burlridge/balance/MachineRequests.kt
+++ b/src/main/kotlin/burlridge/balance/MachineRequests.kt
@@ -66,7 +66,7 @@
         val target =
             try {
                 DrainTarget.parse(request)
-            } catch (e: DrainRefused) {
+            } catch (e: InvalidDrainTargetException) {
                 return onResult(HttpResponse.error(MALFORMED, e.message.orEmpty()))
             }
         if (path == UNDRAIN) {
--- a/src/main/kotlin/burlridge/balance/MoveBudget.kt
+++ b/src/main/kotlin/burlridge/balance/MoveBudget.kt
@@ -6,12 +6,12 @@
 internal class MoveBudget(
     private val settings: BalanceSettings,
 ) {
-    private class Spent(
+    private class SpentMove(
         val atMillis: Long,
         val move: Move,
     )
 
-    private val window = ArrayDeque<Spent>()
+    private val window = ArrayDeque<SpentMove>()
 
     fun clear() = window.clear()
 
@@ -20,7 +20,7 @@
         move: Move,
         atMillis: Long,
     ) {
-        window.addLast(Spent(atMillis, move))
+        window.addLast(SpentMove(atMillis, move))
     }
 
     /** Whether [move] keeps to every budget; a gang that is larger than one is never moved. */
--- a/src/test/kotlin/burlridge/balance/BalanceInputTest.kt
+++ b/src/test/kotlin/burlridge/balance/BalanceInputTest.kt
@@ -92,7 +92,7 @@
                     "host",
                 ).map { """{"network":"$it"}""" }
         for (text in wrong) {
-            val message = assertThrows(DrainRefused::class.java, { target(text) }, text).message.orEmpty()
+            val message = assertThrows(InvalidDrainTargetException::class.java, { target(text) }, text).message.orEmpty()
             assertTrue(message.isNotEmpty() && '\n' !in message, message)
         }
     }
--- a/src/test/kotlin/burlridge/balance/DrainTest.kt
+++ b/src/test/kotlin/burlridge/balance/DrainTest.kt
@@ -59,7 +59,7 @@
         }
         cluster.run(40.0)
         assertEquals(4, accepted)
-        assertEquals(1, cluster.log.count { "drain of zone a: requested" in it }, cluster.tail())
+        assertEquals(1, cluster.log.count { "drain changed zone=a state=requested" in it }, cluster.tail())
         assertEquals(listOf("drain/zone/a"), cluster.state.keys(Drain.PREFIX))
     }
 
@@ -104,7 +104,7 @@
         cluster.drainZone("a", { cut })
         cluster.run(150.0)
         cluster.verdict(jobs)
-        assertEquals(1, cluster.log.count { "drain of zone a: requested" in it }, cluster.tail())
+        assertEquals(1, cluster.log.count { "drain changed zone=a state=requested" in it }, cluster.tail())
     }
 
     @Test
--- a/src/test/kotlin/burlridge/balance/HotspotMitigationTest.kt
+++ b/src/test/kotlin/burlridge/balance/HotspotMitigationTest.kt
@@ -30,53 +30,60 @@
     /** Guards the two thresholds: one that hovers between them keeps the mark it has. */
     @Test
     fun `a machine becomes hot above one threshold and stays so until below another`() {
-        val picture = LoadTracker(settings, halfLifeSeconds = 20.0)
+        val loadTracker = LoadTracker(settings, halfLifeSeconds = 20.0)
         val job = job()
-        assertEquals(Load.UNKNOWN, picture.at(0.0))
-        repeat(2) { picture.ended("m-1", job, 20.0, 1.0) }
-        assertEquals(Load.UNKNOWN, picture.at(1.0), "two samples say nothing")
-        picture.ended("m-1", job, 20.0, 2.0)
-        assertEquals(Load.HOT, picture.at(2.0))
-        assertEquals(Load.UNKNOWN, picture.at(2.0, silent = true), "a silent machine is neither idle nor hot")
-        while (picture.slowdown("m-1", 3.0) > 1.25) picture.ended("m-1", job, 11.0, 3.0)
-        assertEquals(Load.HOT, picture.at(3.0))
-        while (picture.slowdown("m-1", 4.0) > 1.14) picture.ended("m-1", job, 10.0, 4.0)
-        assertEquals(Load.NORMAL, picture.at(4.0))
-        repeat(3) { picture.ended("m-1", job, 12.5, 5.0) }
-        assertEquals(Load.NORMAL, picture.at(5.0))
+        assertEquals(LoadLevel.UNKNOWN, loadTracker.at(0.0))
+        repeat(2) { loadTracker.recordCompleted("m-1", job, 20.0, 1.0) }
+        assertEquals(LoadLevel.UNKNOWN, loadTracker.at(1.0), "two samples say nothing")
+        loadTracker.recordCompleted("m-1", job, 20.0, 2.0)
+        assertEquals(LoadLevel.HOT, loadTracker.at(2.0))
+        assertEquals(LoadLevel.UNKNOWN, loadTracker.at(2.0, silent = true), "a silent machine is neither idle nor hot")
+        while (loadTracker.slowdown("m-1", 3.0) > 1.25) loadTracker.recordCompleted("m-1", job, 11.0, 3.0)
+        assertEquals(LoadLevel.HOT, loadTracker.at(3.0))
+        while (loadTracker.slowdown("m-1", 4.0) > 1.14) loadTracker.recordCompleted("m-1", job, 10.0, 4.0)
+        assertEquals(LoadLevel.NORMAL, loadTracker.at(4.0))
+        repeat(3) { loadTracker.recordCompleted("m-1", job, 12.5, 5.0) }
+        assertEquals(LoadLevel.NORMAL, loadTracker.at(5.0))
     }
 
     /** Guards the end of a mark: nothing new may be learned of a machine that gets nothing new. */
     @Test
     fun `a mark fades within the time after which a job must get what room there is`() {
-        val picture = LoadTracker(settings, halfLifeSeconds = 20.0)
-        repeat(50) { picture.ended("m-1", job(), 1000.0, 1.0) }
-        assertEquals(Load.HOT, picture.at(2.0))
-        assertEquals(Load.NORMAL, picture.at(90.0))
+        val loadTracker = LoadTracker(settings, halfLifeSeconds = 20.0)
+        repeat(50) { loadTracker.recordCompleted("m-1", job(), 1000.0, 1.0) }
+        assertEquals(LoadLevel.HOT, loadTracker.at(2.0))
+        assertEquals(LoadLevel.NORMAL, loadTracker.at(90.0))
     }
 
     @Test
     fun `absurd times teach nothing, and what is kept is bounded`() {
-        val picture = LoadTracker(settings, halfLifeSeconds = 20.0)
+        val loadTracker = LoadTracker(settings, halfLifeSeconds = 20.0)
         listOf(Double.NaN, -5.0, 0.0, Double.POSITIVE_INFINITY, 1e9).forEach { wrong ->
-            picture.ended("m-1", job(), wrong, 1.0)
-            picture.runs("m-1", job(), wrong, 1.0)
+            loadTracker.recordCompleted("m-1", job(), wrong, 1.0)
+            loadTracker.recordRunning("m-1", job(), wrong, 1.0)
         }
-        assertEquals(0, picture.samples)
-        repeat(4000) { picture.ended("m-$it", job(), 10.0, 1.0) }
-        assertTrue(picture.sizeBytes < 1_000_000, "${picture.sizeBytes} bytes at 4,000 machines")
-        picture.keepOnly(setOf("m-1"))
-        assertTrue(picture.sizeBytes < 1_000, "${picture.sizeBytes} bytes")
+        assertEquals(0, loadTracker.samples)
+        repeat(4000) { loadTracker.recordCompleted("m-$it", job(), 10.0, 1.0) }
+        assertTrue(loadTracker.sizeBytes < 1_000_000, "${loadTracker.sizeBytes} bytes at 4,000 machines")
+        loadTracker.retainOnly(setOf("m-1"))
+        assertTrue(loadTracker.sizeBytes < 1_000, "${loadTracker.sizeBytes} bytes")
     }
 
     @Test
     fun `a move must gain more than it surely costs`() {
         val gains =
-            MoveGain(leftSeconds = 60.0, slowdown = 2.0, lostSeconds = 0.0, saveSeconds = 2.0, fetchSeconds = 5.0, changeSeconds = 1.5)
+            MoveGain(
+                remainingSeconds = 60.0,
+                slowdown = 2.0,
+                lostSeconds = 0.0,
+                saveSeconds = 2.0,
+                fetchSeconds = 5.0,
+                handoverSeconds = 1.5,
+            )
         assertEquals(60.0 * 0.7 - 8.5, gains.gainSeconds, 1e-9)
         assertTrue(
             gains.copy(lostSeconds = 50.0).gainSeconds < 0 && gains.copy(slowdown = 1.0).gainSeconds < 0 &&
-                gains.copy(leftSeconds = 5.0).gainSeconds < 0,
+                gains.copy(remainingSeconds = 5.0).gainSeconds < 0,
         )
     }
 
