--- a/src/main/kotlin/burlridge/balance/BalanceReport.kt
+++ b/src/main/kotlin/burlridge/balance/BalanceReport.kt
@@ -4,11 +4,12 @@
 import com.fasterxml.jackson.databind.JsonNode
 import com.fasterxml.jackson.databind.node.ObjectNode
 
-/** One drain, and what is left on its machines where that is known. */
+/** One drain, and what is left on its machines if that is known. */
 internal class DrainReport(
     private val drain: Drain,
     private val progress: DrainProgress?,
 ) {
+    /** Adds it to the JSON object [to]. */
     fun encode(to: ObjectNode) {
         drain.target
             .encode(to)
@@ -29,7 +30,8 @@
 internal class BalanceReport(
     private val leader: String,
     private val drains: List<DrainReport>,
-    private val noticed: List<String>,
+    /** Machines with a spot reclaim notice. */
+    private val machinesWithReclaimNotice: List<String>,
     /** Hot machines with their slowdown. */
     private val hot: Map<String, Double>,
     private val moves: List<Move>,
@@ -37,14 +39,15 @@
     private val movesPerMinute: Int,
     private val damagedRows: List<String>,
 ) {
+    /** As JSON, for the operators. */
     fun encode(): JsonNode =
         Json.obj {
             put("leader", leader)
             putArray("drains").also { list -> drains.forEach { it.encode(list.addObject()) } }
-            putArray("machines_with_notice").also { list -> noticed.forEach(list::add) }
+            putArray("machines_with_notice").also { list -> machinesWithReclaimNotice.forEach(list::add) }
             val slowdowns = putObject("hot_machines")
             hot.forEach { (machine, slowdown) -> slowdowns.put(machine, slowdown) }
-            putArray("moves").also { list -> moves.take(MOST_MOVES).forEach { encode(it, list.addObject()) } }
+            putArray("moves").also { list -> moves.take(MAX_LISTED_MOVES).forEach { encode(it, list.addObject()) } }
             put("open_moves", moves.size)
             put("moved_lately", movedLately)
             put("moves_per_minute", movesPerMinute)
@@ -66,6 +69,6 @@
 
     private companion object {
         /** Further ones are only counted. */
-        const val MOST_MOVES = 50
+        const val MAX_LISTED_MOVES = 50
     }
 }
--- a/src/main/kotlin/burlridge/balance/Drain.kt
+++ b/src/main/kotlin/burlridge/balance/Drain.kt
@@ -4,20 +4,20 @@
 import burlridge.store.Row
 import com.fasterxml.jackson.databind.JsonNode
 
-/** How far a drain has come; only the leader moves it on, by a write under its fence. */
+/** How far a drain has come; only the leader changes it, by a fenced write. */
 internal enum class DrainState(
     val wire: String,
 ) {
-    /** Accepted and durable; no machine of it has been looked at. */
+    /** Accepted and durable; nothing has been done for it yet. */
     REQUESTED("requested"),
 
-    /** Nothing more is placed on its machines, and what runs there finishes or moves. */
+    /** Its machines are cordoned, and what runs there finishes or moves. */
     DRAINING("draining"),
 
-    /** No machine of it is left; machines that join later and match are drained too. */
+    /** None of its machines is left; machines that join later and match are drained too. */
     DRAINED("drained"),
 
-    /** Called off: what has not moved stays. */
+    /** Cancelled: what has not moved stays. */
     CANCELLED("cancelled"),
     ;
 
@@ -26,13 +26,13 @@
     }
 }
 
-/** Who wants the machines empty. */
+/** Why the machines are to be emptied. */
 internal enum class DrainCause(
     val wire: String,
 ) {
     OPERATOR("operator"),
 
-    /** The leader found the machine slow; kept in a row so that the next leader need not find it again. */
+    /** The machine is a straggler; kept in a row so that the next leader need not detect it again. */
     SLOW("slow"),
     ;
 
@@ -41,19 +41,25 @@
     }
 }
 
-/** One drain, as it stands in its row. */
+/** One drain, as its row has it. */
 internal data class Drain(
     val target: DrainTarget,
     val cause: DrainCause,
     val state: DrainState,
+    /** Time of day of the request, in milliseconds. */
     val requestedMillis: Long,
+    /** Time of day of the last change, in milliseconds. */
     val changedMillis: Long,
     /** Revision of the row; 0 where there is none yet. */
     val modRevision: Long = 0,
 ) {
+    /** Key of its row. */
     val rowKey: String get() = PREFIX + target.key
+
+    /** Whether machines are cordoned for it. */
     val active: Boolean get() = state != DrainState.CANCELLED
 
+    /** The value of its row. */
     fun encode(): JsonNode =
         Json.obj {
             put("st", state.wire)
@@ -63,13 +69,14 @@
             target.encode(putObject("target"))
         }
 
-    /** Whether [row] holds this very change: no other has its state and time. */
+    /** Whether [row] holds exactly this change: no other has its state and time. */
     fun isWrittenIn(row: Row): Boolean = decode(row)?.copy(modRevision = modRevision) == this
 
     internal companion object {
+        /** Prefix of the rows of drains. */
         const val PREFIX: String = "drain/"
 
-        /** Null for a row that is damaged, or of another version. */
+        /** Null for a row that is damaged or of an unknown version. */
         fun decode(row: Row): Drain? {
             val value = row.value
             val target =
--- a/src/main/kotlin/burlridge/balance/DrainIndex.kt
+++ b/src/main/kotlin/burlridge/balance/DrainIndex.kt
@@ -2,16 +2,19 @@
 
 import burlridge.worker.Machine
 
-/** Which active drain, if any, covers a machine; machines by the thousand are asked about in every placement round. */
+/** Finds the active drain that covers a machine; asked for every machine in every scheduling cycle, so lookups are cheap. */
 internal class DrainIndex {
     private var byMachine: Map<String, Drain> = emptyMap()
     private var byZone: Map<String, Drain> = emptyMap()
     private var networks: List<Drain> = emptyList()
 
-    /** Addresses that were looked up; of those that are in no drained network as well. */
+    /** Results of address lookups, including addresses that are in no drained network. */
     private val byHost = HashMap<String, Drain?>()
+
+    /** Whether no drain is active. */
     val isEmpty: Boolean get() = byMachine.isEmpty() && byZone.isEmpty() && networks.isEmpty()
 
+    /** Replaces the index by the active ones of [drains]. */
     fun rebuild(drains: List<Drain>) {
         val active = drains.filter { it.active }
         byMachine = active.filter { it.target is DrainTarget.SingleMachine }.associateBy { it.target.value }
@@ -20,19 +23,21 @@
         byHost.clear()
     }
 
+    /** Whether [zone] is drained as a whole. */
     fun isDrained(zone: String): Boolean = zone in byZone
 
+    /** The active drain that covers [machine], a more specific one first; null for none. */
     fun covering(machine: Machine): Drain? = byMachine[machine.id] ?: byZone[machine.zone] ?: inNetwork(machine)
 
     private fun inNetwork(machine: Machine): Drain? {
         if (networks.isEmpty()) return null
         val host = machine.address?.host ?: return null
-        if (byHost.size >= MOST_HOSTS) byHost.clear()
+        if (byHost.size >= MAX_CACHED_HOSTS) byHost.clear()
         if (host !in byHost) byHost[host] = networks.firstOrNull { it.target.matches(machine) }
         return byHost[host]
     }
 
     private companion object {
-        const val MOST_HOSTS = 20_000
+        const val MAX_CACHED_HOSTS = 20_000
     }
 }
--- a/src/main/kotlin/burlridge/balance/DrainTarget.kt
+++ b/src/main/kotlin/burlridge/balance/DrainTarget.kt
@@ -7,24 +7,29 @@
 import inet.ipaddr.IPAddressString
 import inet.ipaddr.IPAddressStringParameters
 
-/** A drain that cannot be asked for; the message is one line for the operator. */
+/** A drain target that cannot be understood; the message is one line for the operator. */
 internal class InvalidDrainTargetException(
     message: String,
 ) : Exception(message)
 
-/** Which machines a drain is about; those that join later included. */
+/** Which machines a drain covers, including those that join later. */
 internal sealed interface DrainTarget {
-    /** What the target's row is named after, so that a drain asked for twice is one drain. */
+    /** Key of the target's row behind the prefix; equal targets have one key, so a repeated request is idempotent. */
     val key: String
 
-    /** As it stands in requests, rows and reports. */
+    /** `machine`, `zone` or `network`, as in requests, rows and reports. */
     val kind: String
+
+    /** Name of the machine or zone, or the network block, as in requests, rows and reports. */
     val value: String
 
+    /** Whether [machine] is covered. */
     fun matches(machine: Machine): Boolean
 
+    /** Adds this target to the JSON object [to]. */
     fun encode(to: ObjectNode): ObjectNode = to.put(kind, value)
 
+    /** One machine, by name. */
     data class SingleMachine(
         val machine: String,
     ) : DrainTarget {
@@ -35,6 +40,7 @@
         override fun matches(machine: Machine): Boolean = machine.id == this.machine
     }
 
+    /** All machines of a zone. */
     data class Zone(
         val zone: String,
     ) : DrainTarget {
@@ -45,7 +51,7 @@
         override fun matches(machine: Machine): Boolean = machine.zone == zone
     }
 
-    /** All addresses of a block; [block] has no bits set behind its prefix. */
+    /** All machines with an address in [block], which has no bits set after its prefix. */
     data class Network(
         val block: IPAddress,
     ) : DrainTarget {
@@ -66,7 +72,7 @@
         const val NETWORK: String = "network"
         private val NAME = Regex("[A-Za-z0-9._-]{1,100}")
 
-        /** Addresses as people write them, and none of the library's further forms: no ranges, wildcards, masks or octal. */
+        /** Plain addresses and blocks only; the library's further forms (ranges, wildcards, masks, octal) are refused. */
         private val ADDRESSES: IPAddressStringParameters =
             IPAddressStringParameters
                 .Builder()
@@ -80,7 +86,7 @@
                 .apply { iPv4AddressParametersBuilder.allow_inet_aton(false) }
                 .toParams()
 
-        /** The one target that [node] names; a [InvalidDrainTargetException] says what is wrong with any other. */
+        /** The one target that [node] names. Throws [InvalidDrainTargetException]. */
         fun parse(node: JsonNode?): DrainTarget {
             val named = listOf(MACHINE, ZONE, NETWORK).filter { node?.path(it)?.isTextual == true }
             val kind = named.singleOrNull() ?: throw InvalidDrainTargetException("name one $MACHINE, one $NETWORK or one $ZONE")
--- a/src/main/kotlin/burlridge/balance/LoadTracker.kt
+++ b/src/main/kotlin/burlridge/balance/LoadTracker.kt
@@ -5,9 +5,9 @@
 import burlridge.worker.Machine
 import it.unimi.dsi.fastutil.objects.Object2ObjectOpenHashMap
 
-/** How loaded a machine is, as far as its reports tell. */
+/** How loaded a machine is, judged by the progress that its heartbeats show. */
 internal enum class LoadLevel {
-    /** Not heard lately, or nothing has run there yet: neither idle nor hot. */
+    /** No recent heartbeats, or too few samples. */
     UNKNOWN,
     NORMAL,
 
@@ -16,13 +16,13 @@
 }
 
 /**
- * How fast tasks progress on each machine against the same jobs and classes elsewhere, learned from reports alone: an exponentially
- * weighted mean of the slowdown, which fades while nothing new is learned, with one threshold to become hot and a lower one to stop.
- * Each end of a task and each report costs a constant amount of work for each task on the machine.
+ * Measures how fast tasks progress on each machine compared with the same jobs and job classes elsewhere, from heartbeats alone: an
+ * exponentially weighted mean of the slowdown, which decays without new samples, with a threshold to become hot and a lower one to
+ * cool down. Each heartbeat costs constant work for each task on the machine.
  */
 internal class LoadTracker(
     private val settings: BalanceSettings,
-    /** After this time without evidence half of what was learned of a machine still counts, in seconds. */
+    /** Time after which half of a measured slowdown has decayed. */
     private val halfLifeSeconds: Double,
 ) {
     private class MachineRecord {
@@ -32,7 +32,7 @@
         var hot = false
     }
 
-    /** How long tasks of a class run, as a ratio to their owners' estimates. */
+    /** How long tasks of a job class run, as a ratio to their owners' estimates. */
     private class ClassRuntime {
         var ratio = 1.0
         var samples = 0
@@ -41,13 +41,14 @@
     private val machines = Object2ObjectOpenHashMap<String, MachineRecord>()
     private val classes = Object2ObjectOpenHashMap<String, ClassRuntime>()
 
-    /** Samples taken in so far. */
+    /** Samples taken so far. */
     var samples: Long = 0
         private set
 
-    /** What the picture takes at the most, in bytes. */
+    /** Upper bound of the memory taken, in bytes. */
     val sizeBytes: Long get() = machines.size * BYTES_PER_MACHINE + classes.size * BYTES_PER_MACHINE
 
+    /** Forgets all measurements. */
     fun clear() {
         machines.clear()
         classes.clear()
@@ -73,7 +74,7 @@
         runtime.ratio += (ratio - runtime.ratio) * maxOf(COMPLETION_WEIGHT, 1.0 / runtime.samples)
     }
 
-    /** A task of [job] still runs on [machine] after [ranSeconds]; news only once it is overdue. */
+    /** A task of [job] still runs on [machine] after [ranSeconds]; a sample only once it is overdue. */
     fun recordRunning(
         machine: String,
         job: Job,
@@ -85,10 +86,10 @@
         if (ratio > 1.0) addSample(machine, ratio, OVERDUE_WEIGHT, now)
     }
 
-    /** A clock that jumped, or a start that was never seen, teaches nothing. */
+    /** A jump of the clock, or a start that was never seen, gives no sample. */
     private fun isPlausible(ranSeconds: Double): Boolean = ranSeconds.isFinite() && ranSeconds > 0.0 && ranSeconds < MAX_RUN_SECONDS
 
-    /** By others of the same job, else by its class; null where neither is known yet. */
+    /** Expected run time by other tasks of [job], else by its class; null where neither is known yet. */
     fun expectedRunSeconds(job: Job): Double? {
         job.meanRunSeconds?.let { return it.coerceAtLeast(1.0) }
         val runtime = classes[job.spec.jobClass]?.takeIf { it.samples >= MIN_SAMPLES } ?: return null
@@ -115,12 +116,13 @@
         now: Double,
     ): Double = 1.0 + (load.slowdown - 1.0) * Math.pow(0.5, (now - load.sampledAt) / halfLifeSeconds)
 
-    /** How many times as long as elsewhere tasks take on [machine], as far as is known. */
+    /** How many times as long as elsewhere tasks take on [machine]; 1 where nothing is known. */
     fun slowdown(
         machine: String,
         now: Double,
     ): Double = machines[machine]?.let { decayedSlowdown(it, now) } ?: 1.0
 
+    /** The load of [machine], which is [silent] if it has sent no recent heartbeat. */
     fun load(
         machine: Machine,
         silent: Boolean,
@@ -137,16 +139,16 @@
     }
 
     internal companion object {
-        /** Fewer samples than these say nothing. */
+        /** Fewer samples than this are not judged. */
         const val MIN_SAMPLES: Int = 3
         private const val COMPLETION_WEIGHT = 0.3
         private const val OVERDUE_WEIGHT = 0.15
 
-        /** More than this is one and the same: such a machine is left for being slow. */
+        /** Larger ratios count as this: such a machine is evicted as a straggler anyway. */
         private const val MAX_SLOWDOWN = 4.0
         private const val MAX_RUN_SECONDS = 1e6
 
-        /** An entry with its key, object and place in the table, generously. */
+        /** Upper bound for an entry with its key and its place in the table. */
         private const val BYTES_PER_MACHINE = 200L
     }
 }
--- a/src/main/kotlin/burlridge/balance/Move.kt
+++ b/src/main/kotlin/burlridge/balance/Move.kt
@@ -10,7 +10,7 @@
 ) {
     DRAIN("drain"),
 
-    /** The machine is hot, and the task surely ends sooner elsewhere. */
+    /** The machine is hot, and the task certainly ends sooner elsewhere. */
     HOT("hot"),
     ;
 
@@ -19,7 +19,7 @@
     }
 }
 
-/** The intent to stop one run of a task, or of a whole gang, so that it goes on elsewhere: job, task and run number are its key. */
+/** The decision to stop one attempt of a task, or of a whole gang, so that it continues elsewhere; keyed by job, task and attempt. */
 internal data class Move(
     val job: String,
     val task: Int,
@@ -27,7 +27,7 @@
     val team: String,
     val jobClass: String,
     val from: String,
-    /** Where room is kept for it; null where it waits like any other task. */
+    /** Machine on which capacity is reserved for it; null where it waits like any other task. */
     val to: String?,
     /** How often the task has been moved, this move included. */
     val count: Int,
@@ -35,7 +35,10 @@
     val tasks: Int,
     val reason: MoveReason = MoveReason.DRAIN,
 ) {
+    /** `<job>/<task>`. */
     val taskName: String get() = "$job/$task"
+
+    /** Whether it stops a whole gang. */
     val isGang: Boolean get() = task == WHOLE_GANG
 
     internal companion object {
@@ -44,15 +47,19 @@
     }
 }
 
-/** Moves planned at one time, in one row; it stays until all of their jobs are over, so that no leader moves a task too often. */
+/** Moves planned at one time, in one row, which stays until all their jobs have ended, so that no leader moves a task too often. */
 internal class MoveBatch(
     val key: String,
     val plannedMillis: Long,
     val moves: List<Move>,
 ) {
+    /** Whether its row is known to be written. */
     var durable: Boolean = false
+
+    /** Whether its row is being removed. */
     var removing: Boolean = false
 
+    /** The value of its row. */
     fun encode(): JsonNode =
         Json.obj {
             put("st", "planned")
@@ -77,12 +84,13 @@
         }
 
     internal companion object {
+        /** Prefix of the rows of moves. */
         const val PREFIX: String = "move/"
 
-        /** What a move and its job's charge take of a row, with room to spare. */
+        /** Upper bound of what a move and its job's entry take of a row, in bytes. */
         const val BYTES_PER_MOVE: Int = 330
 
-        /** Null for a row that is damaged, or of another version. */
+        /** Null for a row that is damaged or of an unknown version. */
         fun decode(row: Row): MoveBatch? {
             val value = row.value
             if (!value.path("at").isIntegralNumber || !value.path("jobs").isObject) return null
--- a/src/main/kotlin/burlridge/balance/MoveBudget.kt
+++ b/src/main/kotlin/burlridge/balance/MoveBudget.kt
@@ -2,7 +2,7 @@
 
 import burlridge.settings.BalanceSettings
 
-/** How many tasks have been moved within the last minute or so, by this leader and by those before it. */
+/** Limits how many tasks are moved within a sliding window of about a minute, by this leader and earlier ones together. */
 internal class MoveBudget(
     private val settings: BalanceSettings,
 ) {
@@ -13,9 +13,10 @@
 
     private val window = ArrayDeque<SpentMove>()
 
+    /** Forgets all moves. */
     fun clear() = window.clear()
 
-    /** Moves come in the order of time but for those of rows, which come in no order. */
+    /** Counts [move] at the time of day [atMillis]. Moves loaded from rows come in no order of time. */
     fun spend(
         move: Move,
         atMillis: Long,
@@ -23,7 +24,7 @@
         window.addLast(SpentMove(atMillis, move))
     }
 
-    /** Whether [move] keeps to every budget; a gang that is larger than one is never moved. */
+    /** Whether [move] keeps to every budget; a gang larger than a budget is never moved. */
     fun permits(
         move: Move,
         nowMillis: Long,
@@ -35,16 +36,16 @@
     }
 
     private fun within(
-        most: Int,
+        limit: Int,
         move: Move,
         counts: (Move) -> Boolean,
-    ): Boolean = move.tasks <= most - window.sumOf { if (counts(it.move)) it.move.tasks else 0 }
+    ): Boolean = move.tasks <= limit - window.sumOf { if (counts(it.move)) it.move.tasks else 0 }
 
-    /** Tasks moved within the last minute or so. */
+    /** Tasks moved within the window. */
     fun spent(nowMillis: Long): Int = window.sumOf { if (nowMillis - it.atMillis > WINDOW_MILLIS) 0 else it.move.tasks }
 
     internal companion object {
-        /** A minute, and with it what the times of day of two leaders may differ by. */
+        /** A minute plus what the clocks of two leaders may differ by. */
         const val WINDOW_MILLIS: Long = 65_000
     }
 }
--- a/src/main/kotlin/burlridge/balance/SlowStart.kt
+++ b/src/main/kotlin/burlridge/balance/SlowStart.kt
@@ -21,7 +21,7 @@
 ) {
     private val coldSeconds = settings.coldReports * context.settings.workers.reportSeconds
 
-    /** How many more starts [machine] may get now; [UNLIMITED] once it has been there for a while. */
+    /** How many more starts [machine] may get now; [UNLIMITED] once it has been up for a while. */
     fun startsLeft(machine: Machine): Int {
         if (!isCold(machine)) return UNLIMITED
         val running = machine.reported.values.count { it.state == "running" }
@@ -30,7 +30,7 @@
 
     private fun isCold(machine: Machine): Boolean {
         if (coldSeconds <= 0.0) return false
-        // To a new leader each machine is new: how long it can have been up is told by the time of its rental.
+        // To a new leader every machine is new, so the time of its rental bounds how long it can have been up.
         val upSince = if (machine.rentedAt > 0) minOf(machine.upSince, machine.rentedAt + bootSeconds(machine.type) * LONG_BOOT) else NEVER
         return context.now < maxOf(upSince, machine.sessionBeganAt) + coldSeconds
     }
@@ -62,7 +62,7 @@
         private const val LONG_BOOT = 1.5
         private const val NEVER = -1e9
 
-        /** Of a fetch that is under way half is left in the mean. */
+        /** On average half of a fetch that is under way remains. */
         private const val HALF_DONE = 0.5
     }
 }
