--- a/src/main/kotlin/burlridge/app/Controller.kt
+++ b/src/main/kotlin/burlridge/app/Controller.kt
@@ -1,15 +1,12 @@
 package burlridge.app
 
 import burlridge.admin.AdminRequests
-import burlridge.allocation.ActiveJobRow
-import burlridge.allocation.AllocationPhase
 import burlridge.allocation.JobRegistry
 import burlridge.api.JobApi
 import burlridge.balance.Balance
 import burlridge.balance.BalanceDependencies
 import burlridge.balance.MachineRequests
 import burlridge.core.Effect
-import burlridge.core.HttpResponse
 import burlridge.core.Input
 import burlridge.core.StepContext
 import burlridge.failover.DrainResult
@@ -22,64 +19,94 @@
 import burlridge.leadership.LeadershipListener
 import burlridge.leadership.StepDownReason
 import burlridge.message.FailoverStatus
-import burlridge.message.PeerMessage
 import burlridge.peer.PeerRequests
 import burlridge.placement.Placement
 import burlridge.settings.Settings
-import burlridge.store.ReadResult
-import burlridge.store.RequestPriority
 import burlridge.store.StoreClient
-import burlridge.worker.CommandDispatcher
 import burlridge.worker.HeartbeatRelay
 import burlridge.worker.WorkerManager
-import burlridge.worker.WorkerResponseCount
 
-/** The state machine of one controller: an input and the time go in, what to send, write and answer comes out. */
+/**
+ * The state machine of one controller: an input and the time go in, the effects come out. This class creates the parts, connects them, and
+ * says in which order they run; whatever they do happens within [step].
+ */
 internal class Controller(
-    private val settings: Settings,
+    settings: Settings,
     seed: Long,
-) : LeadershipListener,
-    Failover.ControllerState {
+) : LeadershipListener {
     private val context = StepContext(settings, seed)
+    private val placementTimer = PlacementTimer(context)
     private val store = StoreClient(context)
     private val leadership = Leadership(context, store, this)
     private val registry = JobRegistry(context, store, leadership)
     private val peers = PeerRequests(context)
-    private val workers = WorkerManager(context, leadership, registry, peers) { placeSoon() }
+    private val workers = WorkerManager(context, leadership, registry, peers, placementTimer::request)
     private val fleet = Fleet(context, store, leadership, registry, workers)
     private val placement = Placement(context, registry, workers, fleet)
     private val gangGate = GangFeatureGate(context, store)
-    private val jobApi = JobApi(context, store, leadership, registry, fleet, peers, gangGate, { placeSoon() }, workers::stop)
-    val work: Map<String, Long> get() = context.counters
-    val isActiveLeader: Boolean get() = leadership.holdsLease && jobApi.loaded
+    private val jobApi = JobApi(context, store, leadership, registry, fleet, peers, gangGate, placementTimer::request, workers::stop)
     private val relay = HeartbeatRelay(context, peers)
     private val failover =
         settings.operator.failover?.let {
-            Failover(context, it, store, leadership, LeaderStateLoader.prefixes(settings.operator.balance != null), this)
+            val prefixes = LeaderStateLoader.prefixes(settings.operator.balance != null)
+            Failover(context, it, store, leadership, prefixes, LeaderActivity(context, registry, workers))
         }
     private val balance =
         settings.operator.balance?.let {
-            Balance(context, it, BalanceDependencies(store, leadership, registry, workers, fleet, placement)) { placeSoon() }
+            val dependencies = BalanceDependencies(store, leadership, registry, workers, fleet, placement)
+            Balance(context, it, dependencies, placementTimer::request)
         }
     private val admin =
         AdminRequests(
             failover?.let { MemberRequests(context, it, peers) },
             balance?.let { MachineRequests(context, leadership, it, peers) { jobApi.loaded } },
         )
-    private val rows = LeaderStateLoader(context, store, leadership, registry, fleet, failover, balance) { placeSoon() }
+    private val router = RequestRouter(settings.member, leadership, workers, relay, jobApi, admin, fleet, failover)
+    private val peerMessages =
+        PeerMessageHandler(
+            context,
+            store,
+            leadership,
+            peers,
+            registry,
+            jobApi,
+            relay,
+            router,
+            failover,
+            placementTimer::request,
+        )
+    private val loader = LeaderStateLoader(context, store, leadership, registry, fleet, failover, balance, placementTimer::request)
+    private val lifecycle =
+        LeaderLifecycle(
+            context,
+            leadership,
+            registry,
+            workers,
+            fleet,
+            balance,
+            failover,
+            jobApi,
+            loader,
+            placementTimer::request,
+        )
+    private var nextStatusAt = 0.0
+
+    /** Counters of what this controller has done, by name. */
+    val counters: Map<String, Long> get() = context.counters
 
-    /** Whether this member was asked to leave, and nothing is left for it to do. */
-    val drained: Boolean get() = failover?.isDrained ?: true
+    /** Whether this member leads, no other can have been elected, and it has read the rows. */
+    val isActiveLeader: Boolean get() = leadership.holdsLease && jobApi.loaded
+
+    /** Whether this member is draining; false also where a drain was refused for want of another member. */
+    val isDraining: Boolean get() = failover?.isDraining ?: false
 
-    /** Whether it is leaving, and not refused to for want of another member. */
-    val canDrain: Boolean get() = failover?.isDraining ?: false
-    private var announceAt = 0.0
-    private var placing = false
-    private var placedAt = -1e9
+    /** Whether this member can be stopped without interrupting the service; always true without failover. */
+    val isDrained: Boolean get() = failover?.isDrained ?: true
 
-    /** Between two placement rounds: what comes up meanwhile shares a row, and the core has time for everything else. */
-    private val roundSeconds = settings.workers.reportSeconds / ROUNDS_PER_REPORT
+    /** Whether a handover is about to take place, so that nothing new may be started. */
+    private val isQuiescing: Boolean get() = failover?.isQuiescing ?: false
 
+    /** Takes one [input] at [now] seconds of the steady clock and [wallMillis] of the wall clock; returns the effects, in order. */
     fun step(
         input: Input,
         now: Double,
@@ -89,12 +116,12 @@
         when (input) {
             Input.Tick -> tick()
             Input.DrainRequested -> drain()
-            is Input.Request -> request(input.method, input.path, input.body) { context.respond(input.id, it) }
+            is Input.Request -> router.handle(input.method, input.path, input.body, null) { context.respond(input.id, it) }
             is Input.CallCompleted -> context.complete(input)
-            is Input.MessageReceived -> fromPeer(input.message)
+            is Input.MessageReceived -> peerMessages.handle(input.message)
         }
         context.runDue()
-        if (placing && context.now >= placedAt + roundSeconds) place()
+        if (placementTimer.takeDue()) place()
         store.pump()
         return context.finishStep()
     }
@@ -109,195 +136,39 @@
         fleet.tickCatalog()
         gangGate.tick()
         failover?.tick()
-        if (context.now >= announceAt) {
-            announceAt = context.now + Leadership.STATUS_INTERVAL_SECONDS
-            leadership.broadcastStatus(if (leadership.isLeader) workers.zonesWithoutHeartbeats() else emptyList())
-        }
-        if (leadership.isLeader && jobApi.loaded) {
-            workers.tick()
-            registry.tick()
-            if (leadership.holdsLease && !isQuiescing) {
-                balance?.tick()
-                fleet.tick()
-            }
-            if (context.now > placedAt + PLACE_SECONDS) placeSoon()
-        }
+        broadcastStatusIfDue()
+        if (leadership.isLeader && jobApi.loaded) tickAsLeader()
     }
 
-    /** Nothing is begun while a successor waits to take over. */
-    private val isQuiescing: Boolean get() = failover?.isQuiescing ?: false
+    private fun broadcastStatusIfDue() {
+        if (context.now < nextStatusAt) return
+        nextStatusAt = context.now + Leadership.STATUS_INTERVAL_SECONDS
+        leadership.broadcastStatus(if (leadership.isLeader) workers.zonesWithoutHeartbeats() else emptyList())
+    }
 
-    private fun placeSoon() {
-        placing = true
+    private fun tickAsLeader() {
+        workers.tick()
+        registry.tick()
+        if (leadership.holdsLease && !isQuiescing) {
+            balance?.tick()
+            fleet.tick()
+        }
+        placementTimer.requestIfIdle()
     }
 
     private fun place() {
-        placing = false
         if (!leadership.holdsLease || !jobApi.loaded || isQuiescing) return
-        placedAt = context.now
+        placementTimer.onRoundStarted()
         balance?.applyCordons()
         placement.schedule()
     }
 
-    // --- requests
-
-    private fun request(
-        method: String,
-        path: String,
-        body: String,
-        from: String? = null,
-        onResult: (HttpResponse) -> Unit,
-    ) {
-        val passedOn = from != null
-        val parts = path.trim('/').split('/')
-        when {
-            path == "/ready" -> {
-                only(
-                    method,
-                    "GET",
-                    onResult,
-                ) { onResult(if (ready) HttpResponse(200, "{}") else HttpResponse.unavailable("starting")) }
-            }
-
-            path.startsWith(AdminRequests.PREFIX) -> {
-                admin.handle(method, path, body, passedOn, onResult)
-            }
-
-            path == "/agent/beat" -> {
-                only(method, "POST", onResult) { heartbeat(body, from, onResult) }
-            }
-
-            path == "/api/jobs" -> {
-                only(method, "POST", onResult) { jobApi.submit(body, passedOn, onResult) }
-            }
-
-            parts.size == 3 && path.startsWith("/api/jobs/") -> {
-                only(method, "GET", onResult) { jobApi.query(parts[2], passedOn, onResult) }
-            }
-
-            parts.size == 4 &&
-                path.startsWith(
-                    "/api/jobs/",
-                ) && parts[3] == "abort" -> {
-                only(method, "POST", onResult) { jobApi.abort(parts[2], passedOn, onResult) }
-            }
-
-            else -> {
-                onResult(HttpResponse.error(404, "no such path"))
-            }
-        }
-    }
-
-    private fun only(
-        method: String,
-        allowed: String,
-        onResult: (HttpResponse) -> Unit,
-        work: () -> Unit,
-    ) {
-        if (method == allowed) work() else onResult(HttpResponse.error(405, "use $allowed"))
-    }
-
-    private val ready: Boolean get() = fleet.catalog != null && failover?.isDraining != true
-
-    private fun heartbeat(
-        body: String,
-        from: String?,
-        onResult: (HttpResponse) -> Unit,
-    ) {
-        when {
-            // Before it has read the rows a leader does not know what was cancelled: an answer without a halt would keep it alive.
-            leadership.mayAnswerWorkers && workers.loaded -> onResult(workers.heartbeat(body, from))
-
-            leadership.isLeader || from != null -> onResult(HttpResponse.unavailable("leadership in doubt"))
-
-            else -> relay.heartbeat(body, leadership.knownLeader?.takeIf { it != settings.member }, onResult)
-        }
-    }
-
-    // --- peers
-
-    private fun fromPeer(message: PeerMessage) {
-        peers.onMessage(message)
-        when (message) {
-            is PeerMessage.Status -> {
-                leadership.onPeerStatus(message)
-                failover?.onStatus(message)
-            }
-
-            is PeerMessage.Handover -> {
-                if (failover == null) context.count("failover.messages_refused") else failover.onHandover(message)
-            }
-
-            is PeerMessage.ForwardedResponse -> {
-                peers.onResponse(message)
-            }
-
-            is PeerMessage.JobAccepted -> {
-                jobApi.heardAccepted(message.job)
-                if (leadership.isLeader && jobApi.loaded && !registry.jobs.containsKey(message.job)) admit(message.job)
-            }
-
-            is PeerMessage.ForwardedRequest -> {
-                if (message.path.startsWith(HeartbeatRelay.COMMAND)) {
-                    relay.command(message.path.removePrefix(HeartbeatRelay.COMMAND), message.body) { reply(message, it) }
-                } else {
-                    request(message.method, message.path, message.body, message.from) { reply(message, it) }
-                }
-            }
-        }
-    }
-
-    /** The news may be old and the job long over, so its row is read before it counts. */
-    private fun admit(job: String) {
-        val term = leadership.term
-        store.get(ActiveJobRow.key(job), RequestPriority.USER) { live ->
-            if (leadership.isLeader && leadership.term == term && jobApi.loaded && live is ReadResult.Found) {
-                registry.admit(live.value)
-                placeSoon()
-            }
-        }
-    }
-
-    private fun reply(
-        to: PeerMessage.ForwardedRequest,
-        answer: HttpResponse,
-    ) {
-        context.send(
-            to.from,
-            PeerMessage.ForwardedResponse(
-                settings.member,
-                to.requestId,
-                answer.status,
-                answer.body,
-                answer.retryAfterSeconds ?: 0,
-            ),
-        )
-    }
-
-    // --- leadership
+    override fun onElected(cause: ElectionCause) = lifecycle.onElected(cause)
 
     override fun onDeposed(
         term: Long,
         reason: StepDownReason,
-    ) {
-        forget()
-        failover?.onDeposed(term, reason)
-    }
-
-    private fun forget() {
-        jobApi.loaded = false
-        registry.clear()
-        workers.clear()
-        fleet.clear()
-        balance?.clear()
-    }
-
-    /** A new leader reads every row before it acts. */
-    override fun onElected(cause: ElectionCause) {
-        forget()
-        failover?.onElected(cause.text)
-        rows.load(leadership.term) { loaded(leadership.term) }
-    }
+    ) = lifecycle.onDeposed(term, reason)
 
     override fun onLeaderObserved(
         leader: String,
@@ -311,38 +182,4 @@
     override fun defersElection(): Boolean = failover?.defersElection() ?: false
 
     override fun failoverStatus(): FailoverStatus? = failover?.nextStatus()
-
-    private fun loaded(term: Long) {
-        workers.loaded = true
-        jobApi.loaded = true
-        // A machine known only from claims must be waited for like any other.
-        registry.allocations.byMachine.keys
-            .toList()
-            .forEach { workers.machine(it) }
-        context.info(
-            "leader state loaded",
-            "term" to term,
-            "jobs" to registry.jobs.size,
-            "machinesWithAllocations" to registry.allocations.byMachine.size,
-        )
-        placeSoon()
-    }
-
-    // --- failover
-
-    override fun isQuiesced(): Boolean {
-        val unsent =
-            registry.allocations.byMachine.values
-                .any { allocations -> allocations.values.any { it.phase == AllocationPhase.COMMITTED } }
-        return registry.allocations.pendingBatches == 0 && !unsent
-    }
-
-    override val startsSent: Long get() = context.counters.getLong(CommandDispatcher.STARTS)
-
-    override fun workerResponseCount(): WorkerResponseCount = if (workers.loaded) workers.answered() else WorkerResponseCount(0, 0)
-
-    private companion object {
-        const val PLACE_SECONDS = 1.0
-        const val ROUNDS_PER_REPORT = 25
-    }
 }
--- a/src/main/kotlin/burlridge/app/LeaderStateLoader.kt
+++ b/src/main/kotlin/burlridge/app/LeaderStateLoader.kt
@@ -10,14 +10,11 @@
 import burlridge.store.ListResult
 import burlridge.store.Listing
 import burlridge.store.RequestPriority
-import burlridge.store.Row
 import burlridge.store.StoreClient
-import burlridge.store.WatchEvent
-import burlridge.store.WatchResult
 
 /**
- * What a new leader reads before it acts, and the other members' submissions that it watches from then on. Where a standby replica
- * is shown to be complete, nothing but the changes since its last refresh is read.
+ * Reads the rows that a new leader needs before it acts, and watches for the other members' submissions from then on. Where a standby
+ * replica is shown to be complete, only the changes since its last refresh are read.
  */
 internal class LeaderStateLoader(
     private val context: StepContext,
@@ -27,117 +24,82 @@
     private val fleet: Fleet,
     private val failover: Failover?,
     private val balance: Balance?,
-    private val onNews: () -> Unit,
+    onSubmissions: () -> Unit,
 ) {
-    private var followAt = 0L
+    private val submissions = SubmissionWatch(context, store, registry, onSubmissions)
 
-    private fun mine(term: Long): Boolean = leadership.isLeader && leadership.term == term
-
-    /** Reads every row for [term]; [onResult] comes once all are in, and never where the term ends before. */
+    /** Reads every row for [term], which this member leads; [onLoaded] is not called where the term ends before all are read. */
     fun load(
         term: Long,
-        onResult: () -> Unit,
+        onLoaded: () -> Unit,
     ) {
-        if (failover == null) return readAll(term, onResult)
+        val pass = LoadPass(leadership.whileLeading(term), onLoaded)
+        if (failover == null) return readAll(pass)
         failover.takeOverRows { listings ->
             when {
-                !mine(term) -> Unit
-                listings != null -> loaded(listings, term, fromReplica = true, onResult)
-                else -> readAll(term, onResult)
+                !pass.isStillLeading() -> Unit
+                listings != null -> apply(listings, fromReplica = true, pass)
+                else -> readAll(pass)
             }
         }
     }
 
-    private fun readAll(
-        term: Long,
-        onResult: () -> Unit,
-    ) = read(prefixes(balance != null), HashMap(), term, onResult)
+    private class LoadPass(
+        val isStillLeading: () -> Boolean,
+        val onLoaded: () -> Unit,
+    )
+
+    private fun readAll(pass: LoadPass) = readNext(prefixes(balance != null), HashMap(), pass)
 
-    private fun read(
+    private fun readNext(
         prefixes: List<String>,
         listings: HashMap<String, Listing>,
-        term: Long,
-        onResult: () -> Unit,
+        pass: LoadPass,
     ) {
-        val prefix = prefixes.firstOrNull() ?: return loaded(listings, term, fromReplica = false, onResult)
+        val prefix = prefixes.firstOrNull() ?: return apply(listings, fromReplica = false, pass)
         store.list(prefix, RequestPriority.LEADERSHIP) { listing ->
             when {
-                !mine(term) -> {
+                !pass.isStillLeading() -> {
                     Unit
                 }
 
                 listing !is ListResult.Listed -> {
-                    context.schedule(RELOAD_SECONDS) { if (mine(term)) readAll(term, onResult) }
+                    context.schedule(RETRY_SECONDS) { if (pass.isStillLeading()) readAll(pass) }
                 }
 
                 else -> {
                     listings[prefix] = listing.value
-                    read(prefixes.drop(1), listings, term, onResult)
+                    readNext(prefixes.drop(1), listings, pass)
                 }
             }
         }
     }
 
-    private fun loaded(
+    private fun apply(
         listings: Map<String, Listing>,
-        term: Long,
         fromReplica: Boolean,
-        onResult: () -> Unit,
+        pass: LoadPass,
     ) {
-        val live = listings.getValue(ActiveJobRow.KEY_PREFIX)
-        live.rows.forEach { registry.admit(it) }
-        listings.getValue("prog/").rows.forEach { registry.loadProgress(it) }
-        listings.getValue("round/").rows.forEach { registry.allocations.loadBatch(it) }
-        listings.getValue("rental/").rows.forEach { fleet.load(it) }
+        val activeJobs = listings.getValue(ActiveJobRow.KEY_PREFIX)
+        activeJobs.rows.forEach { registry.admit(it) }
+        listings.getValue(PROGRESS).rows.forEach { registry.loadProgress(it) }
+        listings.getValue(ALLOCATION_BATCHES).rows.forEach { registry.allocations.loadBatch(it) }
+        listings.getValue(RENTALS).rows.forEach { fleet.load(it) }
         balance?.load(listings)
         registry.reconcileLoaded()
-        followAt = live.revision
         failover?.onRowsLoaded(listings.values.sumOf { it.rows.size }, fromReplica)
-        onResult()
-        follow(term)
-    }
-
-    /** Other members' submissions, should their message be lost. */
-    private fun follow(term: Long) {
-        if (!mine(term)) return
-        store.watch(ActiveJobRow.KEY_PREFIX, followAt, FOLLOW_SECONDS) { result ->
-            if (mine(term)) {
-                when (result) {
-                    is WatchResult.Changes -> admitChanges(result)
-                    WatchResult.Compacted -> relist(term)
-                    is WatchResult.Failed -> Unit
-                }
-                context.schedule(FOLLOW_PAUSE_SECONDS) { follow(term) }
-            }
-        }
-    }
-
-    private fun admitChanges(changes: WatchResult.Changes) {
-        changes.events?.forEach { event ->
-            if (event is WatchEvent.Put && event.key.startsWith(ActiveJobRow.KEY_PREFIX)) {
-                registry.admit(Row(event.key, event.value, event.modRevision))
-            }
-        }
-        followAt = maxOf(followAt, changes.revision)
-        if (changes.isNews) onNews()
-    }
-
-    private fun relist(term: Long) {
-        store.list(ActiveJobRow.KEY_PREFIX, RequestPriority.CLAIM) { live ->
-            if (live is ListResult.Listed && mine(term)) {
-                live.value.rows.forEach { registry.admit(it) }
-                followAt = maxOf(followAt, live.value.revision)
-            }
-        }
+        pass.onLoaded()
+        submissions.start(activeJobs.revision, pass.isStillLeading)
     }
 
     internal companion object {
+        private const val PROGRESS = "prog/"
+        private const val ALLOCATION_BATCHES = "round/"
+        private const val RENTALS = "rental/"
+        private const val RETRY_SECONDS = 0.5
+
         /** The prefixes of all rows that a new leader reads, those of drains and moves where they are switched on. */
         fun prefixes(withBalance: Boolean): List<String> =
-            listOf(ActiveJobRow.KEY_PREFIX, "prog/", "round/", "rental/") + if (withBalance) Balance.PREFIXES else emptyList()
-
-        private const val RELOAD_SECONDS = 0.5
-        private const val FOLLOW_SECONDS = 10.0
-        private const val FOLLOW_PAUSE_SECONDS = 0.5
+            listOf(ActiveJobRow.KEY_PREFIX, PROGRESS, ALLOCATION_BATCHES, RENTALS) + if (withBalance) Balance.PREFIXES else emptyList()
     }
 }
--- /dev/null
+++ b/src/main/kotlin/burlridge/app/PeerMessageHandler.kt
@@ -0,0 +1,91 @@
+package burlridge.app
+
+import burlridge.allocation.ActiveJobRow
+import burlridge.allocation.JobRegistry
+import burlridge.api.JobApi
+import burlridge.core.HttpResponse
+import burlridge.core.StepContext
+import burlridge.failover.Failover
+import burlridge.leadership.Leadership
+import burlridge.message.PeerMessage
+import burlridge.peer.PeerRequests
+import burlridge.store.ReadResult
+import burlridge.store.RequestPriority
+import burlridge.store.StoreClient
+import burlridge.worker.HeartbeatRelay
+
+/** Passes each message of another member to the part that it is for. */
+internal class PeerMessageHandler(
+    private val context: StepContext,
+    private val store: StoreClient,
+    private val leadership: Leadership,
+    private val peers: PeerRequests,
+    private val registry: JobRegistry,
+    private val jobApi: JobApi,
+    private val relay: HeartbeatRelay,
+    private val router: RequestRouter,
+    private val failover: Failover?,
+    /** Called when a job that another member has accepted is known here. */
+    private val onJobAdmitted: () -> Unit,
+) {
+    fun handle(message: PeerMessage) {
+        peers.onMessage(message)
+        when (message) {
+            is PeerMessage.Status -> {
+                leadership.onPeerStatus(message)
+                failover?.onStatus(message)
+            }
+
+            is PeerMessage.Handover -> {
+                if (failover == null) context.count("failover.messages_refused") else failover.onHandover(message)
+            }
+
+            is PeerMessage.ForwardedResponse -> {
+                peers.onResponse(message)
+            }
+
+            is PeerMessage.JobAccepted -> {
+                onJobAccepted(message.job)
+            }
+
+            is PeerMessage.ForwardedRequest -> {
+                onForwardedRequest(message)
+            }
+        }
+    }
+
+    private fun onForwardedRequest(request: PeerMessage.ForwardedRequest) {
+        if (request.path.startsWith(HeartbeatRelay.COMMAND)) {
+            relay.command(request.path.removePrefix(HeartbeatRelay.COMMAND), request.body) { respond(request, it) }
+        } else {
+            router.handle(request.method, request.path, request.body, request.from) { respond(request, it) }
+        }
+    }
+
+    private fun respond(
+        request: PeerMessage.ForwardedRequest,
+        response: HttpResponse,
+    ) {
+        val retryAfterSeconds = response.retryAfterSeconds ?: 0
+        context.send(
+            request.from,
+            PeerMessage.ForwardedResponse(context.settings.member, request.requestId, response.status, response.body, retryAfterSeconds),
+        )
+    }
+
+    private fun onJobAccepted(job: String) {
+        jobApi.heardAccepted(job)
+        if (leadership.isLeader && jobApi.loaded && !registry.jobs.containsKey(job)) readAndAdmit(job)
+    }
+
+    /** The message may be old and the job finished long ago, so its row is read before it counts. */
+    private fun readAndAdmit(job: String) {
+        val isStillLeading = leadership.whileLeading(leadership.term)
+        store.get(ActiveJobRow.key(job), RequestPriority.USER) { read ->
+            if (isStillLeading() && jobApi.loaded && read is ReadResult.Found) {
+                registry.admit(read.value)
+                onJobAdmitted()
+            }
+        }
+    }
+}
--- a/src/main/kotlin/burlridge/app/Service.kt
+++ b/src/main/kotlin/burlridge/app/Service.kt
@@ -55,7 +55,7 @@
     private fun drainIfAsked(shutdown: OrderlyShutdown) {
         if (!shutdown.isRequested) return
         step(Input.DrainRequested)
-        if (controller.drained || !controller.canDrain) shutdown.complete()
+        if (controller.isDrained || !controller.isDraining) shutdown.complete()
     }
 
     private fun start(tick: suspend () -> Unit) {
@@ -74,7 +74,7 @@
     private fun logMetrics() {
         if (!log.isDebugEnabled || System.nanoTime() - metricsAt < METRICS_NANOS) return
         metricsAt = System.nanoTime()
-        log.debug("metrics: {} net.open={}", metrics.line(controller.work), server.open)
+        log.debug("metrics: {} net.open={}", metrics.line(controller.counters), server.open)
     }
 
     /** A short life with itself as state service, cloud and worker, so that every path of I/O is walked once. */
--- a/src/main/kotlin/burlridge/app/WarmUp.kt
+++ b/src/main/kotlin/burlridge/app/WarmUp.kt
@@ -21,7 +21,7 @@
     private var nextId = 1L
     private var sequence = 1L
     private val reported = Json.arr()
-    val work: Map<String, Long> get() = core.work
+    val work: Map<String, Long> get() = core.counters
 
     fun run() {
         var now = 0.0
--- a/src/main/kotlin/burlridge/leadership/LeaderRowWatch.kt
+++ b/src/main/kotlin/burlridge/leadership/LeaderRowWatch.kt
@@ -1,6 +1,5 @@
 package burlridge.leadership
 
-import burlridge.core.StepContext
 import burlridge.store.StoreClient
 import burlridge.store.WatchResult
 
--- a/src/test/kotlin/burlridge/simulation/SimulatedCluster.kt
+++ b/src/test/kotlin/burlridge/simulation/SimulatedCluster.kt
@@ -191,7 +191,7 @@
         clock.after(backAfter) { if (controllers[name] == null) start(name) }
     }
 
-    fun work(name: String): Map<String, Long> = controllers[name]?.work.orEmpty()
+    fun work(name: String): Map<String, Long> = controllers[name]?.counters.orEmpty()
 
     fun leader(): String? = members.firstOrNull { name -> controllers[name]?.isActiveLeader == true }
 
