--- a/src/main/kotlin/burlridge/allocation/AllocationBatchWriter.kt
+++ b/src/main/kotlin/burlridge/allocation/AllocationBatchWriter.kt
@@ -7,6 +7,7 @@
 import burlridge.store.ReadResult
 import burlridge.store.RequestPriority
 import burlridge.store.StoreClient
+import burlridge.store.TransactionLimits
 import burlridge.store.TransactionResult
 
 /** Writes new batches of allocations, and learns which of them may be started. */
@@ -37,7 +38,7 @@
         nextNumber = 0
         pendingBatches = 0
         val limits = context.settings.store
-        val maxJobConditions = limits.changesPerTransaction * StoreClient.CONDITIONS_PER_OP - OWN_CONDITIONS
+        val maxJobConditions = limits.changesPerTransaction * TransactionLimits.CONDITIONS_PER_CHANGE - OWN_CONDITIONS
         maxStartsPerBatch = (limits.valueBytes / BYTES_PER_START).coerceAtLeast(1)
         maxJobsPerBatch = minOf(maxJobConditions, limits.valueBytes / BYTES_PER_JOB).coerceAtLeast(1)
     }
--- a/src/main/kotlin/burlridge/failover/StandbyReplica.kt
+++ b/src/main/kotlin/burlridge/failover/StandbyReplica.kt
@@ -213,10 +213,10 @@
             if (generation != requestGeneration) return@listPage
             isRequestOpen = false
             if (page !is ListResult.Listed) return@listPage
-            val (rows, truncated, revision) = page.value
-            auditFrom = if (truncated) rows.last().key else ""
+            val (rows, isTruncated, revision) = page.value
+            auditFrom = if (isTruncated) rows.last().key else ""
             context.count("failover.replica.audits")
-            val shown = AuditPage(from, rows, truncated, revision)
+            val shown = AuditPage(from, rows, isTruncated, revision)
             // The replica is brought up to the page's revision first: a change that has not arrived yet is no difference.
             follow(table) {
                 ReplicaAudit.difference(table, shown)?.let { discard(ReplicaFault.AuditFailed(table.prefix, it)) }
--- /dev/null
+++ b/src/main/kotlin/burlridge/store/RequestQueue.kt
@@ -0,0 +1,131 @@
+package burlridge.store
+
+import burlridge.core.StepContext
+
+/**
+ * Sends requests by priority within this member's part of the rate limits that all members share: one on requests, and one on changed
+ * rows.
+ */
+internal class RequestQueue(
+    private val context: StepContext,
+) {
+    private class QueuedRequest(
+        val priority: RequestPriority,
+        val changeCount: Int,
+        val queuedAt: Double,
+        val maxWaitSeconds: Double,
+        val onDropped: () -> Unit,
+        val send: () -> Unit,
+    )
+
+    /** Why the sending of writes of one priority ended. */
+    private enum class WritesStopped { NONE_LEFT, NO_CHANGE_TOKENS, NO_REQUEST_TOKENS }
+
+    private val settings = context.settings
+
+    // Users come in bursts, and hardly to all members in the same second: each may use more than its part for a moment.
+    private val changeTokens = TokenBucket(settings.store.writeRps / BURST_FRACTION)
+    private val requestTokens = TokenBucket(settings.store.rps / BURST_FRACTION)
+    private val writes = RequestPriority.entries.associateWith { ArrayDeque<QueuedRequest>() }
+    private val reads = RequestPriority.entries.associateWith { ArrayDeque<QueuedRequest>() }
+    private val allQueues = writes.values + reads.values
+    private var pausedUntil = 0.0
+
+    /** The leader has a larger part of the limits than the other members. */
+    var isLeader: Boolean = false
+
+    /**
+     * Queues a request that changes [changeCount] rows, 0 for a read, and sends what may be sent now. Calls [send] in its turn, or
+     * [onDropped] once it has waited for more than [maxWaitSeconds].
+     */
+    fun enqueue(
+        priority: RequestPriority,
+        changeCount: Int,
+        maxWaitSeconds: Double,
+        onDropped: () -> Unit,
+        send: () -> Unit,
+    ) {
+        val queues = if (changeCount == 0) reads else writes
+        queues.getValue(priority).addLast(QueuedRequest(priority, changeCount, context.now, maxWaitSeconds, onDropped, send))
+        pump()
+    }
+
+    /** The store has refused a request because of its rate: nothing is sent for a moment, and no burst after it. */
+    fun pause() {
+        changeTokens.drain()
+        requestTokens.drain()
+        pausedUntil = context.now + PAUSE_SECONDS
+    }
+
+    /** Drops what has waited too long, and sends what may be sent now. */
+    fun pump() {
+        refill()
+        dropExpired()
+        if (context.now >= pausedUntil) sendByPriority()
+    }
+
+    private fun refill() {
+        val part = if (isLeader) LEADER_PART else (1 - LEADER_PART) / (settings.controllers - 1).coerceAtLeast(1)
+        changeTokens.refill(context.now, settings.store.writeRps * part)
+        requestTokens.refill(context.now, settings.store.rps * part)
+    }
+
+    private fun dropExpired() {
+        for (queue in allQueues) {
+            while (queue.isNotEmpty() && isExpired(queue.first())) queue.removeFirst().onDropped()
+        }
+    }
+
+    private fun isExpired(request: QueuedRequest): Boolean = context.now - request.queuedAt > request.maxWaitSeconds
+
+    private fun sendByPriority() {
+        var canWrite = true
+        for (priority in RequestPriority.entries) {
+            // A read never waits for change tokens: polls went unanswered behind a burst of submissions.
+            if (!sendReads(reads.getValue(priority))) return
+            if (!canWrite) continue
+            when (sendWrites(writes.getValue(priority))) {
+                WritesStopped.NONE_LEFT -> Unit
+
+                // A write of a lower priority must not take the tokens that this one waits for.
+                WritesStopped.NO_CHANGE_TOKENS -> canWrite = false
+
+                WritesStopped.NO_REQUEST_TOKENS -> return
+            }
+        }
+    }
+
+    /** False where request tokens are short. */
+    private fun sendReads(queue: ArrayDeque<QueuedRequest>): Boolean {
+        while (queue.isNotEmpty()) if (!sendFirst(queue)) return false
+        return true
+    }
+
+    private fun sendWrites(queue: ArrayDeque<QueuedRequest>): WritesStopped {
+        while (queue.isNotEmpty()) {
+            val cost = queue.first().changeCount.toDouble()
+            if (!changeTokens.holds(cost)) return WritesStopped.NO_CHANGE_TOKENS
+            if (!sendFirst(queue)) return WritesStopped.NO_REQUEST_TOKENS
+            changeTokens.take(cost)
+        }
+        return WritesStopped.NONE_LEFT
+    }
+
+    private fun sendFirst(queue: ArrayDeque<QueuedRequest>): Boolean {
+        if (!requestTokens.take(1.0)) return false
+        val request = queue.removeFirst()
+        context.count(request.priority.counter)
+        request.send()
+        return true
+    }
+
+    private companion object {
+        const val PAUSE_SECONDS = 0.25
+
+        /** A member's burst, as a fraction of the shared limits per second. */
+        const val BURST_FRACTION = 5
+
+        /** The leader's part of the shared limits; the other members write submissions only. */
+        const val LEADER_PART = 0.6
+    }
+}
--- a/src/main/kotlin/burlridge/store/TokenBucket.kt
+++ b/src/main/kotlin/burlridge/store/TokenBucket.kt
@@ -1,33 +1,33 @@
 package burlridge.store
 
-/** A bucket of permits that refills at a rate and holds one second's worth, or [burst] where that is more. */
+/** A rate limiter whose tokens are refilled at a rate up to one second's worth, or to [burst] where that is more. */
 internal class TokenBucket(
     private val burst: Double,
 ) {
-    private var level = burst
-    private var at = 0.0
+    private var tokens = burst
+    private var refilledAt = 0.0
 
+    /** Adds the tokens of the time since the last refill, at [ratePerSecond]; [now] is in seconds. */
     fun refill(
         now: Double,
-        rate: Double,
+        ratePerSecond: Double,
     ) {
-        level = minOf(maxOf(rate, burst), level + (now - at) * rate)
-        at = now
+        tokens = minOf(maxOf(ratePerSecond, burst), tokens + (now - refilledAt) * ratePerSecond)
+        refilledAt = now
     }
 
-    /** A transaction larger than the bucket goes when the bucket is full. */
-    fun holds(amount: Double): Boolean = level >= minOf(amount, burst)
+    /** Whether [amount] tokens can be taken. What costs more than [burst] can be taken once that many are there, on credit. */
+    fun holds(amount: Double): Boolean = tokens >= minOf(amount, burst)
 
+    /** Takes [amount] tokens if it can, and says whether it did. */
     fun take(amount: Double): Boolean {
         if (!holds(amount)) return false
-        level -= amount
+        tokens -= amount
         return true
     }
 
+    /** Leaves no tokens; debts remain. */
     fun drain() {
-        level = minOf(level, 0.0)
+        tokens = minOf(tokens, 0.0)
     }
 }
-
-/** Who goes first when the store's limits bind; declared from first to last. */
-internal enum class RequestPriority { LEADERSHIP, USER, CLAIM, FINISH, CLEANUP }
--- /dev/null
+++ b/src/main/kotlin/burlridge/store/TransactionLimits.kt
@@ -0,0 +1,63 @@
+package burlridge.store
+
+import burlridge.json.Json
+import burlridge.settings.StoreLimits
+import com.fasterxml.jackson.databind.JsonNode
+import com.google.common.base.Utf8
+
+/** A limit that a transaction exceeds, in the unit of [limit]. */
+internal data class LimitExceeded(
+    val limit: TransactionLimit,
+    val actual: Int,
+    val allowed: Int,
+)
+
+/** What is limited in a transaction; [label] stands in the log. */
+internal enum class TransactionLimit(
+    val label: String,
+) {
+    CHANGES("changes"),
+    CONDITIONS("conditions"),
+    VALUE_BYTES("value_bytes"),
+    BODY_BYTES("body_bytes"),
+}
+
+/** The one place where every transaction is checked against the limits, those announced for later included. */
+internal class TransactionLimits(
+    private val limits: StoreLimits,
+) {
+    /** The first limit that [transaction], whose encoding is [body], exceeds; null where it keeps all. */
+    fun exceededBy(
+        transaction: Transaction,
+        body: String,
+    ): LimitExceeded? {
+        val changes = transaction.changes.size
+        val conditions = transaction.conditions.size
+        val maxConditions = limits.changesPerTransaction * CONDITIONS_PER_CHANGE
+        val largestValue = transaction.changes.maxOfOrNull { if (it is Change.Put) encodedBytes(it.value) else 0 } ?: 0
+        return when {
+            changes > limits.changesPerTransaction -> LimitExceeded(TransactionLimit.CHANGES, changes, limits.changesPerTransaction)
+            conditions > maxConditions -> LimitExceeded(TransactionLimit.CONDITIONS, conditions, maxConditions)
+            largestValue > limits.valueBytes -> LimitExceeded(TransactionLimit.VALUE_BYTES, largestValue, limits.valueBytes)
+            else -> bodyExcess(body)
+        }
+    }
+
+    private fun bodyExcess(body: String): LimitExceeded? {
+        // Nearly all characters take one byte, so that only long bodies are measured.
+        if (body.length <= MAX_BODY_BYTES / 2) return null
+        val bytes = Utf8.encodedLength(body)
+        return if (bytes > MAX_BODY_BYTES) LimitExceeded(TransactionLimit.BODY_BYTES, bytes, MAX_BODY_BYTES) else null
+    }
+
+    /** Whether a row can hold [value]. */
+    fun fitsValue(value: JsonNode): Boolean = encodedBytes(value) <= limits.valueBytes
+
+    private fun encodedBytes(value: JsonNode): Int = Utf8.encodedLength(Json.write(value))
+
+    internal companion object {
+        /** Conditions that a transaction may have for each change that it may have. */
+        const val CONDITIONS_PER_CHANGE: Int = 4
+        private const val MAX_BODY_BYTES = 64 * 1024
+    }
+}
