--- a/src/main/kotlin/burlridge/allocation/Job.kt
+++ b/src/main/kotlin/burlridge/allocation/Job.kt
@@ -58,10 +58,16 @@
     /** When the oldest task end that is not persisted yet became known, in this leader's seconds. */
     var unpersistedSince: Double = 0.0
 
-    /** The final state that is being written; null while none is. */
+    /** The final state that this leader is writing, or has written; null where there is none. */
     var pendingEndState: JobState? = null
 
-    /** The final state once it is written; null before. */
+    /** Whether this leader is writing a final state, or has. */
+    val isEnding: Boolean get() = pendingEndState != null
+
+    /** Whether the final state that this leader is writing, or has written, is [JobState.CANCELLED]. */
+    val isCancelling: Boolean get() = pendingEndState == JobState.CANCELLED
+
+    /** The final state that is stored, which may be another than [pendingEndState]; null while none is known to be. */
     var endState: JobState? = null
 
     /** A transaction that ends the job may have been applied unseen: until that is settled only the rows can say whether it has ended. */
--- a/src/main/kotlin/burlridge/allocation/JobFinisher.kt
+++ b/src/main/kotlin/burlridge/allocation/JobFinisher.kt
@@ -24,7 +24,7 @@
         job: Job,
         jobState: JobState,
     ) {
-        if (job.pendingEndState != null) return
+        if (job.isEnding) return
         job.pendingEndState = jobState
         val id = job.spec.id
         val row = finishedRow(job, jobState)
--- a/src/main/kotlin/burlridge/allocation/ProgressWriter.kt
+++ b/src/main/kotlin/burlridge/allocation/ProgressWriter.kt
@@ -65,7 +65,7 @@
 
     /** Writes one progress row of [job] where that is due. */
     fun persistIfDue(job: Job) {
-        if (job.isPersistingProgress || job.pendingEndState != null || pendingWrites >= MAX_PENDING_WRITES) return
+        if (job.isPersistingProgress || job.isEnding || pendingWrites >= MAX_PENDING_WRITES) return
         if (job.done.cardinality() == job.persistedDone.cardinality()) return
         if (context.now < job.unpersistedSince + context.settings.workers.leaseSeconds) return
         val unpersisted = job.done.clone() as BitSet
--- a/src/main/kotlin/burlridge/balance/DrainSafety.kt
+++ b/src/main/kotlin/burlridge/balance/DrainSafety.kt
@@ -83,7 +83,7 @@
 
     private fun refused(reason: String): DrainCheck = DrainCheck.Refused(reason)
 
-    private fun needsCapacity(job: Job): Boolean = job.pendingEndState == null && (job.unallocatedCount > 0 || job.spec.team in guaranteed)
+    private fun needsCapacity(job: Job): Boolean = !job.isEnding && (job.unallocatedCount > 0 || job.spec.team in guaranteed)
 
     private fun canHold(
         machine: Machine,
--- a/src/main/kotlin/burlridge/balance/GracefulEviction.kt
+++ b/src/main/kotlin/burlridge/balance/GracefulEviction.kt
@@ -47,7 +47,7 @@
             for (allocation in registry.allocations.byMachine[machine.id]
                 ?.values
                 .orEmpty()) {
-                val job = registry.jobs[allocation.job]?.takeIf { it.pendingEndState != JobState.CANCELLED } ?: continue
+                val job = registry.jobs[allocation.job]?.takeIf { !it.isCancelling } ?: continue
                 drainProgress.addRemaining(sweep.assess(machine, job, allocation))
             }
         }
--- a/src/main/kotlin/burlridge/balance/HotspotMitigation.kt
+++ b/src/main/kotlin/burlridge/balance/HotspotMitigation.kt
@@ -118,7 +118,7 @@
         job: Job,
         allocation: Allocation,
     ): Boolean {
-        if (job.spec.gang || job.pendingEndState != null || allocation.phase != AllocationPhase.RUNNING ||
+        if (job.spec.gang || job.isEnding || allocation.phase != AllocationPhase.RUNNING ||
             allocation.stopGraceSeconds != null
         ) {
             return false
--- a/src/main/kotlin/burlridge/balance/MoveExecutor.kt
+++ b/src/main/kotlin/burlridge/balance/MoveExecutor.kt
@@ -99,7 +99,7 @@
         val job = registry.jobs[open.move.job]
         val hasEnded =
             when {
-                job == null || job.pendingEndState == JobState.CANCELLED -> true
+                job == null || job.isCancelling -> true
                 open.move.isGang -> advanceGang(open, job)
                 else -> advanceTask(open, job)
             }
@@ -163,7 +163,7 @@
 
     private fun reservation(open: OpenMove): CapacityReservation? {
         val move = open.move
-        val job = registry.jobs[move.job]?.takeIf { it.pendingEndState == null && !move.isGang } ?: return null
+        val job = registry.jobs[move.job]?.takeIf { !it.isEnding && !move.isGang } ?: return null
         val machine = move.to?.let { workers.machines[it] }?.takeIf { holdsReservation(open) } ?: return null
         val hasStartedElsewhere = (job.allocations.get(move.task)?.attempt ?: 0) > move.attempt
         return if (hasStartedElsewhere || job.done.get(move.task)) null else CapacityReservation(job, move.task, machine)
--- a/src/main/kotlin/burlridge/fleet/CapacityDemand.kt
+++ b/src/main/kotlin/burlridge/fleet/CapacityDemand.kt
@@ -33,13 +33,13 @@
 
     /** Takes note of the jobs there are, so that what comes can be guessed from what came. */
     fun observe() {
-        registry.jobs.values.forEach { if (it.pendingEndState == null && seen.add(it.spec.id)) remember(it) }
+        registry.jobs.values.forEach { if (!it.isEnding && seen.add(it.spec.id)) remember(it) }
         // A job that is over does not come again.
         if (seen.size > MOST_SEEN && seen.size > registry.jobs.size * 2) seen.retainAll(registry.jobs.keys)
     }
 
     fun wanted(types: Catalog): List<Need> {
-        val now = registry.jobs.values.filter { it.pendingEndState == null }
+        val now = registry.jobs.values.filter { !it.isEnding }
         val held = HashMap<String, Int>()
         now.forEach { held.merge(it.spec.jobClass, it.allocations.size, Int::plus) }
         val waiting =
@@ -66,7 +66,7 @@
         val held = HashMap<String, Int>()
         registry.jobs.values.forEach {
             if (it.spec.gang &&
-                it.pendingEndState == null
+                !it.isEnding
             ) {
                 held.merge(it.spec.jobClass, it.allocations.size, Int::plus)
             }
--- a/src/main/kotlin/burlridge/placement/JobQueue.kt
+++ b/src/main/kotlin/burlridge/placement/JobQueue.kt
@@ -52,8 +52,7 @@
         return order
     }
 
-    private fun isWaiting(job: Job): Boolean =
-        job.pendingEndState == null && job.unallocatedCount > 0 && (!job.spec.gang || canStartAttempt(job))
+    private fun isWaiting(job: Job): Boolean = !job.isEnding && job.unallocatedCount > 0 && (!job.spec.gang || canStartAttempt(job))
 
     private fun entry(job: Job): Entry {
         val team = job.spec.team
--- a/src/main/kotlin/burlridge/worker/CommandDispatcher.kt
+++ b/src/main/kotlin/burlridge/worker/CommandDispatcher.kt
@@ -107,7 +107,7 @@
         allocation.phase == AllocationPhase.COMMITTED && allocation.agentEpoch == machine.agentEpoch &&
             allocation.stopGraceSeconds == null &&
             machine.drainReason != DrainReason.OPERATOR &&
-            registry.jobs[allocation.job]?.let { it.pendingEndState != JobState.CANCELLED } == true
+            registry.jobs[allocation.job]?.isCancelling == false
 
     private fun wantsStop(allocation: Allocation): Boolean {
         if (allocation.phase < AllocationPhase.DISPATCHED || allocation.hasEnded ||
--- a/src/main/kotlin/burlridge/worker/TaskReconciler.kt
+++ b/src/main/kotlin/burlridge/worker/TaskReconciler.kt
@@ -62,8 +62,7 @@
     }
 
     /** Its job is over, or its user has asked to cancel it. */
-    fun isCancelled(allocation: Allocation): Boolean =
-        registry.jobs[allocation.job]?.let { it.pendingEndState == JobState.CANCELLED } ?: true
+    fun isCancelled(allocation: Allocation): Boolean = registry.jobs[allocation.job]?.isCancelling ?: true
 
     /** Whether [claim] is of a gang that saves when it is stopped. */
     fun savesAsGang(allocation: Allocation): Boolean =
--- a/src/test/kotlin/burlridge/allocation/JobRegistryTest.kt
+++ b/src/test/kotlin/burlridge/allocation/JobRegistryTest.kt
@@ -13,11 +13,11 @@
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Test
 
-/** What a new leader makes of the rows that it finds. */
+/** Reconciliation of the rows that a new leader finds. */
 internal class JobRegistryTest {
     private val context = StepContext(Settings.parse(ClassArchiveTraining.settings()), 1)
     private val store = StoreClient(context)
-    private val nobody =
+    private val noListener =
         object : LeadershipListener {
             override fun onElected(cause: ElectionCause) = Unit
 
@@ -26,9 +26,9 @@
                 reason: StepDownReason,
             ) = Unit
         }
-    private val registry = JobRegistry(context, store, Leadership(context, store, nobody))
+    private val registry = JobRegistry(context, store, Leadership(context, store, noListener))
 
-    private fun live(
+    private fun admit(
         job: String,
         tasks: Int,
         shape: String,
@@ -40,8 +40,8 @@
         registry.admit(Row("live/$job", Json.parse(row), 1))
     }
 
-    /** Starts are task, run, machine, session, zone and whether lost. */
-    private fun batch(
+    /** Each of [starts] is task, attempt, machine, agent epoch, index of the zone, and 1 where it is lost. */
+    private fun loadBatch(
         slot: String,
         job: String,
         vararg starts: String,
@@ -51,19 +51,19 @@
         registry.allocations.loadBatch(Row("round/$slot", Json.parse(value), 5))
     }
 
-    private fun on(machine: String): Map<String, Int> =
+    private fun attemptsOn(machine: String): Map<String, Int> =
         registry.allocations.byMachine[machine]
             .orEmpty()
             .mapValues { it.value.attempt }
 
-    /** Found by a day of drawn troubles: the later run was on no machine's list any more, and its job was never over. */
+    /** Found by random faults: the later attempt was missing from its machine's allocations, and its job never ended. */
     @Test
-    fun `of two runs on one machine the later stands, in whatever order their rows are read`() {
-        live("j-1", 1, "array")
-        batch("1-0", "j-1", """[0,2,"m-1",1,0,0]""")
-        batch("1-1", "j-1", """[0,1,"m-1",1,0,0]""")
+    fun `of two attempts on one machine the later is open, in whatever order their rows are loaded`() {
+        admit("j-1", 1, "array")
+        loadBatch("1-0", "j-1", """[0,2,"m-1",1,0,0]""")
+        loadBatch("1-1", "j-1", """[0,1,"m-1",1,0,0]""")
         registry.reconcileLoaded()
-        assertEquals(mapOf("j-1/0" to 2), on("m-1"))
+        assertEquals(mapOf("j-1/0" to 2), attemptsOn("m-1"))
         assertEquals(
             1.0,
             registry.allocations.usageByTeam
@@ -73,9 +73,9 @@
     }
 
     @Test
-    fun `a gang that was claimed in part is given up, and its number is not used again`() {
-        live("j-1", 3, "ensemble")
-        batch("1-0", "j-1", """[0,4,"m-1",1,0,0]""", """[1,4,"m-2",1,0,0]""")
+    fun `a partially allocated gang attempt is released, and its number is not used again`() {
+        admit("j-1", 3, "ensemble")
+        loadBatch("1-0", "j-1", """[0,4,"m-1",1,0,0]""", """[1,4,"m-2",1,0,0]""")
         registry.reconcileLoaded()
         val job = registry.jobs.getValue("j-1")
         assertEquals(GangState.IDLE, GangRules.state(job))
@@ -89,11 +89,11 @@
     }
 
     @Test
-    fun `a gang that was claimed whole may be anywhere, and one that has lost a task is to be stopped`() {
-        live("j-1", 2, "ensemble")
-        live("j-2", 2, "ensemble")
-        batch("1-0", "j-1", """[0,1,"m-1",1,0,0]""", """[1,1,"m-2",1,0,0]""")
-        batch("1-1", "j-2", """[0,1,"m-1",1,0,1]""", """[1,1,"m-2",1,0,0]""")
+    fun `a fully allocated gang attempt may be running, and one that has lost a task is to be stopped`() {
+        admit("j-1", 2, "ensemble")
+        admit("j-2", 2, "ensemble")
+        loadBatch("1-0", "j-1", """[0,1,"m-1",1,0,0]""", """[1,1,"m-2",1,0,0]""")
+        loadBatch("1-1", "j-2", """[0,1,"m-1",1,0,1]""", """[1,1,"m-2",1,0,0]""")
         registry.reconcileLoaded()
         assertEquals(GangState.AWAITING_GANG, GangRules.state(registry.jobs.getValue("j-1")))
         assertEquals(GangState.BROKEN, GangRules.state(registry.jobs.getValue("j-2")))
--- a/src/test/kotlin/burlridge/allocation/LimitsTest.kt
+++ b/src/test/kotlin/burlridge/allocation/LimitsTest.kt
@@ -23,7 +23,7 @@
 import java.util.Base64
 import java.util.BitSet
 
-/** The largest transaction of each kind, against a state service that has lowered its limits. */
+/** The largest transaction of each kind, against a key-value store that has lowered its limits. */
 internal class LimitsTest {
     private val clock = Clock()
     private val state = StateService(clock).also { it.lower(valueKb = 2.0, changesPerTransaction = 4) }
@@ -36,7 +36,7 @@
         )
     private val context = StepContext(settings, 1)
     private val store = StoreClient(context)
-    private val nobody =
+    private val noListener =
         object : LeadershipListener {
             override fun onElected(cause: ElectionCause) = Unit
 
@@ -45,12 +45,12 @@
                 reason: StepDownReason,
             ) = Unit
         }
-    private val leadership = Leadership(context, store, nobody)
+    private val leadership = Leadership(context, store, noListener)
     private val registry = JobRegistry(context, store, leadership)
 
     private val errors = ArrayList<String>()
 
-    /** Lets [seconds] pass, with the state service answering at once. */
+    /** Lets [seconds] pass, with the key-value store answering at once. */
     private fun pass(seconds: Double) {
         repeat((seconds * 10).toInt()) {
             clock.runUntil(clock.now + 0.1)
@@ -85,7 +85,7 @@
             "ramGb":0.0,"bundle":"i","pullGb":1.0,"together":false,"spread":false,"loaners":true,"guessS":1.0,"markEveryS":0.0,
             "markCostS":0.0}"""
         put("live/$id", """{"job":$body,"fp":"x","at":0}""")
-        return checkNotNull(registry.admit(Row("live/$id", Json.parse("""{"job":$body,"fp":"x","at":0}"""), stampOf("live/$id"))))
+        return checkNotNull(registry.admit(Row("live/$id", Json.parse("""{"job":$body,"fp":"x","at":0}"""), modRevisionOf("live/$id"))))
     }
 
     private fun put(
@@ -93,7 +93,7 @@
         value: String,
     ) = state.handle("POST", "/multi", """{"if":[],"then":[{"set":"$key","value":$value}]}""") { status, _ -> assertEquals(200, status) }
 
-    private fun stampOf(key: String): Long {
+    private fun modRevisionOf(key: String): Long {
         var modRevision = 0L
         state.handle("GET", "/store/$key", "") { _, body -> modRevision = Json.parse(body).path("stamp").asLong() }
         return modRevision
@@ -125,9 +125,9 @@
         assertEquals(emptyList<String>(), errors)
     }
 
-    /** Guards progress rows that a leader has not removed before it died: nobody else would. */
+    /** Guards progress rows that a leader has not removed before it died: noListener else would. */
     @Test
-    fun `progress of a job that is over is removed by the leader that finds it`() {
+    fun `progress rows of an ended job are removed by the leader that finds them`() {
         pass(3.0)
         repeat(6) { put("prog/j-9/b${it * 8}", """{"bits":"/w=="}""") }
         state.keys("prog/").forEach { registry.loadProgress(Row(it, Json.parse("""{"bits":"/w=="}"""), 1)) }
@@ -137,9 +137,9 @@
         assertEquals(emptyList<String>(), errors)
     }
 
-    /** Guards rows of 8 KiB that production left: marking a loss in one would be refused for ever. */
+    /** Guards rows of 8 KiB that production wrote: marking a loss in one would be refused for ever. */
     @Test
-    fun `a round of the old size is marked as soon as that fits, and removed at its end`() {
+    fun `a batch row of the old size is rewritten as soon as that fits, and removed at its end`() {
         pass(3.0)
         val job = admit("j-1", 200)
         val starts = (0 until 150).joinToString { "[$it,1,\"m-00000$it\",1,0,0]" }
@@ -147,26 +147,26 @@
         state.lower(valueKb = 8.0, changesPerTransaction = 8)
         put("round/1-0", value)
         state.lower(valueKb = 2.0, changesPerTransaction = 4)
-        registry.allocations.loadBatch(Row("round/1-0", Json.parse(value), stampOf("round/1-0")))
+        registry.allocations.loadBatch(Row("round/1-0", Json.parse(value), modRevisionOf("round/1-0")))
         registry.reconcileLoaded()
 
-        fun claimsOf(tasks: IntRange) = tasks.map { job.allocations.get(it) }
-        claimsOf(0..0).forEach { registry.allocations.release(it, isLost = true) }
+        fun allocationsOf(tasks: IntRange) = tasks.map { job.allocations.get(it) }
+        allocationsOf(0..0).forEach { registry.allocations.release(it, isLost = true) }
         pass(5.0)
         // Of 149 nothing is known yet: too much for a row.
         assertEquals(1, AllocationBatchCodec.decode(Row("round/1-0", Json.parse(value), 1)).allocations.count { it.task == 0 })
-        claimsOf(1..130).forEach {
+        allocationsOf(1..130).forEach {
             registry.allocations.release(it, isLost = false)
             registry.markDone(job, it.task)
             job.persistedDone.set(it.task)
         }
-        claimsOf(131..131).forEach { registry.allocations.release(it, isLost = true) }
+        allocationsOf(131..131).forEach { registry.allocations.release(it, isLost = true) }
         pass(5.0)
         var row = ""
         state.handle("GET", "/store/round/1-0", "") { _, body -> row = body }
         assertTrue("[131,1,\"m-00000131\",1,0,1]" in row, row)
         (0 until 200).forEach { if (!job.done.get(it)) registry.markDone(job, it) }
-        claimsOf(132..149).forEach { it?.let { allocation -> registry.allocations.release(allocation, isLost = false) } }
+        allocationsOf(132..149).forEach { it?.let { allocation -> registry.allocations.release(allocation, isLost = false) } }
         pass(20.0)
         assertEquals(emptyList<String>(), state.keys("round/"))
         assertEquals(0, state.refusedAsTooLarge)
--- a/src/test/kotlin/burlridge/allocation/ProductionTest.kt
+++ b/src/test/kotlin/burlridge/allocation/ProductionTest.kt
@@ -43,7 +43,7 @@
     }
 
     @Test
-    fun `a round of production is read, and written byte for byte as it writes it`() {
+    fun `a batch row of production is read, and written byte for byte as it writes it`() {
         for (row in rows("round/")) {
             val batch = AllocationBatchCodec.decode(row)
             assertTrue(batch.allocations.size > 100)
