--- a/src/main/kotlin/burlridge/app/Controller.kt
+++ b/src/main/kotlin/burlridge/app/Controller.kt
@@ -174,7 +174,7 @@
         leader: String,
         term: Long,
     ) {
-        failover?.onLeaderLearned(leader, term)
+        failover?.onLeaderObserved(leader, term)
     }
 
     override fun onTermHandedOver(term: Long): Boolean = failover?.onTermHandedOver(term) ?: false
--- a/src/main/kotlin/burlridge/app/LeaderLifecycle.kt
+++ b/src/main/kotlin/burlridge/app/LeaderLifecycle.kt
@@ -28,7 +28,7 @@
     /** A new leader reads every row before it acts. */
     fun onElected(cause: ElectionCause) {
         clear()
-        failover?.onElected(cause.text)
+        failover?.onElected(cause)
         loader.load(leadership.term) { onStateLoaded(leadership.term) }
     }
 
--- a/src/main/kotlin/burlridge/failover/ClusterView.kt
+++ b/src/main/kotlin/burlridge/failover/ClusterView.kt
@@ -20,6 +20,7 @@
     private val statuses = HashMap<String, FailoverStatus>()
     val detector: FailureDetector = FailureDetector(others, Leadership.STATUS_INTERVAL_SECONDS, settings.suspectLevel)
 
+    /** Whether [name] is another member of the settings. */
     fun isMember(name: String): Boolean = name in others
 
     /** Takes a heartbeat; false for one that is refused, see [RefusedInput.HEARTBEAT]. */
@@ -46,6 +47,7 @@
             .filter { isAvailable(it) && statuses[it]?.isSlow == false }
             .sortedByDescending { statuses[it]?.replicaRevision ?: FailoverStatus.NO_REPLICA }
 
+    /** Whether another member is alive and not draining. */
     fun hasAvailableMember(): Boolean = others.any { isAvailable(it) }
 
     /** Whether another member is alive, not draining and holds a standby replica. */
@@ -53,6 +55,7 @@
 
     private fun isAvailable(other: String): Boolean = detector.isAlive(other) && statuses[other]?.isDraining == false
 
+    /** Each other member, for operators. */
     fun reports(): List<MemberReport> = detector.views(context.now).map { reportOf(it) }
 
     private fun reportOf(view: MemberView): MemberReport {
--- a/src/main/kotlin/burlridge/failover/Failover.kt
+++ b/src/main/kotlin/burlridge/failover/Failover.kt
@@ -2,6 +2,7 @@
 
 import burlridge.core.Effect
 import burlridge.core.StepContext
+import burlridge.leadership.ElectionCause
 import burlridge.leadership.Leadership
 import burlridge.leadership.StepDownReason
 import burlridge.message.FailoverStatus
@@ -66,6 +67,7 @@
     /** Whether this member can be stopped without interrupting the service. */
     val isDrained: Boolean get() = handovers.isDrained
 
+    /** One turn of all parts, in a fixed order; a turn comes about ten times a second. */
     fun tick() {
         if (incarnation == 0L) incarnation = context.wallMillis
         cluster.detector.tick(context.now).forEach { onLivenessChanged(it) }
@@ -102,6 +104,7 @@
 
     // --- handover
 
+    /** Takes a step of a planned handover; one from a name that is no member is counted and ignored. */
     fun onHandover(message: PeerMessage.Handover) {
         if (cluster.isMember(message.from)) {
             handovers.onMessage(message.from, message.step)
@@ -121,6 +124,7 @@
     /** The rows for a new leader from the standby replica; null where they must be read from the state service. */
     fun takeOverRows(onResult: (Map<String, Listing>?) -> Unit) = replica.takeOver(leadership.fence, onResult)
 
+    /** The new leader has loaded its rows, from the standby replica or from the state service. */
     fun onRowsLoaded(
         rows: Int,
         fromReplica: Boolean,
@@ -135,14 +139,16 @@
     /** Whether this member holds no standby replica and another one, alive and not draining, does. */
     fun defersElection(): Boolean = replica.revision < 0 && cluster.hasPreparedMember()
 
-    fun onElected(cause: String) {
+    /** This member leads a new term. */
+    fun onElected(cause: ElectionCause) {
         handovers.onElected()
         confirmSuspicion(leadership.term)
         takeover = TakeoverProgress(context, leadership, controller, ::trace)
-        history.record(member, leadership.term, cause)
-        trace(LeaderChangeEvent.Elected(leadership.term, cause))
+        history.record(member, leadership.term, cause.text)
+        trace(LeaderChangeEvent.Elected(leadership.term, cause.text))
     }
 
+    /** This member does not lead [term] any more. */
     fun onDeposed(
         term: Long,
         reason: StepDownReason,
@@ -152,12 +158,13 @@
         trace(LeaderChangeEvent.Deposed(term, reason.text))
     }
 
-    fun onLeaderLearned(
+    /** Another member, [leader], is known to lead [term]. */
+    fun onLeaderObserved(
         leader: String,
         term: Long,
     ) {
         if (suspectedLeader != leader) confirmSuspicion(term)
-        history.record(leader, term, "told by the rows or by a member")
+        history.record(leader, term, OBSERVED)
     }
 
     /** The leader that was suspected last has been replaced in [term]. */
@@ -173,6 +180,7 @@
 
     // --- operators
 
+    /** This member's view, for operators. */
     fun report(): FailoverReport =
         FailoverReport(
             member = member,
@@ -200,5 +208,8 @@
 
     private companion object {
         const val BYTES_PER_MB = 1024 * 1024
+
+        /** The cause of a change of leader that this member read from the leader row or from another member's status. */
+        const val OBSERVED = "told by the rows or by a member"
     }
 }
--- a/src/main/kotlin/burlridge/failover/FailureDetector.kt
+++ b/src/main/kotlin/burlridge/failover/FailureDetector.kt
@@ -3,6 +3,9 @@
 /**
  * Tells silent members from live ones by the heartbeats that arrive here. A process that was itself paused or starved sees
  * everybody else fall silent at once: it distrusts its own view first, and raises no suspicion until the others had time to send again.
+ *
+ * @property expectedSeconds the usual interval between two heartbeats.
+ * @property suspectLevel the level of [ArrivalWindow.level] from which on a member is suspected.
  */
 internal class FailureDetector(
     members: Collection<String>,
@@ -133,6 +136,7 @@
         now: Double,
     ): MemberView? = peers[member]?.let { MemberView(member, it.liveness, levelOf(it, now), it.reason, it.lastHeartbeatAt) }
 
+    /** All members, in the order of the settings. */
     fun views(now: Double): List<MemberView> = peers.keys.mapNotNull { view(it, now) }
 
     /** Whether a heartbeat of [member] arrived since our start and it is not suspected now. */
--- a/src/main/kotlin/burlridge/failover/HandoverCoordinator.kt
+++ b/src/main/kotlin/burlridge/failover/HandoverCoordinator.kt
@@ -31,11 +31,20 @@
 
     /** Whether this member can be stopped without interrupting the service. */
     val isDrained: Boolean get() = isDraining && !leadership.isLeader && !outgoing.isActive
+
+    /** Whether nothing new may be started, because the successor would find it unfinished. */
     val isQuiescing: Boolean get() = outgoing.isQuiescing
+
+    /** Whether this process stalled so often that it should not lead, see [StallMonitor]. */
     val isSlow: Boolean get() = stalls.isSlow
+
+    /** The state of the handover that this member offers, in words for an operator. */
     val outgoingDescription: String get() = outgoing.description
+
+    /** The state of the handover that this member takes up, in words for an operator. */
     val incomingDescription: String get() = incoming.description
 
+    /** Continues the handovers under way, and starts one where it is due. */
     fun tick() {
         outgoing.tick()
         incoming.tick()
@@ -86,6 +95,7 @@
         retryAt = context.now + leadership.leaseSeconds * RETRY_LEASES
     }
 
+    /** Takes a step of a handover from another member. */
     fun onMessage(
         from: String,
         message: HandoverMessage,
@@ -128,8 +138,10 @@
     /** The leader's row names this member under [term]; true where it was handed over, so that no election is needed. */
     fun onTermHandedOver(term: Long): Boolean = incoming.onTermHandedOver(term)
 
+    /** This member was elected: it needs no handover any more. */
     fun onElected() = incoming.cancel()
 
+    /** This member does not lead any more, for [reason]. */
     fun onDeposed(reason: StepDownReason) = outgoing.onDeposed(reason)
 
     private companion object {
--- a/src/main/kotlin/burlridge/failover/IncomingHandover.kt
+++ b/src/main/kotlin/burlridge/failover/IncomingHandover.kt
@@ -53,6 +53,7 @@
     /** The state in words for an operator. */
     val description: String get() = current?.let { "ready to take over term ${it.term + 1} from ${it.from}" } ?: "none"
 
+    /** Accepts the offer once a lease is granted, or declines it; an offer that was taken up already is accepted again. */
     fun onOffer(
         from: String,
         message: HandoverMessage.Offer,
@@ -103,6 +104,7 @@
         port.send(offer.from, HandoverMessage.Accept(offer.attempt, offer.term, lease))
     }
 
+    /** Renews the lease and reads the term row when these are due; gives up where the transfer does not come. */
     fun tick() {
         val offer = current ?: return
         val lease = offer.lease ?: return
@@ -174,6 +176,7 @@
         }
     }
 
+    /** The leader keeps its term. */
     fun onWithdraw(
         from: String,
         message: HandoverMessage.Withdraw,
--- a/src/main/kotlin/burlridge/failover/MemberRequests.kt
+++ b/src/main/kotlin/burlridge/failover/MemberRequests.kt
@@ -13,6 +13,7 @@
 ) {
     private val member = context.settings.member
 
+    /** Handles a request whose path [serves]; [respond] is called once. */
     fun handle(
         method: String,
         path: String,
@@ -64,6 +65,7 @@
         const val DRAIN: String = "/admin/drain"
         private const val ANSWER_SECONDS = 2.0
 
+        /** Whether [path] is one of these requests. */
         fun serves(path: String): Boolean = path == STATUS || path == DRAIN || path.startsWith("$DRAIN/")
     }
 }
--- a/src/main/kotlin/burlridge/failover/OutgoingHandover.kt
+++ b/src/main/kotlin/burlridge/failover/OutgoingHandover.kt
@@ -22,55 +22,24 @@
         /** Whether no work of this leader is in flight: no allocation being written, none written but not sent to its worker. */
         fun isQuiesced(): Boolean
 
+        /** The handover is over, however it ended. */
         fun onEnded(
             successor: String,
             outcome: HandoverOutcome,
         )
     }
 
-    private sealed interface State {
-        data object Idle : State
-
-        data class Offered(
-            val attempt: Long,
-            val successor: String,
-            val nextSuccessors: List<String>,
-            val deadline: Double,
-        ) : State
-
-        /** The successor waits; this leader starts nothing new and lets its work in flight finish. */
-        data class Quiescing(
-            val attempt: Long,
-            val successor: String,
-            /** The successor's lease, to which the leader's row will be attached. */
-            val lease: Long,
-            val deadline: Double,
-        ) : State
-
-        data class Transferring(
-            val attempt: Long,
-            val successor: String,
-        ) : State
-    }
-
-    private var state: State = State.Idle
+    private var state: OutgoingHandoverState = OutgoingHandoverState.Idle
 
     /** Why the last handover was started. */
     private var reason = ""
 
     /** Whether nothing new may be started, because the successor would find it unfinished. */
-    val isQuiescing: Boolean get() = state is State.Quiescing || state is State.Transferring
-    val isActive: Boolean get() = state != State.Idle
+    val isQuiescing: Boolean get() = state is OutgoingHandoverState.Quiescing || state is OutgoingHandoverState.Transferring
+    val isActive: Boolean get() = state != OutgoingHandoverState.Idle
 
     /** The state in words for an operator. */
-    val description: String
-        get() =
-            when (val current = state) {
-                State.Idle -> "none"
-                is State.Offered -> "offered to ${current.successor}: $reason"
-                is State.Quiescing -> "coming to rest for ${current.successor}: $reason"
-                is State.Transferring -> "transferring to ${current.successor}: $reason"
-            }
+    val description: String get() = state.describe(reason)
 
     /** Offers the term to the first of [successors], and to the next one where that declines. None may be active already. */
     fun start(
@@ -85,20 +54,21 @@
         val attempt = context.random.nextLong(1, Long.MAX_VALUE)
         val successor = successors.first()
         val deadline = context.now + leadership.leaseSeconds * OFFER_LEASES
-        state = State.Offered(attempt, successor, successors.drop(1), deadline)
+        state = OutgoingHandoverState.Offered(attempt, successor, successors.drop(1), deadline)
         context.info("handover started", "term" to leadership.term, "successor" to successor, "reason" to reason)
         port.send(successor, HandoverMessage.Offer(attempt, leadership.term, reason))
     }
 
+    /** Gives up what lasts too long, and transfers once this leader has quiesced. */
     fun tick() {
         when (val current = state) {
-            State.Idle, is State.Transferring -> Unit
-            is State.Offered -> tickOffered(current)
-            is State.Quiescing -> tickQuiescing(current)
+            OutgoingHandoverState.Idle, is OutgoingHandoverState.Transferring -> Unit
+            is OutgoingHandoverState.Offered -> tickOffered(current)
+            is OutgoingHandoverState.Quiescing -> tickQuiescing(current)
         }
     }
 
-    private fun tickOffered(current: State.Offered) {
+    private fun tickOffered(current: OutgoingHandoverState.Offered) {
         if (!leadership.holdsLease) {
             abandon(current.attempt, current.successor, LEASE_IN_DOUBT)
         } else if (context.now > current.deadline) {
@@ -106,7 +76,7 @@
         }
     }
 
-    private fun tickQuiescing(current: State.Quiescing) {
+    private fun tickQuiescing(current: OutgoingHandoverState.Quiescing) {
         if (!leadership.holdsLease) {
             abandon(current.attempt, current.successor, LEASE_IN_DOUBT)
         } else if (port.isQuiesced() || context.now > current.deadline) {
@@ -114,26 +84,29 @@
         }
     }
 
+    /** The successor is ready; an acceptance of another offer is ignored. */
     fun onAccept(
         from: String,
         message: HandoverMessage.Accept,
     ) {
-        val current = state as? State.Offered ?: return
+        val current = state as? OutgoingHandoverState.Offered ?: return
         if (current.successor != from || current.attempt != message.attempt || message.term != leadership.term) return
         if (!leadership.holdsLease) return abandon(current.attempt, from, LEASE_IN_DOUBT)
-        state = State.Quiescing(current.attempt, from, message.lease, context.now + leadership.leaseSeconds * QUIESCE_LEASES)
+        state =
+            OutgoingHandoverState.Quiescing(current.attempt, from, message.lease, context.now + leadership.leaseSeconds * QUIESCE_LEASES)
     }
 
+    /** The successor does not take over; an answer to another offer is ignored. */
     fun onDecline(
         from: String,
         message: HandoverMessage.Decline,
     ) {
-        val current = state as? State.Offered ?: return
+        val current = state as? OutgoingHandoverState.Offered ?: return
         if (current.successor == from && current.attempt == message.attempt) offerToNext(current, message.reason)
     }
 
     private fun offerToNext(
-        current: State.Offered,
+        current: OutgoingHandoverState.Offered,
         problem: String,
     ) {
         port.send(current.successor, HandoverMessage.Withdraw(current.attempt, problem))
@@ -145,8 +118,8 @@
         }
     }
 
-    private fun transfer(current: State.Quiescing) {
-        state = State.Transferring(current.attempt, current.successor)
+    private fun transfer(current: OutgoingHandoverState.Quiescing) {
+        state = OutgoingHandoverState.Transferring(current.attempt, current.successor)
         val nextTerm = leadership.term + 1
         leadership.transfer(current.successor, current.lease) { result ->
             when (result) {
@@ -180,7 +153,7 @@
         successor: String,
         outcome: HandoverOutcome,
     ) {
-        state = State.Idle
+        state = OutgoingHandoverState.Idle
         context.info("handover ended", "successor" to successor, "outcome" to outcome.result.label, "reason" to outcome.reason)
         port.onEnded(successor, outcome)
     }
@@ -188,20 +161,20 @@
     /** This member does not lead any more, for [reason]. */
     fun onDeposed(reason: StepDownReason) {
         when (val current = state) {
-            State.Idle -> {
+            OutgoingHandoverState.Idle -> {
                 Unit
             }
 
-            is State.Offered -> {
+            is OutgoingHandoverState.Offered -> {
                 end(current.successor, HandoverOutcome(HandoverOutcome.Result.DEPOSED, reason.text))
             }
 
-            is State.Quiescing -> {
+            is OutgoingHandoverState.Quiescing -> {
                 end(current.successor, HandoverOutcome(HandoverOutcome.Result.DEPOSED, reason.text))
             }
 
             // A transfer that was carried out ends through its own result.
-            is State.Transferring -> {
+            is OutgoingHandoverState.Transferring -> {
                 if (reason !is StepDownReason.HandedOver) {
                     end(current.successor, HandoverOutcome(HandoverOutcome.Result.IN_DOUBT, reason.text))
                 }
--- a/src/main/kotlin/burlridge/failover/RefusalLog.kt
+++ b/src/main/kotlin/burlridge/failover/RefusalLog.kt
@@ -22,6 +22,7 @@
 ) {
     private var loggedAt = Double.NEGATIVE_INFINITY
 
+    /** Counts an input in the name of [from], and logs it unless a line was logged lately. */
     fun record(
         input: RefusedInput,
         from: String,
--- a/src/main/kotlin/burlridge/failover/ReplicaAudit.kt
+++ b/src/main/kotlin/burlridge/failover/ReplicaAudit.kt
@@ -2,11 +2,11 @@
 
 import burlridge.store.Row
 
-/** A page of rows as the state service listed it: all keys after [from] up to the last one, or to the end where it is not [truncated]. */
+/** A page of rows as the state service listed it: all keys after [from] up to the last one, or to the end where it is not [isTruncated]. */
 internal data class AuditPage(
     val from: String,
     val rows: List<Row>,
-    val truncated: Boolean,
+    val isTruncated: Boolean,
     val revision: Long,
 )
 
@@ -44,7 +44,7 @@
     ): AuditDifference? {
         if (table.revision < page.revision) return null
         val shown = page.rows.mapTo(HashSet()) { it.key }
-        val last = if (page.truncated) page.rows.lastOrNull()?.key ?: return null else null
+        val last = if (page.isTruncated) page.rows.lastOrNull()?.key ?: return null else null
         val surplus =
             table.rows.entries.firstOrNull { (key, row) ->
                 key > page.from && (last == null || key <= last) && row.modRevision <= page.revision && key !in shown
--- a/src/main/kotlin/burlridge/failover/ReplicaCatchUp.kt
+++ b/src/main/kotlin/burlridge/failover/ReplicaCatchUp.kt
@@ -25,9 +25,9 @@
     private val tables: List<ReplicaTable>,
     private val fence: Long,
 ) {
+    /** Reads one table after the other; the first fault ends it. */
     fun run(onResult: (CatchUpResult) -> Unit) = catchUp(0, onResult)
 
-    /** One table after the other, so that a fault ends the reading. */
     private fun catchUp(
         index: Int,
         onResult: (CatchUpResult) -> Unit,
--- a/src/main/kotlin/burlridge/failover/ReplicaTable.kt
+++ b/src/main/kotlin/burlridge/failover/ReplicaTable.kt
@@ -43,6 +43,7 @@
     /** The sum of all rows' hashes, updated with every change. */
     private var digest = 0L
 
+    /** Replaces all rows by those of a full read. */
     fun load(listing: Listing) {
         clear()
         val loaded = rows.builder()
--- a/src/main/kotlin/burlridge/failover/StallMonitor.kt
+++ b/src/main/kotlin/burlridge/failover/StallMonitor.kt
@@ -19,6 +19,7 @@
     /** Whether the operator's limit of stalls is reached; never where none is set. */
     val isSlow: Boolean get() = settings.slowStalls > 0 && recentStalls >= settings.slowStalls
 
+    /** Takes note of new stalls and forgets old ones. */
     fun tick() {
         if (leadership.stalls > stallsSeen) stallTimes.addLast(context.now)
         stallsSeen = leadership.stalls
--- a/src/main/kotlin/burlridge/failover/TakeoverProgress.kt
+++ b/src/main/kotlin/burlridge/failover/TakeoverProgress.kt
@@ -16,6 +16,7 @@
     private var hasAnsweredAll = false
     private var nextCheckAt = 0.0
 
+    /** Checks twice in each interval between statuses. */
     fun tick() {
         if (context.now < nextCheckAt) return
         nextCheckAt = context.now + Leadership.STATUS_INTERVAL_SECONDS / 2
