--- a/src/main/kotlin/burlridge/app/RequestRouter.kt
+++ b/src/main/kotlin/burlridge/app/RequestRouter.kt
@@ -72,7 +72,7 @@
         onResult: (HttpResponse) -> Unit,
         handle: () -> Unit,
     ) {
-        if (method == allowed) handle() else onResult(HttpResponse.error(HttpStatus.METHOD_NOT_ALLOWED, "use $allowed"))
+        if (method == allowed) handle() else onResult(HttpResponse.methodNotAllowed(allowed))
     }
 
     private fun unknownPath() = HttpResponse.error(HttpStatus.NOT_FOUND, "no such path")
--- a/src/main/kotlin/burlridge/balance/MachineRequests.kt
+++ b/src/main/kotlin/burlridge/balance/MachineRequests.kt
@@ -28,7 +28,7 @@
     ) {
         val allowed = if (path == STATUS || path.startsWith(EXPLAIN)) "GET" else "POST"
         when {
-            method != allowed -> onResult(HttpResponse.error(NOT_ALLOWED, "use $allowed"))
+            method != allowed -> onResult(HttpResponse.methodNotAllowed(allowed))
             leadership.holdsLease && isLoaded() -> lead(path, body, onceInTime(onResult))
             passedOn || leadership.isLeader -> onResult(HttpResponse.unavailable("${context.settings.member} does not lead now; ask again"))
             else -> passOn(method, path, body, onResult)
@@ -124,7 +124,6 @@
         private const val OK = 200
         private const val MALFORMED = 400
         private const val NOT_FOUND = 404
-        private const val NOT_ALLOWED = 405
         private const val CONFLICT = 409
         private const val WRITE_SECONDS = 3.0
         private const val ANSWER_SECONDS = 4.0
--- a/src/main/kotlin/burlridge/core/HttpResponse.kt
+++ b/src/main/kotlin/burlridge/core/HttpResponse.kt
@@ -24,6 +24,9 @@
             retryAfterSeconds: Int = 1,
         ): HttpResponse = HttpResponse(HttpStatus.SERVICE_UNAVAILABLE, errorBody(reason), retryAfterSeconds)
 
+        /** 405 for a path that takes only the method [allowed]. */
+        fun methodNotAllowed(allowed: String): HttpResponse = error(HttpStatus.METHOD_NOT_ALLOWED, "use $allowed")
+
         private fun errorBody(reason: String): String = Json.write(Json.obj { put("error", reason) })
     }
 }
--- a/src/main/kotlin/burlridge/failover/MemberRequests.kt
+++ b/src/main/kotlin/burlridge/failover/MemberRequests.kt
@@ -22,7 +22,7 @@
         val allowed = if (path == STATUS) "GET" else "POST"
         val target = path.removePrefix(DRAIN).removePrefix("/")
         when {
-            method != allowed -> respond(HttpResponse.error(HttpStatus.METHOD_NOT_ALLOWED, "use $allowed"))
+            method != allowed -> respond(HttpResponse.methodNotAllowed(allowed))
             path == STATUS -> respond(HttpResponse(HttpStatus.OK, FailoverReportCodec.encode(failover.report())))
             target.isEmpty() || target == member -> drainHere(respond)
             else -> drainOther(target, respond)
