--- a/src/main/kotlin/burlridge/app/PeerMessageHandler.kt
+++ b/src/main/kotlin/burlridge/app/PeerMessageHandler.kt
@@ -13,6 +13,7 @@
 import burlridge.store.RequestPriority
 import burlridge.store.StoreClient
 import burlridge.worker.HeartbeatRelay
+import burlridge.worker.RelayedCommand
 
 /** Passes each message of another member to the part that it is for. */
 internal class PeerMessageHandler(
@@ -55,8 +56,8 @@
     }
 
     private fun onForwardedRequest(request: PeerMessage.ForwardedRequest) {
-        if (request.path.startsWith(HeartbeatRelay.COMMAND)) {
-            relay.command(request.path.removePrefix(HeartbeatRelay.COMMAND), request.body) { respond(request, it) }
+        if (request.path.startsWith(RelayedCommand.PATH_PREFIX)) {
+            relay.command(request.path.removePrefix(RelayedCommand.PATH_PREFIX), request.body) { respond(request, it) }
         } else {
             router.handle(request.method, request.path, request.body, request.from) { respond(request, it) }
         }
--- a/src/main/kotlin/burlridge/balance/Balance.kt
+++ b/src/main/kotlin/burlridge/balance/Balance.kt
@@ -54,13 +54,13 @@
     init {
         dependencies.placement.policy = this
         dependencies.fleet.isZoneDrained = index::isDrained
-        workers.onSlow = { machine ->
+        workers.onStragglerEvicted = { machine ->
             decisions.add(Decision.StragglerEvicted(machine.id))
             drains.request(DrainTarget.SingleMachine(machine.id), DrainCause.SLOW) {}
         }
         if (settings.hotFactor > 0) {
-            workers.onHeard = hotspots::onHeartbeat
-            workers.outcomes.onRan = hotspots::onTaskCompleted
+            workers.onHeartbeatReconciled = hotspots::onHeartbeat
+            workers.outcomes.onTaskCompleted = hotspots::onTaskCompleted
         }
     }
 
--- a/src/main/kotlin/burlridge/balance/DrainSafety.kt
+++ b/src/main/kotlin/burlridge/balance/DrainSafety.kt
@@ -61,7 +61,7 @@
     ): DrainCheck {
         val serving =
             workers.machines.values.filter {
-                it.up && !it.leaseExpired && !it.draining && it.reclaimAt == null &&
+                it.isUp && !it.isLeaseExpired && !it.isDraining && it.reclaimAt == null &&
                     drained.covering(it) == null
             }
         val (leaving, staying) = serving.partition(target::matches)
--- a/src/main/kotlin/burlridge/balance/GracefulEviction.kt
+++ b/src/main/kotlin/burlridge/balance/GracefulEviction.kt
@@ -10,6 +10,7 @@
 import burlridge.settings.BalanceSettings
 import burlridge.settings.MovePermission
 import burlridge.worker.DrainReason
+import burlridge.worker.LossReason
 import burlridge.worker.Machine
 import burlridge.worker.WorkerManager
 
@@ -43,7 +44,7 @@
             val drainProgress = progress.getOrPut(drain) { DrainProgress() }
             drainProgress.machines++
             if (machine.drainReason != DrainReason.OPERATOR) continue
-            workers.releaseUndispatched(machine, "never sent, and its machine is drained")
+            workers.releaseUndispatched(machine, LossReason.MACHINE_DRAINED)
             for (allocation in registry.allocations.byMachine[machine.id]
                 ?.values
                 .orEmpty()) {
@@ -72,7 +73,7 @@
                 allocation.stopGraceSeconds != null || allocation.phase == AllocationPhase.CHECKPOINTING ||
                     allocation.job in gangs -> EvictionDelay.STOPPING
 
-                workers.isSilent(machine) || !machine.isResponsive || machine.leaseExpired -> EvictionDelay.NO_HEARTBEAT
+                workers.isSilent(machine) || !machine.isResponsive || machine.isLeaseExpired -> EvictionDelay.NO_HEARTBEAT
 
                 endsSoon(job, allocation) -> EvictionDelay.FINISHING
 
--- a/src/main/kotlin/burlridge/balance/HotspotMitigation.kt
+++ b/src/main/kotlin/burlridge/balance/HotspotMitigation.kt
@@ -72,7 +72,7 @@
     }
 
     private fun hotMachines(): Set<String> {
-        val up = workers.machines.values.filter { it.up && !it.leaseExpired && !it.draining }
+        val up = workers.machines.values.filter { it.isUp && !it.isLeaseExpired && !it.isDraining }
         val loads = up.associateWith { loadTracker.load(it, workers.isSilent(it) || !it.isResponsive, context.now) }
         val hottest = loads.filterValues { it == LoadLevel.HOT }.keys
         val silentMachines = up.count { workers.isSilent(it) || !it.isResponsive }
--- a/src/main/kotlin/burlridge/balance/MoveExecutor.kt
+++ b/src/main/kotlin/burlridge/balance/MoveExecutor.kt
@@ -13,6 +13,7 @@
 import burlridge.settings.MovePermission
 import burlridge.store.Row
 import burlridge.store.StoreClient
+import burlridge.worker.StopReason
 import burlridge.worker.WorkerManager
 
 /**
@@ -135,7 +136,7 @@
     ) {
         open.isStopSent = true
         allocation.stopGraceSeconds = if (job.spec.checkpointSeconds > 0) job.spec.saveSeconds * GangRules.CHECKPOINT_GRACE_FACTOR else 0.0
-        workers.machines[allocation.machine]?.let(workers::command)
+        workers.machines[allocation.machine]?.let(workers::sendPendingCommands)
     }
 
     private fun advanceGang(
@@ -145,17 +146,17 @@
         if (job.allocations.isEmpty() || job.highestAttempt != open.move.attempt) return true
         if (isRevoked(open.move) && GangRules.state(job) == GangState.RUNNING) return true
         val mustSave = settings.permission(job.spec.jobClass) != MovePermission.REPEAT
-        workers.stopGang(job, "machine ${open.move.from} is drained", mustSave)
+        workers.stopGang(job, StopReason.MACHINE_DRAINED, open.move.from, mustSave)
         return false
     }
 
     /** The drain for which it was planned was cancelled before its stop was sent. */
-    private fun isRevoked(move: Move): Boolean = move.reason == MoveReason.DRAIN && workers.machines[move.from]?.draining == false
+    private fun isRevoked(move: Move): Boolean = move.reason == MoveReason.DRAIN && workers.machines[move.from]?.isDraining == false
 
     private fun holdsReservation(open: OpenMove): Boolean {
         val machine = open.move.to?.let { workers.machines[it] } ?: return false
-        return context.wallMillis < open.batch.plannedMillis + reservationMillis && machine.up && !machine.leaseExpired &&
-            !machine.draining && machine.reclaimAt == null
+        return context.wallMillis < open.batch.plannedMillis + reservationMillis && machine.isUp && !machine.isLeaseExpired &&
+            !machine.isDraining && machine.reclaimAt == null
     }
 
     /** Capacity that is held for tasks of open moves; both places count for capacity, quota and zones while the task may be on the first. */
--- a/src/main/kotlin/burlridge/balance/SlowStart.kt
+++ b/src/main/kotlin/burlridge/balance/SlowStart.kt
@@ -7,6 +7,7 @@
 import burlridge.job.JobSpec
 import burlridge.settings.BalanceSettings
 import burlridge.worker.Machine
+import burlridge.worker.TaskState
 
 /**
  * Limits what a machine gets at once that has just joined, or whose worker has just begun a new session: a few starts, and twice as many as
@@ -24,7 +25,7 @@
     /** How many more starts [machine] may get now; [UNLIMITED] once it has been up for a while. */
     fun startsLeft(machine: Machine): Int {
         if (!isCold(machine)) return UNLIMITED
-        val running = machine.reported.values.count { it.state == "running" }
+        val running = machine.reportedTasks.values.count { it.state == TaskState.Known.RUNNING }
         return (maxOf(settings.coldStarts, running * GROWTH) - starting(machine).size).coerceAtLeast(0)
     }
 
@@ -32,7 +33,7 @@
         if (coldSeconds <= 0.0) return false
         // To a new leader every machine is new, so the time of its rental bounds how long it can have been up.
         val upSince = if (machine.rentedAt > 0) minOf(machine.upSince, machine.rentedAt + bootSeconds(machine.type) * LONG_BOOT) else NEVER
-        return context.now < maxOf(upSince, machine.sessionBeganAt) + coldSeconds
+        return context.now < maxOf(upSince, machine.epochBeganAt) + coldSeconds
     }
 
     private fun starting(machine: Machine): List<Allocation> =
--- a/src/main/kotlin/burlridge/fleet/Fleet.kt
+++ b/src/main/kotlin/burlridge/fleet/Fleet.kt
@@ -7,6 +7,7 @@
 import burlridge.leadership.Leadership
 import burlridge.store.Row
 import burlridge.store.StoreClient
+import burlridge.worker.LossReason
 import burlridge.worker.Machine
 import burlridge.worker.WorkerManager
 
@@ -37,12 +38,12 @@
     private val demand = CapacityDemand(context, registry)
 
     init {
-        workers.outcomes.cacheOf = { type -> catalog?.types?.get(type)?.cacheGb ?: 0.0 }
+        workers.outcomes.cacheGbOfType = { type -> catalog?.types?.get(type)?.cacheGb ?: 0.0 }
     }
 
     fun tickCatalog() = types.tick()
 
-    val returnsIdle: Boolean get() = !demand.keepsAllMachines
+    val returnsIdleMachines: Boolean get() = !demand.keepsAllMachines
 
     /** Room that is to be kept for gangs that surely come soon. */
     fun expectedGangs(): List<CapacityDemand.Need> = catalog?.let { demand.expectedGangs(it) }.orEmpty()
@@ -118,13 +119,13 @@
         machine.type = listed.type ?: machine.type
         machine.zone = listed.zone ?: machine.zone
         machine.spot = listed.spot ?: machine.spot
-        machine.listed = true
+        machine.isListed = true
         machine.listedAgeSeconds = maxOf(machine.listedAgeSeconds, listed.ageSeconds)
         if (machine.rentedAt == 0.0) machine.rentedAt = context.now - machine.listedAgeSeconds
-        machine.starting = listed.state == "starting" && !machine.up
-        if (listed.state == "failed" && !machine.dead) {
+        machine.isStarting = listed.state == "starting" && !machine.isUp
+        if (listed.state == "failed" && !machine.isDead) {
             context.info("machine ${machine.id} has failed; returning it")
-            machine.dead = true
+            machine.isDead = true
         }
         if (machine.address == null) machine.address = listed.address
     }
@@ -136,11 +137,11 @@
         for (machine in workers.machines.values.toList()) {
             if (machine.id in names) continue
             val inherited =
-                settled && !machine.listed && !machine.up && registry.allocations.byMachine[machine.id]
+                settled && !machine.isListed && !machine.isUp && registry.allocations.byMachine[machine.id]
                     ?.values
                     ?.any { it.isInherited } == true
-            if (inherited || (machine.listed && machine.listedAgeSeconds > lag * OLDEST_LIST)) {
-                workers.onMachineGone(machine, "the cloud no longer lists it")
+            if (inherited || (machine.isListed && machine.listedAgeSeconds > lag * OLDEST_LIST)) {
+                workers.onMachineGone(machine, LossReason.NOT_LISTED)
             }
         }
     }
@@ -240,7 +241,7 @@
     private fun coming(types: Catalog): MutableList<FreeCapacity> {
         val slots = ArrayList<FreeCapacity>()
         for (m in workers.machines.values) {
-            if (m.draining || m.reclaimAt != null || (m.up && (m.leaseExpired || !m.isResponsive || workers.isSilent(m)))) continue
+            if (m.isDraining || m.reclaimAt != null || (m.isUp && (m.isLeaseExpired || !m.isResponsive || workers.isSilent(m)))) continue
             val whole = types.types[m.type]?.size ?: continue
             val free = whole - registry.allocations.usageOn(m.id)
             if (free.cpus > 0) slots += FreeCapacity(m.type, m.zone, m.spot, free)
--- a/src/main/kotlin/burlridge/fleet/ScaleIn.kt
+++ b/src/main/kotlin/burlridge/fleet/ScaleIn.kt
@@ -6,6 +6,7 @@
 import burlridge.json.Json
 import burlridge.leadership.Leadership
 import burlridge.worker.DrainReason
+import burlridge.worker.LossReason
 import burlridge.worker.Machine
 import burlridge.worker.WorkerManager
 
@@ -25,33 +26,34 @@
         for (machine in workers.machines.values) {
             val boot = types.types[machine.type]?.bootSeconds ?: continue
             // To a new leader every machine is silent at first: only one that the cloud still calls starting is overdue.
-            val overdue = machine.starting && !machine.up && machine.rentedAt > 0 && context.now > machine.rentedAt + boot * OVERDUE_BOOTS
+            val overdue =
+                machine.isStarting && !machine.isUp && machine.rentedAt > 0 && context.now > machine.rentedAt + boot * OVERDUE_BOOTS
             if (machine.zone in heard && isConfirmedDead(machine)) {
                 context.infoRateLimited(
                     "silent machines returned",
                     "machine ${machine.id} is silent for ${(context.now - machine.silentSince).toInt()} s and " +
                         "cannot be reached; returning it to be certain",
                 )
-                machine.dead = true
+                machine.isDead = true
             }
             val unresponsiveSince = machine.unresponsiveSince
-            if (machine.zone in heard && !machine.dead && unresponsiveSince != null &&
+            if (machine.zone in heard && !machine.isDead && unresponsiveSince != null &&
                 context.now > unresponsiveSince + context.settings.workers.leaseSeconds / 2
             ) {
                 context.infoRateLimited(
                     "deaf machines returned",
                     "machine ${machine.id} reports but has heard nothing for ${(context.now - unresponsiveSince).toInt()} s; returning it",
                 )
-                machine.dead = true
+                machine.isDead = true
             }
-            if (overdue && !machine.draining) {
+            if (overdue && !machine.isDraining) {
                 context.info("machine ${machine.id} has not come up in ${(context.now - machine.rentedAt).toInt()} s; returning it")
                 machine.drainReason = DrainReason.OVERDUE
             }
         }
         // Hundreds may be due at once, and each second counts for the tasks on them.
         workers.machines.values
-            .filter { !it.returning && (it.dead || isEmptied(it)) }
+            .filter { !it.isReturning && (it.isDead || isEmptied(it)) }
             .chunked(MOST_PER_RETURN)
             .take(MOST_RETURNS)
             .forEach { giveBack(it) }
@@ -59,8 +61,8 @@
 
     /** An operator's drain can wait until the ends that only its worker keeps are durable. */
     private fun isEmptied(machine: Machine): Boolean {
-        if (!machine.draining || !registry.allocations.byMachine[machine.id].isNullOrEmpty()) return false
-        return machine.drainReason != DrainReason.OPERATOR || machine.reported.isEmpty() || machine.leaseExpired
+        if (!machine.isDraining || !registry.allocations.byMachine[machine.id].isNullOrEmpty()) return false
+        return machine.drainReason != DrainReason.OPERATOR || machine.reportedTasks.isEmpty() || machine.isLeaseExpired
     }
 
     /**
@@ -68,14 +70,19 @@
      * worker's lease would. Not where many are silent at once: then the fault is more likely ours or the network's.
      */
     private fun isConfirmedDead(machine: Machine): Boolean {
-        val wanted = machine.up || !registry.allocations.byMachine[machine.id].isNullOrEmpty()
-        if (!wanted || machine.dead || machine.leaseExpired || machine.starting || machine.refusals < TRIES_TO_BURY) return false
-        return workers.hearsZone(machine.zone) && context.now > machine.silentSince + context.settings.workers.reportSeconds * DEAD_REPORTS
+        val wanted = machine.isUp || !registry.allocations.byMachine[machine.id].isNullOrEmpty()
+        if (!wanted || machine.isDead || machine.isLeaseExpired || machine.isStarting ||
+            machine.consecutiveCommandFailures < TRIES_TO_BURY
+        ) {
+            return false
+        }
+        return workers.receivesHeartbeatsFrom(machine.zone) &&
+            context.now > machine.silentSince + context.settings.workers.reportSeconds * DEAD_REPORTS
     }
 
     /** The zones most of whose machines are heard from, so that the silence of one is its own. */
     private fun zonesWithHeartbeats(): Set<String> {
-        val up = workers.machines.values.filter { it.up && !it.leaseExpired }
+        val up = workers.machines.values.filter { it.isUp && !it.isLeaseExpired }
         return up
             .groupBy { it.zone }
             .filterValues { there ->
@@ -90,7 +97,7 @@
         if (list.isEmpty()) return
         val drained = list.filterTo(HashSet()) { it.drainReason == DrainReason.OPERATOR }
         list.forEach {
-            it.returning = true
+            it.isReturning = true
             it.drainReason = DrainReason.RETURNED
         }
         val body = Json.obj { putArray("drovers").also { names -> list.forEach { m -> names.add(m.id) } } }
@@ -108,11 +115,11 @@
             if (!mine()) return@call
             if ((outcome as? CallOutcome.Responded)?.status == 200) {
                 list.forEach {
-                    workers.onMachineGone(it, "returned")
+                    workers.onMachineGone(it, LossReason.RETURNED)
                     if (it !in drained) rentals.returned(InstanceOffering(it.type, it.zone, it.spot))
                 }
             } else {
-                list.forEach { m -> context.schedule(RETRY_SECONDS) { m.returning = false } }
+                list.forEach { m -> context.schedule(RETRY_SECONDS) { m.isReturning = false } }
             }
         }
     }
@@ -127,7 +134,7 @@
         after: List<FreeCapacity>,
         types: Catalog,
     ) {
-        val up = workers.machines.values.filter { it.up && !it.draining }
+        val up = workers.machines.values.filter { it.isUp && !it.isDraining }
         val patience = patienceSeconds(up.size)
         val idle =
             up.filter { m ->
--- a/src/main/kotlin/burlridge/fleet/ScaleOut.kt
+++ b/src/main/kotlin/burlridge/fleet/ScaleOut.kt
@@ -186,11 +186,11 @@
                     context.info("rental ${rental.step}: got ${names.size()} of ${rental.count}")
                     names.forEach { name ->
                         val machine = workers.machine(name.asText())
-                        if (!machine.up && !machine.listed) {
+                        if (!machine.isUp && !machine.isListed) {
                             machine.type = offering.type
                             machine.zone = offering.zone
                             machine.spot = offering.spot
-                            machine.starting = true
+                            machine.isStarting = true
                             machine.rentedAt = context.now
                         }
                     }
--- a/src/main/kotlin/burlridge/placement/ArrayPlacement.kt
+++ b/src/main/kotlin/burlridge/placement/ArrayPlacement.kt
@@ -27,7 +27,7 @@
     ) {
         val job = reservation.job
         val spec = job.spec
-        if (!job.isEligible(reservation.task, context.now) || workers.orphans(reservation.taskName)) return
+        if (!job.isEligible(reservation.task, context.now) || workers.hasOrphan(reservation.taskName)) return
         plan.release(reservation)
         val capacity = plan.capacityOn(reservation.machine.id) ?: return
         val usage = plan.usageOf(spec.team) + spec.size
@@ -54,7 +54,7 @@
             task = fill(job, task, imageHolders, zones, plan)
         }
         // Where idle machines are returned, the expensive ones of a type are filled last, so that they are the ones to fall idle.
-        for (group in pools.groupBy { it.first.type to (fleet.returnsIdle && it.first.spot) }.values) {
+        for (group in pools.groupBy { it.first.type to (fleet.returnsIdleMachines && it.first.spot) }.values) {
             if (task == NO_TASK) return
             context.count("placement.candidates", group.sumOf { it.candidates.size })
             task = fill(job, task, group.flatMap { pool -> pool.candidates.filter { canUse(job, it) } }, zones, plan)
@@ -126,7 +126,7 @@
         val spec = job.spec
         var task = firstTask
         // Where idle machines are returned, those in use are filled first, so that others fall idle.
-        val (idle, inUse) = candidates.partition { fleet.returnsIdle && it.isIdle }
+        val (idle, inUse) = candidates.partition { fleet.returnsIdleMachines && it.isIdle }
         val (idleLeft, shared) = idle.toMutableList() to inUse.toMutableList()
         while (task != NO_TASK && !isBatchFull(plan)) {
             val usage = plan.usageOf(spec.team) + spec.size
@@ -153,7 +153,7 @@
         var task = job.doneOrAllocated.nextClearBit(from)
         while (task < job.spec.tasks) {
             val taskName = "${job.spec.id}/$task"
-            if (job.isEligible(task, context.now) && !workers.orphans(taskName) && !plan.isPlacedFromReservation(taskName)) return task
+            if (job.isEligible(task, context.now) && !workers.hasOrphan(taskName) && !plan.isPlacedFromReservation(taskName)) return task
             task = job.doneOrAllocated.nextClearBit(task + 1)
         }
         return NO_TASK
--- a/src/main/kotlin/burlridge/placement/GangPlacement.kt
+++ b/src/main/kotlin/burlridge/placement/GangPlacement.kt
@@ -116,7 +116,7 @@
         val zones = HashMap<String, Int>()
         for (group in byFetchTime(spec, candidates)) {
             // Where idle machines are returned, those in use are filled first, so that others fall idle.
-            val (idle, inUse) = group.partition { fleet.returnsIdle && it.isIdle }
+            val (idle, inUse) = group.partition { fleet.returnsIdleMachines && it.isIdle }
             val (idleLeft, shared) = idle.toMutableList() to inUse.toMutableList()
             while (assigned.size < tasks) {
                 // The machine of the last task fetches the image anyway.
--- a/src/main/kotlin/burlridge/placement/Placement.kt
+++ b/src/main/kotlin/burlridge/placement/Placement.kt
@@ -56,7 +56,7 @@
         // Only a gang may need more than one row: it starts once all of its rows are stored.
         plan.allocations.chunked(registry.allocations.maxStartsPerBatch).forEach { batch ->
             registry.allocations.allocate(batch) { startable ->
-                startable.map { it.machine }.distinct().forEach { id -> workers.machines[id]?.let(workers::command) }
+                startable.map { it.machine }.distinct().forEach { id -> workers.machines[id]?.let(workers::sendPendingCommands) }
             }
         }
     }
--- a/src/main/kotlin/burlridge/placement/PlacementPlanBuilder.kt
+++ b/src/main/kotlin/burlridge/placement/PlacementPlanBuilder.kt
@@ -48,11 +48,11 @@
     }
 
     private fun isUsable(machine: Machine): Boolean =
-        isInService(machine) && context.now >= machine.notBefore && context.now >= machine.nextCommandAt &&
-            !workers.isSilent(machine) && !workers.isNotReporting(machine) && workers.reaches(machine)
+        isInService(machine) && context.now >= machine.noPlacementBefore && context.now >= machine.nextCommandAt &&
+            !workers.isSilent(machine) && !workers.isNotReporting(machine) && workers.isReachable(machine)
 
     private fun isInService(machine: Machine): Boolean =
-        machine.up && machine.isResponsive && !machine.leaseExpired && !machine.draining && machine.reclaimAt == null
+        machine.isUp && machine.isResponsive && !machine.isLeaseExpired && !machine.isDraining && machine.reclaimAt == null
 
     /** What neither allocations nor tasks without one, started by an earlier leader, take. */
     private fun free(
--- a/src/main/kotlin/burlridge/worker/CommandDispatcher.kt
+++ b/src/main/kotlin/burlridge/worker/CommandDispatcher.kt
@@ -3,285 +3,191 @@
 import burlridge.allocation.Allocation
 import burlridge.allocation.AllocationPhase
 import burlridge.allocation.JobRegistry
-import burlridge.allocation.JobState
 import burlridge.core.CallOutcome
+import burlridge.core.HttpStatus
 import burlridge.core.StepContext
 import burlridge.leadership.Leadership
 import burlridge.leadership.StepDownReason
-import burlridge.peer.PeerRequests
 import burlridge.settings.Endpoint
 
-/** Commands straight to the workers, and what becomes of them. */
+/** What the outcomes of commands are handed to. */
+internal class CommandHandlers(
+    val heartbeats: HeartbeatProcessor,
+    val losses: AllocationLosses,
+    /** Called after an answer, so that waiting tasks are placed. */
+    val onChange: () -> Unit,
+)
+
+/** Sends commands to workers, one request at a time to each, and handles their outcomes. */
 internal class CommandDispatcher(
     private val context: StepContext,
     private val leadership: Leadership,
     private val registry: JobRegistry,
-    private val peers: PeerRequests,
-    private val reachability: ZoneReachability,
-    private val reconciler: TaskReconciler,
-    private val listener: CommandListener,
+    private val machines: MachineRegistry,
+    private val transport: CommandTransport,
+    private val handlers: CommandHandlers,
 ) {
-    internal interface CommandListener {
-        fun knows(machine: Machine): Boolean
-
-        /** The answer to a command is a report. */
-        fun onHeartbeat(
-            machine: Machine,
-            report: Heartbeat,
-        )
+    private val selector = CommandSelector(context, leadership, registry)
 
-        fun nextToken(): Long
+    /** How a request to a worker ended. */
+    private sealed interface CommandResult {
+        class Executed(
+            val heartbeat: Heartbeat,
+        ) : CommandResult
 
-        fun lose(
-            allocation: Allocation,
-            reason: String,
-        )
+        /** The worker has seen a higher token or begun a new epoch, and executed nothing. */
+        class Fenced(
+            val heartbeat: Heartbeat,
+        ) : CommandResult
 
-        fun releaseUndispatched(
-            machine: Machine,
-            reason: String,
-        )
+        data object NotExecuted : CommandResult
 
-        fun changed()
+        /** Possibly executed, or still to be executed. */
+        data object Unknown : CommandResult
     }
 
-    private val times = context.settings.workers
-    private var probeAt = 0.0
-
-    /** Sends what is due to [machine] straight away. */
-    fun command(machine: Machine) {
+    /** Sends what is due to [machine] now. */
+    fun sendPending(machine: Machine) {
         val address = machine.address ?: return
-        if (!mayCommand(machine)) return
-        val allocations = registry.allocations.byMachine[machine.id]?.values
-        if (allocations.isNullOrEmpty() || allocations.none { isPending(it) }) return
-        val starts = if (leadership.holdsLease) startsOf(machine).take(MOST_COMMANDS) else emptyList()
-        val stops = allocations.filter { (leadership.holdsLease || reconciler.isCancelled(it)) && wantsStop(it) }
-        if (starts.isEmpty() && stops.isEmpty() && !needsFence(machine, allocations)) return
-        stops.forEach { it.stopSentAt = context.now }
-        starts.forEach { it.phase = AllocationPhase.DISPATCHED }
-        if (starts.isNotEmpty()) machine.lastStartToken = machine.token
-        send(machine, address, stops.map { stop(it) } + starts.map { WorkerCommand.Start(it.taskName, it.attempt) }, starts, stops)
+        val selection = selector.select(machine) ?: return
+        selection.stops.forEach { it.stopSentAt = context.now }
+        selection.starts.forEach { it.phase = AllocationPhase.DISPATCHED }
+        if (selection.starts.isNotEmpty()) machine.lastStartToken = machine.token
+        send(machine, address, selection)
     }
 
-    /** While others may have been elected only what can never be wrong goes out: the stops of cancelled jobs. */
-    private fun mayCommand(machine: Machine): Boolean =
-        !machine.commandInFlight && context.now >= machine.nextCommandAt && !machine.leaseExpired &&
-            (leadership.holdsLease || leadership.mayAnswerWorkers)
-
-    private fun isPending(allocation: Allocation): Boolean =
-        allocation.phase <= AllocationPhase.DISPATCHED || allocation.stopGraceSeconds != null || reconciler.isCancelled(allocation)
-
-    /** Whether a start of unknown outcome waits for the worker to see a newer token. */
-    private fun needsFence(
+    /** Sends a request without commands, which the worker of [machine] answers with a heartbeat. */
+    fun query(
         machine: Machine,
-        allocations: Collection<Allocation>,
-    ): Boolean =
-        leadership.holdsLease && machine.seenToken <= machine.unsettledToken && allocations.any { it.phase == AllocationPhase.DISPATCHED }
-
-    private fun stop(allocation: Allocation) =
-        WorkerCommand.Stop(
-            allocation.taskName,
-            allocation.attempt,
-            if (reconciler.isCancelled(allocation)) {
-                0.0
-            } else {
-                allocation.stopGraceSeconds
-                    ?: 0.0
-            },
-        )
-
-    private fun startsOf(machine: Machine): List<Allocation> =
-        if (machine.isResponsive) {
-            registry.allocations.byMachine[machine.id]
-                ?.values
-                ?.filter { startable(it, machine) }
-                .orEmpty()
-        } else {
-            emptyList()
-        }
-
-    private fun startable(
-        allocation: Allocation,
-        machine: Machine,
-    ): Boolean =
-        allocation.phase == AllocationPhase.COMMITTED && allocation.agentEpoch == machine.agentEpoch &&
-            allocation.stopGraceSeconds == null &&
-            machine.drainReason != DrainReason.OPERATOR &&
-            registry.jobs[allocation.job]?.isCancelling == false
-
-    private fun wantsStop(allocation: Allocation): Boolean {
-        if (allocation.phase < AllocationPhase.DISPATCHED || allocation.hasEnded ||
-            context.now < allocation.stopSentAt + times.reportSeconds / 3
-        ) {
-            return false
-        }
-        if (reconciler.isCancelled(allocation)) return true
-        if (allocation.phase == AllocationPhase.CHECKPOINTING) return false
-        if (allocation.isStopAcknowledged && reconciler.savesAsGang(allocation)) return false
-        return allocation.stopGraceSeconds != null
-    }
+        address: Endpoint,
+    ) = send(machine, address, CommandSelection.EMPTY)
 
     private fun send(
         machine: Machine,
         address: Endpoint,
-        commands: List<WorkerCommand>,
-        starts: List<Allocation>,
-        stops: List<Allocation> = emptyList(),
+        selection: CommandSelection,
     ) {
         machine.commandInFlight = true
         context.count("worker.commands")
+        if (selection.starts.isNotEmpty()) context.count(STARTS, selection.starts.size)
         val token = machine.token
-        val agentEpoch = machine.agentEpoch
-        val body = WorkerCommandCodec.request(token, agentEpoch, commands)
-        val term = leadership.term
-        if (starts.isNotEmpty()) context.count(STARTS, starts.size)
-        deliver(machine, address, body, onlyStops = starts.isEmpty() && stops.isNotEmpty()) { outcome ->
-            if (!leadership.isLeader || leadership.term != term || !listener.knows(machine)) return@deliver
+        val body = WorkerCommandCodec.request(token, machine.agentEpoch, selection.commands(registry))
+        val isStillLeading = leadership.whileLeading(leadership.term)
+        val onlyStops = selection.starts.isEmpty() && selection.stops.isNotEmpty()
+        transport.send(machine, address, body, onlyStops) { outcome ->
+            if (!isStillLeading() || !machines.isRegistered(machine)) return@send
             machine.commandInFlight = false
-            val answer = outcome as? CallOutcome.Responded
-            val report = answer?.let { Heartbeat.decode(it.body) }
-            when {
-                report != null && answer.status == EXECUTED -> {
-                    stops.forEach { it.isStopAcknowledged = true }
-                    answered(machine, report)
-                }
+            onResult(machine, selection, token, resultOf(outcome))
+        }
+    }
+
+    private fun resultOf(outcome: CallOutcome): CommandResult =
+        when (outcome) {
+            is CallOutcome.Responded -> resultOf(outcome)
+            CallOutcome.NotSent -> CommandResult.NotExecuted
+            CallOutcome.Unknown -> CommandResult.Unknown
+        }
+
+    private fun resultOf(response: CallOutcome.Responded): CommandResult {
+        if (response.status == HttpStatus.BAD_REQUEST) return CommandResult.NotExecuted
+        val heartbeat = Heartbeat.decode(response.body) ?: return CommandResult.Unknown
+        return when (response.status) {
+            HttpStatus.OK -> CommandResult.Executed(heartbeat)
+            HttpStatus.CONFLICT -> CommandResult.Fenced(heartbeat)
+            else -> CommandResult.Unknown
+        }
+    }
 
-                report != null && answer.status == FENCED -> {
-                    // Nothing was executed: what was to start has still to be sent.
-                    revertToCommitted(starts)
-                    machine.nextCommandAt = context.now + RETRY_SECONDS
-                    answered(machine, report)
-                }
+    private fun onResult(
+        machine: Machine,
+        selection: CommandSelection,
+        token: Long,
+        result: CommandResult,
+    ) {
+        when (result) {
+            is CommandResult.Executed -> {
+                selection.stops.forEach { it.isStopAcknowledged = true }
+                onHeartbeat(machine, result.heartbeat)
+            }
 
-                outcome is CallOutcome.NotSent || answer?.status == MALFORMED -> {
-                    revertToCommitted(starts)
-                    unreached(machine)
-                }
+            is CommandResult.Fenced -> {
+                revertToCommitted(selection.starts)
+                machine.nextCommandAt = context.now + RETRY_SECONDS
+                onHeartbeat(machine, result.heartbeat)
+            }
+
+            CommandResult.NotExecuted -> {
+                revertToCommitted(selection.starts)
+                onNotExecuted(machine)
+            }
 
-                else -> {
-                    unknown(machine, token)
-                }
+            CommandResult.Unknown -> {
+                onUnknown(machine, token)
             }
         }
     }
 
-    private fun answered(
+    private fun onHeartbeat(
         machine: Machine,
-        report: Heartbeat,
+        heartbeat: Heartbeat,
     ) {
-        machine.refusals = 0
-        listener.onHeartbeat(machine, report)
-        if (machine.seenToken shr WorkerManager.TERM_SHIFT > leadership.term) {
+        machine.consecutiveCommandFailures = 0
+        handlers.heartbeats.onCommandResponse(machine, heartbeat)
+        if (FencingToken.termOf(machine.seenToken) > leadership.term) {
             return leadership.stepDown(StepDownReason.HigherTokenSeen(machine.id))
         }
-        listener.changed()
-        // What was claimed while this was under way need not wait for the next sweep: a gang waits for its last task.
-        if (startsOf(machine).isNotEmpty()) command(machine)
+        handlers.onChange()
+        // What was allocated while this was under way need not wait for the next sweep: a gang waits for its last task.
+        if (selector.hasStarts(machine)) sendPending(machine)
     }
 
-    private fun unreached(machine: Machine) {
+    private fun onNotExecuted(machine: Machine) {
         retryLater(machine)
-        if (machine.refusals < REFUSALS_TO_LEAVE) return
-        // It may report and still not hear: what has not left goes elsewhere, and nothing more comes here before
-        // its worker has seen a token that only an answer of ours can have brought.
-        machine.token = listener.nextToken()
-        machine.requiredToken = machine.token
-        listener.releaseUndispatched(machine, "never sent, and its machine cannot be reached")
+        if (machine.consecutiveCommandFailures < MIN_FAILURES_TO_RELEASE) return
+        // Its heartbeats may arrive although no command reaches it: what was not sent goes elsewhere, and nothing more is placed here
+        // before its worker has seen a token that only an answer of this leader can have brought.
+        requireNewToken(machine)
+        handlers.losses.releaseUndispatched(machine, LossReason.MACHINE_UNREACHABLE)
     }
 
-    /** Possibly executed, or held back to be executed later: only a higher token seen by the worker settles it. */
-    private fun unknown(
+    /** Only a higher token that the worker has seen settles whether the commands sent under [token] were, or will be, executed. */
+    private fun onUnknown(
         machine: Machine,
-        sentUnder: Long,
+        token: Long,
     ) {
-        context.infoRateLimited("commands of unknown outcome", "command to ${machine.id} has an unknown outcome; fencing it")
-        machine.unsettledToken = maxOf(machine.unsettledToken, sentUnder)
-        machine.token = listener.nextToken()
-        machine.requiredToken = machine.token
+        context.infoLimited("command outcome unknown", "machine" to machine.id, "token" to token)
+        machine.unsettledToken = maxOf(machine.unsettledToken, token)
+        requireNewToken(machine)
         retryLater(machine)
     }
 
-    /** Straight to the worker, or the way its reports come where it cannot reach us itself. */
-    private fun deliver(
-        machine: Machine,
-        address: Endpoint,
-        body: String,
-        onlyStops: Boolean,
-        onResult: (CallOutcome) -> Unit,
-    ) {
-        val relayedBy = machine.relayedBy
-        val timeoutSeconds = times.reportSeconds * COMMAND_PART
-        val sendDeadline = if (onlyStops) leadership.responseDeadline else leadership.commandDeadline
-        val zone = machine.zone
-        if (relayedBy == null) {
-            context.call(address, "POST", "/do", body, timeoutSeconds, sendDeadline) { outcome ->
-                reachability.commanded(zone, outcome is CallOutcome.Responded)
-                onResult(outcome)
-            }
-        } else {
-            peers.forward(relayedBy, "POST", HeartbeatRelay.COMMAND + address, body, timeoutSeconds * 2, sendDeadline) { answer ->
-                onResult(
-                    when {
-                        answer == null -> CallOutcome.Unknown
-                        answer.status == HeartbeatRelay.NOT_SENT -> CallOutcome.NotSent
-                        answer.status == HeartbeatRelay.UNKNOWN -> CallOutcome.Unknown
-                        else -> CallOutcome.Responded(answer.status, answer.body)
-                    },
-                )
-            }
-        }
-    }
-
-    /** A machine that is overdue is asked directly, so that a dead one is told from one whose reports go astray. */
-    fun ask(machine: Machine) {
-        val address = machine.address ?: return
-        val wanted = machine.up || !registry.allocations.byMachine[machine.id].isNullOrEmpty()
-        if (!wanted || machine.commandInFlight || machine.abandoned || context.now < machine.nextCommandAt || !leadership.holdsLease) return
-        if (context.now > machine.silentSince + times.reportSeconds * OVERDUE_REPORTS) send(machine, address, emptyList(), emptyList())
-    }
-
-    /** Now and then one machine of a zone that is cut off is tried, with nothing to do for it. */
-    fun probe(machines: Collection<Machine>) {
-        if (context.now < probeAt) return
-        probeAt = context.now + PROBE_SECONDS
-        for (zone in reachability.abandonedZones()) {
-            val there =
-                machines.filter {
-                    it.zone == zone && it.up && !it.leaseExpired && it.relayedBy == null && it.address != null &&
-                        !it.commandInFlight && !it.abandoned
-                }
-            val machine = there.randomOrNull(context.random) ?: continue
-            send(machine, machine.address ?: continue, emptyList(), emptyList())
-        }
+    private fun requireNewToken(machine: Machine) {
+        machine.token = machines.nextToken()
+        machine.requiredToken = machine.token
     }
 
     private fun retryLater(machine: Machine) {
-        machine.refusals++
-        machine.nextCommandAt = context.now + RETRY_SECONDS * minOf(machine.refusals, 8)
+        machine.consecutiveCommandFailures++
+        machine.nextCommandAt = context.now + RETRY_SECONDS * minOf(machine.consecutiveCommandFailures, MAX_RETRY_FACTOR)
     }
 
+    /** Nothing was executed: [starts] have still to be sent. */
     private fun revertToCommitted(starts: List<Allocation>) {
         for (allocation in starts) {
             if (allocation.phase != AllocationPhase.DISPATCHED) continue
             allocation.phase = AllocationPhase.COMMITTED
-            // Its gang's attempt was over before it could begin.
-            if (allocation.stopGraceSeconds != null) listener.lose(allocation, "never sent, and its gang is gone")
+            // Its gang was stopped before the attempt could begin.
+            if (allocation.stopGraceSeconds != null) handlers.losses.lose(allocation, LossReason.GANG_ENDED)
         }
     }
 
     internal companion object {
         /** Counts the starts that were sent. */
-        const val STARTS = "worker.starts"
-        private const val EXECUTED = 200
-        private const val MALFORMED = 400
-        private const val FENCED = 409
-        private const val MOST_COMMANDS = 100
+        const val STARTS: String = "worker.starts"
         private const val RETRY_SECONDS = 0.5
-        private const val REFUSALS_TO_LEAVE = 2
-        private const val OVERDUE_REPORTS = 1.6
-        private const val PROBE_SECONDS = 1.0
 
-        /** How long a command's answer is waited for, in report intervals. */
-        private const val COMMAND_PART = 0.5
+        /** The wait before a retry grows with each failure, up to so many times [RETRY_SECONDS]. */
+        private const val MAX_RETRY_FACTOR = 8
+        private const val MIN_FAILURES_TO_RELEASE = 2
     }
 }
--- /dev/null
+++ b/src/main/kotlin/burlridge/worker/GangStopper.kt
@@ -0,0 +1,63 @@
+package burlridge.worker
+
+import burlridge.allocation.AllocationPhase
+import burlridge.allocation.GangRules
+import burlridge.allocation.GangState
+import burlridge.allocation.Job
+import burlridge.core.StepContext
+
+/** Why a task or a gang is stopped before its end; [text] stands for it in log lines. */
+internal enum class StopReason(
+    val text: String,
+) {
+    MACHINE_SLOW("machine_slow"),
+    MACHINE_DRAINED("machine_drained"),
+
+    /** The cloud takes a spot machine back. */
+    MACHINE_RECLAIMED("machine_reclaimed"),
+}
+
+/** Stops all tasks of a gang together: saving its progress fails unless all are stopped within a short time. */
+internal class GangStopper(
+    private val context: StepContext,
+    private val machines: MachineRegistry,
+    private val leases: LeaseMonitor,
+    private val reachability: ZoneReachability,
+    private val losses: AllocationLosses,
+    private val commands: CommandDispatcher,
+) {
+    /**
+     * Stops the gang of [job] because of [machineId]. A running gang of which some machine cannot be reached, or that cannot save where it
+     * [mustSave], is left to run: it may end before that machine does.
+     */
+    fun stop(
+        job: Job,
+        reason: StopReason,
+        machineId: String,
+        mustSave: Boolean,
+    ) {
+        val state = GangRules.state(job)
+        if (state != GangState.RUNNING && state != GangState.AWAITING_GANG) return
+        val gangMachines =
+            job.allocations.values
+                .mapNotNull { machines.machines[it.machine] }
+                .distinct()
+        if (state == GangState.RUNNING) {
+            if (mustSave && job.spec.checkpointSeconds <= 0) return
+            if (!gangMachines.all { canReceiveStop(it) }) return
+        }
+        context.info(
+            "gang stop requested",
+            "job" to job.spec.id,
+            "attempt" to job.highestAttempt,
+            "machine" to machineId,
+            "reason" to reason.text,
+        )
+        GangRules.stop(job).filter { it.phase == AllocationPhase.COMMITTED }.forEach { losses.lose(it, LossReason.GANG_STOPPED) }
+        gangMachines.forEach { commands.sendPending(it) }
+    }
+
+    private fun canReceiveStop(machine: Machine): Boolean =
+        machine.isUp && machine.isResponsive && !machine.isLeaseExpired && machine.consecutiveCommandFailures == 0 &&
+            !leases.isSilent(machine) && reachability.isReachable(machine)
+}
--- a/src/main/kotlin/burlridge/worker/Heartbeat.kt
+++ b/src/main/kotlin/burlridge/worker/Heartbeat.kt
@@ -10,39 +10,16 @@
 import burlridge.settings.Endpoint
 import com.fasterxml.jackson.core.JsonParser
 
-/** A task as a worker reports it. */
-internal data class TaskStatus(
-    /** The task's name, `<job>/<index>`. */
-    val task: String,
-    val attempt: Int,
-    /** The state in the words of the protocol; later versions of a worker may use words that are not known here. */
-    val state: String,
-    /** Why the task ended; null while it has not. */
-    val exitReason: String?,
-    /** Whether a stopped task saved its progress. */
-    val saved: Boolean,
-) {
-    val exited: Boolean get() = state == "exited"
-
-    /** The task and its attempt as one name. */
-    val key: String get() = taskKey(task, attempt)
-}
-
-/** A task and its attempt, as one name. */
-internal fun taskKey(
-    task: String,
-    attempt: Int,
-): String = "$task@$attempt"
-
-/** What a worker says of its machine and of all tasks on it. Fields that are absent or of another type have their default. */
+/** A worker's report of its machine and of all tasks on it. Fields that are absent or of another type have their default. */
 internal data class Heartbeat(
     val machine: String,
     val address: Endpoint? = null,
     val type: String? = null,
     val zone: String? = null,
     val spot: Boolean? = null,
+    /** Counts the sessions of the worker: it begins a new one, without any tasks, when its lease has expired or it restarts. */
     val agentEpoch: Long = 0,
-    /** The number of the message within its session; a larger one is newer. */
+    /** The number of the message within its agent epoch; a larger one is newer. */
     val sequence: Long = 0,
     /** The highest fencing token that the worker has seen. */
     val token: Long = 0,
@@ -52,15 +29,15 @@
 ) {
     internal companion object {
         /**
-         * Reads [body] as it is parsed, without a tree: reports are most of what a leader reads. Null for what is not one JSON object
-         * that names a machine.
+         * Decodes [body] from the parser's events, without a tree: heartbeats are most of what a leader reads. Null for anything but
+         * one JSON object that names a machine.
          */
-        fun decode(body: String): Heartbeat? = JsonStream.decodeObject(body, ::readReport)
+        fun decode(body: String): Heartbeat? = JsonStream.decodeObject(body, ::readHeartbeat)
     }
 }
 
-/** Of a field that stands twice the last one counts. */
-private fun readReport(parser: JsonParser): Heartbeat? {
+/** Where a field occurs twice, the last one counts. */
+private fun readHeartbeat(parser: JsonParser): Heartbeat? {
     var machine = ""
     var address: Endpoint? = null
     var type: String? = null
@@ -95,18 +72,21 @@
     return found
 }
 
+/** The state of a task whose worker names none. */
+private val NO_STATE = TaskState.of("")
+
 private fun readTask(parser: JsonParser): TaskStatus {
     var task = ""
     var attempt = 0
-    var state = ""
-    var exitReason: String? = null
+    var state = NO_STATE
+    var exitReason: ExitReason? = null
     var saved = false
     parser.forEachField {
         when (it) {
             "piece" -> task = parser.textOrNull().orEmpty()
             "try" -> attempt = (parser.integerOrNull() ?: 0L).toInt()
-            "standing" -> state = parser.textOrNull().orEmpty()
-            "cause" -> exitReason = parser.textOrNull()
+            "standing" -> state = TaskState.of(parser.textOrNull().orEmpty())
+            "cause" -> exitReason = parser.textOrNull()?.let(ExitReason::of)
             "kept" -> saved = parser.booleanOrNull() ?: false
             else -> parser.skipChildren()
         }
--- /dev/null
+++ b/src/main/kotlin/burlridge/worker/HeartbeatProcessor.kt
@@ -0,0 +1,153 @@
+package burlridge.worker
+
+import burlridge.core.HttpResponse
+import burlridge.core.HttpStatus
+import burlridge.core.StepContext
+import burlridge.leadership.Leadership
+import burlridge.leadership.StepDownReason
+
+/** The parts of the package that a heartbeat is handed to. */
+internal class HeartbeatHandlers(
+    val reconciler: TaskReconciler,
+    val cleanup: TaskCleanup,
+    val leases: LeaseMonitor,
+    val losses: AllocationLosses,
+    val reachability: ZoneReachability,
+)
+
+/** Takes over heartbeats in the order of their agent epoch and sequence, and answers them with the fencing token and commands. */
+internal class HeartbeatProcessor(
+    private val context: StepContext,
+    private val leadership: Leadership,
+    private val machines: MachineRegistry,
+    private val handlers: HeartbeatHandlers,
+    private val onChange: () -> Unit,
+) {
+    /** Called for each machine whose heartbeat was new, once its allocations are reconciled. */
+    var onReconciled: (Machine) -> Unit = {}
+
+    /** Answers the heartbeat [body], which came straight from its worker or through the member [relayedBy]. */
+    fun onRequest(
+        body: String,
+        relayedBy: String?,
+    ): HttpResponse {
+        context.count("worker.reports")
+        val known = LastHeartbeat.machineIdIn(body)?.let { machines.machines[it] }
+        val sequence = known?.lastHeartbeat?.sequenceIfUnchanged(body)
+        if (known != null && sequence != null) return respond(known, relayedBy, acceptUnchanged(known, sequence))
+        context.count("worker.reports_read")
+        val heartbeat = Heartbeat.decode(body) ?: return HttpResponse.error(HttpStatus.BAD_REQUEST, "not a report")
+        if (machines.isRemoved(heartbeat.machine)) return HttpResponse.unavailable("this machine has been returned")
+        val machine = machines.getOrRegister(heartbeat.machine)
+        val isNew = accept(machine, heartbeat)
+        if (isNew) machine.lastHeartbeat = LastHeartbeat.of(body, machine.sequence)
+        return respond(machine, relayedBy, isNew)
+    }
+
+    /** A worker answers a command with a heartbeat, which renews no lease. */
+    fun onCommandResponse(
+        machine: Machine,
+        heartbeat: Heartbeat,
+    ) {
+        if (!accept(machine, heartbeat)) return
+        // The next heartbeat may equal the one before this, so it has to be read in full.
+        machine.lastHeartbeat = null
+        if (machines.allocationsLoaded) handlers.reconciler.reconcile(machine)
+    }
+
+    /** A heartbeat that differs from the one before in its [sequence] alone; false when it is not newer. */
+    private fun acceptUnchanged(
+        machine: Machine,
+        sequence: Long,
+    ): Boolean {
+        if (sequence <= machine.sequence) return false
+        machine.sequence = sequence
+        recordMessage(machine)
+        return true
+    }
+
+    private fun recordMessage(machine: Machine) {
+        machine.lastMessageAt = context.now
+        machine.unresponsiveSince = if (machine.isResponsive) null else machine.unresponsiveSince ?: context.now
+    }
+
+    private fun respond(
+        machine: Machine,
+        relayedBy: String?,
+        isNew: Boolean,
+    ): HttpResponse {
+        if (isNew) {
+            machine.relayedBy = relayedBy
+            if (relayedBy == null) handlers.reachability.onHeartbeat(machine.zone)
+        }
+        if (FencingToken.termOf(machine.seenToken) > leadership.term) {
+            leadership.stepDown(StepDownReason.HigherTokenSeen(machine.id))
+            return HttpResponse.unavailable("not the leader")
+        }
+        // A heartbeat that was overtaken by the answer to a command still renews the worker's lease when it is answered.
+        machine.answeredAt = context.now
+        if (isNew) {
+            machine.heartbeatAt = context.now
+            machine.isLeaseExpired = false
+        }
+        val commands = if (isNew && machines.allocationsLoaded) reconcile(machine) else emptyList()
+        return HttpResponse(
+            HttpStatus.OK,
+            WorkerCommandCodec.answer(machine.token, commands),
+            sendDeadline = leadership.responseDeadline,
+        )
+    }
+
+    /** Returns the commands that go with the answer. */
+    private fun reconcile(machine: Machine): List<WorkerCommand> {
+        handlers.reconciler.reconcile(machine)
+        onReconciled(machine)
+        val commands = handlers.cleanup.stops(machine) + handlers.cleanup.removals(machine)
+        onChange()
+        return commands
+    }
+
+    /** Takes over what [heartbeat] says; false when it is not newer than what is known. */
+    private fun accept(
+        machine: Machine,
+        heartbeat: Heartbeat,
+    ): Boolean {
+        val isNewEpoch = heartbeat.agentEpoch != machine.agentEpoch
+        if (heartbeat.agentEpoch < machine.agentEpoch || (!isNewEpoch && heartbeat.sequence <= machine.sequence)) return false
+        if (isNewEpoch && machine.isUp && machines.allocationsLoaded) {
+            handlers.losses.loseAll(machine, LossReason.EPOCH_ENDED, beforeEpoch = heartbeat.agentEpoch)
+        }
+        val isFirst = machine.sequence < 0
+        if (isFirst) {
+            machine.upSince = context.now
+        } else if (isNewEpoch) {
+            machine.epochBeganAt = context.now
+        }
+        if (isNewEpoch || isFirst) {
+            // The lease begins with the epoch, at the latest now. Only a new epoch ends the expiry of the one before: an answer to a
+            // command renews no lease, and what started after it would be taken for gone while it runs.
+            machine.isLeaseExpired = false
+            machine.answeredAt = maxOf(machine.answeredAt, context.now)
+        }
+        machine.agentEpoch = heartbeat.agentEpoch
+        machine.sequence = heartbeat.sequence
+        val wasFenced = handlers.leases.isFenced(machine)
+        machine.seenToken = maxOf(machine.seenToken, heartbeat.token)
+        // Until the worker has seen a token of this term, an answer of an earlier leader may have renewed its lease.
+        if (!wasFenced) machine.answeredAt = maxOf(machine.answeredAt, context.now)
+        recordMessage(machine)
+        updateDescription(machine, heartbeat)
+        return true
+    }
+
+    private fun updateDescription(
+        machine: Machine,
+        heartbeat: Heartbeat,
+    ) {
+        val wasReclaimed = machine.reclaimAt != null
+        machine.update(heartbeat, context.now)
+        if (!wasReclaimed && machine.reclaimAt != null) {
+            context.info("machine is reclaimed by the cloud", "machine" to machine.id, "inSeconds" to heartbeat.noticeSeconds)
+        }
+    }
+}
--- a/src/main/kotlin/burlridge/worker/HeartbeatRelay.kt
+++ b/src/main/kotlin/burlridge/worker/HeartbeatRelay.kt
@@ -2,75 +2,74 @@
 
 import burlridge.core.CallOutcome
 import burlridge.core.HttpResponse
+import burlridge.core.HttpStatus
 import burlridge.core.StepContext
 import burlridge.json.Json
 import burlridge.peer.PeerRequests
 import burlridge.settings.Endpoint
 
 /**
- * What a member that does not lead does with reports. A worker is sent to the leader; one that comes straight back cannot
- * reach it, and would lose its lease and all its tasks on the way between us. Its reports are passed to the leader over the
- * peer link, and the leader's answers, token and all, back to it.
+ * What a member that does not lead does with heartbeats. A worker is redirected to the leader; one that comes straight back cannot reach it,
+ * and would lose its lease and all its tasks between the two. Its heartbeats are forwarded to the leader over the peer link, and the
+ * leader's answers, with their fencing tokens, back to it.
  */
 internal class HeartbeatRelay(
     private val context: StepContext,
     private val peers: PeerRequests,
 ) {
-    private class Seen(
+    /** A worker that was redirected to [leader]. */
+    private class RedirectedWorker(
         val leader: String,
-        var sentAwayAt: Double,
-        var relayedSince: Double? = null,
-    )
+        val redirectedAt: Double,
+    ) {
+        /** Since when its heartbeats are forwarded; null while they are not. */
+        var relayedSince: Double? = null
+    }
+
+    private val workerSettings = context.settings.workers
 
-    private val times = context.settings.workers
-    private val seen = HashMap<String, Seen>()
+    /** By machine id. */
+    private val redirected = HashMap<String, RedirectedWorker>()
 
+    /** Answers the heartbeat [body]; [leader] is the leading member, or null if none is known. */
     fun heartbeat(
         body: String,
         leader: String?,
-        onResult: (HttpResponse) -> Unit,
+        respond: (HttpResponse) -> Unit,
     ) {
-        if (leader == null) return onResult(redirect(null))
-        val report = Heartbeat.decode(body) ?: return onResult(HttpResponse.error(400, "not a report"))
-        val worker = report.machine
-        val known = seen[worker]?.takeIf { it.leader == leader }
-        val stuck = known != null && (relaying(known) || context.now < known.sentAwayAt + times.leaseSeconds / 2)
-        // Where the leader itself says that it hears nobody there, no worker need find that out; but one that has been relayed
-        // for a lease tries the way once.
-        val apart = known?.relayedSince == null && peers.leaderMissesZone(leader, report.zone.orEmpty())
-        val before = if (known != null && stuck) known else Seen(leader, context.now).also { seen[worker] = it }
-        if (!stuck && !apart) return onResult(redirect(leader))
-        before.relayedSince = before.relayedSince ?: context.now
-        peers.forward(leader, "POST", "/agent/beat", body, times.reportSeconds / 2) { answer -> onResult(answer ?: redirect(leader)) }
+        if (leader == null) return respond(redirectTo(null))
+        val heartbeat = Heartbeat.decode(body) ?: return respond(HttpResponse.error(HttpStatus.BAD_REQUEST, "not a report"))
+        val known = redirected[heartbeat.machine]?.takeIf { it.leader == leader }
+        val current = known?.takeIf { cannotReachLeader(it) }
+        // Where the leader itself misses the zone, its workers need not find that out by trying; but one that has been relayed for a
+        // lease is redirected once, to see whether the way is free.
+        val isZoneMissed = known?.relayedSince == null && peers.leaderMissesZone(leader, heartbeat.zone.orEmpty())
+        val worker = current ?: RedirectedWorker(leader, context.now).also { redirected[heartbeat.machine] = it }
+        if (current == null && !isZoneMissed) return respond(redirectTo(leader))
+        worker.relayedSince = worker.relayedSince ?: context.now
+        peers.forward(leader, "POST", WorkerApi.HEARTBEAT_PATH, body, workerSettings.reportSeconds / 2) { response ->
+            respond(response ?: redirectTo(leader))
+        }
     }
 
-    /** A command of the leader for a worker that only this member reaches; fenced by the leader's token like any other. */
+    /** Whether [worker] came back soon after it was redirected, or has been relayed for less than a lease. */
+    private fun cannotReachLeader(worker: RedirectedWorker): Boolean {
+        val isRelayed = worker.relayedSince?.let { context.now < it + workerSettings.leaseSeconds } ?: false
+        return isRelayed || context.now < worker.redirectedAt + workerSettings.leaseSeconds / 2
+    }
+
+    /** Passes a command of the leader on to the worker at [address]; it is fenced by the leader's token like any other. */
     fun command(
-        to: String,
+        address: String,
         body: String,
-        onResult: (HttpResponse) -> Unit,
+        respond: (HttpResponse) -> Unit,
     ) {
-        val address = Endpoint.parseOrNull(to) ?: return onResult(HttpResponse(NOT_SENT, ""))
-        context.call(address, "POST", "/do", body, times.reportSeconds / 2) { outcome ->
-            onResult(
-                when (outcome) {
-                    is CallOutcome.Responded -> HttpResponse(outcome.status, outcome.body)
-                    CallOutcome.NotSent -> HttpResponse(NOT_SENT, "")
-                    CallOutcome.Unknown -> HttpResponse(UNKNOWN, "")
-                },
-            )
+        val endpoint = Endpoint.parseOrNull(address) ?: return respond(RelayedCommand.responseOf(CallOutcome.NotSent))
+        context.call(endpoint, "POST", WorkerApi.COMMAND_PATH, body, workerSettings.reportSeconds / 2) { outcome ->
+            respond(RelayedCommand.responseOf(outcome))
         }
     }
 
-    /** After a lease's time a relayed worker is sent to the leader again, to see whether the way is free. */
-    private fun relaying(before: Seen): Boolean = before.relayedSince?.let { context.now < it + times.leaseSeconds } ?: false
-
-    private fun redirect(leader: String?) = HttpResponse(421, Json.write(Json.obj { leader?.let { put("herder", it) } }))
-
-    internal companion object {
-        /** Path of a command passed on, followed by the worker's address; between members only. */
-        const val COMMAND = "/worker/do/"
-        const val NOT_SENT = 1
-        const val UNKNOWN = 2
-    }
+    private fun redirectTo(leader: String?) =
+        HttpResponse(HttpStatus.MISDIRECTED_REQUEST, Json.write(Json.obj { leader?.let { put("herder", it) } }))
 }
--- a/src/main/kotlin/burlridge/worker/LastHeartbeat.kt
+++ b/src/main/kotlin/burlridge/worker/LastHeartbeat.kt
@@ -1,53 +1,56 @@
 package burlridge.worker
 
 /**
- * A report that was read in full, by its words before and after the number of the message. One that differs in that number alone says
- * nothing new, and most do: it need not be read again.
+ * The text of a heartbeat that was read in full, split around its sequence. Most heartbeats differ from the one before in the sequence
+ * alone, and need not be read again.
  */
 internal class LastHeartbeat private constructor(
     private val text: String,
-    private val numberAt: Int,
-    private val numberEnd: Int,
+    private val sequenceStart: Int,
+    private val sequenceEnd: Int,
 ) {
-    /** The number of the message [body] where that is all that differs; null where [body] has to be read. */
-    fun numberOf(body: String): Long? {
-        if (!body.regionMatches(0, text, 0, numberAt)) return null
-        val end = endOfNumber(body, numberAt)
-        val rest = text.length - numberEnd
-        if (end == numberAt || end - numberAt > MOST_DIGITS || body.length - end != rest) return null
-        return if (body.regionMatches(end, text, numberEnd, rest)) body.substring(numberAt, end).toLong() else null
+    /** The sequence of [body] if that is all that differs from this heartbeat; null if [body] has to be read. */
+    fun sequenceIfUnchanged(body: String): Long? {
+        if (!body.regionMatches(0, text, 0, sequenceStart)) return null
+        val end = endOfNumber(body, sequenceStart)
+        val digits = end - sequenceStart
+        val suffixLength = text.length - sequenceEnd
+        if (digits == 0 || digits > MAX_DIGITS || body.length - end != suffixLength) return null
+        return if (body.regionMatches(end, text, sequenceEnd, suffixLength)) body.substring(sequenceStart, end).toLong() else null
     }
 
     internal companion object {
-        private const val KEY = "\"tally\":"
-        private const val MOST_DIGITS = 18
+        private const val SEQUENCE_KEY = "\"tally\":"
 
-        /** Null where the number does not stand plainly in [body]. */
+        /** Numbers of up to so many digits fit a `Long`. */
+        private const val MAX_DIGITS = 18
+
+        /** Null if [sequence] does not stand in [body] as a plain number. */
         fun of(
             body: String,
-            number: Long,
+            sequence: Long,
         ): LastHeartbeat? {
-            val at = body.indexOf(KEY).takeIf { it >= 0 }?.plus(KEY.length) ?: return null
-            val end = endOfNumber(body, at)
-            return LastHeartbeat(body, at, end).takeIf { body.substring(at, end) == number.toString() }
+            val start = body.indexOf(SEQUENCE_KEY).takeIf { it >= 0 }?.plus(SEQUENCE_KEY.length) ?: return null
+            val end = endOfNumber(body, start)
+            return LastHeartbeat(body, start, end).takeIf { body.substring(start, end) == sequence.toString() }
         }
 
         private fun endOfNumber(
             body: String,
-            from: Int,
+            start: Int,
         ): Int {
-            var end = from
+            var end = start
             while (end < body.length && body[end] in '0'..'9') end++
             return end
         }
 
-        private const val NAME = "{\"drover\":\""
+        private const val MACHINE_PREFIX = "{\"drover\":\""
 
-        /** The name that a report in its usual form begins with; the report itself has still to be read or compared. */
-        fun nameIn(body: String): String? {
-            if (!body.startsWith(NAME)) return null
-            val end = body.indexOf('"', NAME.length)
-            return if (end < 0) null else body.substring(NAME.length, end)
+        /** The machine id that a heartbeat in its usual form begins with; the heartbeat itself has still to be read or compared. */
+        fun machineIdIn(body: String): String? {
+            if (!body.startsWith(MACHINE_PREFIX)) return null
+            val end = body.indexOf('"', MACHINE_PREFIX.length)
+            return if (end < 0) null else body.substring(MACHINE_PREFIX.length, end)
         }
     }
 }
--- a/src/main/kotlin/burlridge/worker/Machine.kt
+++ b/src/main/kotlin/burlridge/worker/Machine.kt
@@ -2,7 +2,7 @@
 
 import burlridge.settings.Endpoint
 
-/** Why a machine is being emptied. */
+/** Why no more tasks are placed on a machine, and those that it has leave it. */
 internal enum class DrainReason {
     /** Its tasks take much longer than others of their jobs. */
     SLOW,
@@ -10,111 +10,165 @@
     /** It did not come up in time. */
     OVERDUE,
 
-    /** Its return to the cloud has been asked for, which cannot be taken back. */
+    /** Its return to the cloud has been requested, which cannot be undone. */
     RETURNED,
 
     /** Operators want it empty. */
     OPERATOR,
 }
 
-/** A machine as the leader knows it, from its worker's reports and from the cloud's list. */
+/**
+ * A machine as the leader knows it, from its worker's heartbeats and from the cloud's list. Times are seconds of this member's steady
+ * clock; [NEVER] stands for what has not happened.
+ */
 internal class Machine(
     val id: String,
     /** When this leader first knew of it. */
     val knownSince: Double,
 ) {
-    // From the cloud.
+    // What the cloud says.
+
+    /** The name of its machine type; empty until the cloud or its worker names it. */
     var type: String = ""
     var zone: String = ""
     var spot: Boolean = false
-    var listed: Boolean = false
+
+    /** Whether the cloud's list has had it. */
+    var isListed: Boolean = false
+
+    /** Its greatest age in the cloud's lists. */
     var listedAgeSeconds: Double = 0.0
-    var starting: Boolean = false
+
+    /** Whether it has been rented and is not up yet. */
+    var isStarting: Boolean = false
+
+    /** When its rental was requested; 0 where that is not known. */
     var rentedAt: Double = 0.0
 
-    // From the worker.
+    // What its worker says.
+
+    /** Where it takes commands; null until it is known. */
     var address: Endpoint? = null
+
+    /** The newest agent epoch of its worker, which begins one whenever it has lost all its tasks; 0 before its first heartbeat. */
     var agentEpoch: Long = 0
+
+    /** The sequence of the newest heartbeat within [agentEpoch]; -1 before the first one. */
     var sequence: Long = -1
+
+    /** The highest fencing token that its worker has seen. */
     var seenToken: Long = 0
-    var reported: Map<String, TaskStatus> = emptyMap()
+
+    /** Its tasks by [TaskStatus.key], as of the newest heartbeat. */
+    var reportedTasks: Map<String, TaskStatus> = emptyMap()
+
+    /** The names of the tasks that run on it without an allocation. */
     var orphans: Set<String> = emptySet()
-    var lastMessageAt: Double = -1e9
+
+    /** When the newest heartbeat came, by itself or as the answer to a command. */
+    var lastMessageAt: Double = NEVER
+
+    /** When the newest heartbeat came by itself; answers to commands renew no lease. */
+    var heartbeatAt: Double = NEVER
+
+    /** When the cloud takes it back; null without such a notice. */
     var reclaimAt: Double? = null
 
-    /** When this leader first heard its worker. */
+    /** When its first heartbeat came to this leader; 0 before. */
     var upSince: Double = 0.0
 
-    /** When its worker was seen to begin a new session; long ago where none was seen. */
-    var sessionBeganAt: Double = -1e9
+    /** When this leader saw its worker begin a new agent epoch. */
+    var epochBeganAt: Double = NEVER
 
-    /** When a report was last answered with 200 by us, or may have been by an earlier leader. */
+    /** When this leader last answered a heartbeat with 200, or an earlier leader may have. */
     var answeredAt: Double = 0.0
 
-    /** What it last reported by itself, to tell a report that says nothing new. */
+    /** The newest heartbeat, to recognize one that says nothing new; null where the next one has to be read in full. */
     var lastHeartbeat: LastHeartbeat? = null
 
-    /** When it last reported by itself; answers to commands renew no lease. */
-    var heartbeatAt: Double = -1e9
+    /** The member that relayed its newest heartbeat, and relays the commands to it; null if its worker reaches the leader itself. */
+    var relayedBy: String? = null
+
+    // The state of commands to it.
 
-    // Ours.
+    /** The fencing token of the next commands and answers. */
     var token: Long = 0
 
-    /** The highest token under which a command of open outcome may still be on its way. */
+    /** The highest token under which a command of unknown outcome may still be executed. */
     var unsettledToken: Long = 0
 
-    /** The token that its worker must have seen before anything more is placed on it: only that shows that it hears us. */
+    /** The token that its worker must have seen before anything more is placed on it, since only that shows that answers reach it. */
     var requiredToken: Long = 0
 
-    /** Since when it has reported without having seen [requiredToken]; null while it hears. */
+    /** Since when it has reported without having seen [requiredToken]; null once it has. */
     var unresponsiveSince: Double? = null
 
-    /** The highest token under which a start was sent to it. */
+    /** The highest token under which a start was sent. */
     var lastStartToken: Long = 0
     var commandInFlight: Boolean = false
+
+    /** No command is sent before. */
     var nextCommandAt: Double = 0.0
-    var refusals: Int = 0
-    var notBefore: Double = 0.0
+
+    /** Requests to it since the last one that was answered. */
+    var consecutiveCommandFailures: Int = 0
+
+    // What the leader has decided.
+
+    /** Nothing is placed on it before, since it failed or refused tasks. */
+    var noPlacementBefore: Double = 0.0
+
+    /** Since when it has no allocations; 0 while it has some. */
     var idleSince: Double = 0.0
-    var failures: Int = 0
 
-    /** Why nothing more is placed on it and what is there leaves; null while it is in service. */
+    /** Tasks that failed on it since the last one that was done. */
+    var consecutiveTaskFailures: Int = 0
+
+    /** Why it is drained; null while it is in service. */
     var drainReason: DrainReason? = null
 
-    /** Given up for dead: it goes back whatever was on it, and the cloud's answer makes that certain. */
-    var dead: Boolean = false
-    var returning: Boolean = false
-    var leaseExpired: Boolean = false
+    /** Whether it is taken for dead: it is returned with whatever is on it, and the cloud's answer makes the end of that certain. */
+    var isDead: Boolean = false
 
-    /** The member through which its last report came, where it cannot reach the leader itself; commands go the same way. */
-    var relayedBy: String? = null
+    /** Whether a call to return it is under way, or is not retried yet. */
+    var isReturning: Boolean = false
 
-    /** Images it should still hold, with their size, the most recently used last. */
+    /** Whether its worker's lease has certainly expired, and no newer heartbeat has renewed it. */
+    var isLeaseExpired: Boolean = false
+
+    /** Images that it should still have, with their size in GB; the most recently used last. */
     val images: LinkedHashMap<String, Double> = LinkedHashMap()
 
-    /** Since when nothing has been heard of it. */
+    /** Since when it has sent nothing. */
     val silentSince: Double get() = maxOf(lastMessageAt, knownSince)
 
-    val up: Boolean get() = agentEpoch > 0
+    /** Whether it has ever sent a heartbeat to this leader. */
+    val isUp: Boolean get() = agentEpoch > 0
 
-    val draining: Boolean get() = drainReason != null
+    val isDraining: Boolean get() = drainReason != null
 
-    /** Leaving for good, so that no word from it is waited for; one that operators drain is asked like any other. */
-    val abandoned: Boolean get() = draining && drainReason != DrainReason.OPERATOR
+    /** Whether it is drained for good, so that no message from it is waited for; one that operators drain may come back into service. */
+    val isDecommissioning: Boolean get() = isDraining && drainReason != DrainReason.OPERATOR
 
+    /** Whether its worker has seen the token that shows that answers reach it. */
     val isResponsive: Boolean get() = seenToken >= requiredToken
 
-    /** Takes over what [report] says of the machine itself and of its tasks; its order among reports is the caller's to judge. */
+    /** Takes over what [heartbeat] says of the machine and its tasks; the caller has checked that it is the newest. */
     fun update(
-        report: Heartbeat,
+        heartbeat: Heartbeat,
         now: Double,
     ) {
-        type = report.type ?: type
-        zone = report.zone ?: zone
-        spot = report.spot ?: spot
-        address = report.address ?: address
-        starting = false
-        reclaimAt = report.noticeSeconds?.let { now + it }
-        reported = report.tasks
+        type = heartbeat.type ?: type
+        zone = heartbeat.zone ?: zone
+        spot = heartbeat.spot ?: spot
+        address = heartbeat.address ?: address
+        isStarting = false
+        reclaimAt = heartbeat.noticeSeconds?.let { now + it }
+        reportedTasks = heartbeat.tasks
+    }
+
+    internal companion object {
+        /** A time before all others, for what has not happened yet. */
+        const val NEVER: Double = -1e9
     }
 }
--- /dev/null
+++ b/src/main/kotlin/burlridge/worker/ReachabilityProbe.kt
@@ -0,0 +1,46 @@
+package burlridge.worker
+
+import burlridge.allocation.JobRegistry
+import burlridge.core.StepContext
+import burlridge.leadership.Leadership
+
+/** Sends requests without commands, to find out whether machines and zones can be reached. */
+internal class ReachabilityProbe(
+    private val context: StepContext,
+    private val leadership: Leadership,
+    private val registry: JobRegistry,
+    private val reachability: ZoneReachability,
+    private val commands: CommandDispatcher,
+) {
+    private var nextProbeAt = 0.0
+
+    /** Queries [machine] if its heartbeat is overdue, which tells a dead machine from one whose heartbeats are lost. */
+    fun queryIfOverdue(machine: Machine) {
+        val address = machine.address ?: return
+        val isExpected = machine.isUp || registry.hasAllocationsOn(machine)
+        if (!isExpected || machine.commandInFlight || machine.isDecommissioning) return
+        if (context.now < machine.nextCommandAt || !leadership.holdsLease) return
+        val overdueAt = machine.silentSince + context.settings.workers.reportSeconds * OVERDUE_REPORTS
+        if (context.now > overdueAt) commands.query(machine, address)
+    }
+
+    /** Queries one machine, chosen at random, of each zone that commands do not reach. */
+    fun probeCutOffZones(machines: Collection<Machine>) {
+        if (context.now < nextProbeAt) return
+        nextProbeAt = context.now + PROBE_SECONDS
+        for (zone in reachability.zonesWithUnansweredCommands()) {
+            val candidates = machines.filter { it.zone == zone && canProbe(it) }
+            val machine = candidates.randomOrNull(context.random) ?: continue
+            commands.query(machine, machine.address ?: continue)
+        }
+    }
+
+    private fun canProbe(machine: Machine): Boolean =
+        machine.isUp && !machine.isLeaseExpired && machine.relayedBy == null && machine.address != null &&
+            !machine.commandInFlight && !machine.isDecommissioning
+
+    private companion object {
+        const val OVERDUE_REPORTS = 1.6
+        const val PROBE_SECONDS = 1.0
+    }
+}
--- a/src/main/kotlin/burlridge/worker/TaskEviction.kt
+++ b/src/main/kotlin/burlridge/worker/TaskEviction.kt
@@ -1,113 +1,93 @@
 package burlridge.worker
 
+import burlridge.allocation.Allocation
 import burlridge.allocation.AllocationPhase
 import burlridge.allocation.GangRules
-import burlridge.allocation.GangState
 import burlridge.allocation.Job
 import burlridge.allocation.JobRegistry
 import burlridge.core.StepContext
+import burlridge.job.JobSpec
 
-/** Tasks are taken off machines that are slow or that the cloud takes back. */
+/** Stops tasks on machines that are slow, and on spot machines that the cloud takes back. */
 internal class TaskEviction(
     private val context: StepContext,
     private val registry: JobRegistry,
-    private val workers: WorkerManager,
+    private val leases: LeaseMonitor,
+    private val gangStopper: GangStopper,
 ) {
+    /** Called for each machine that is taken out of service because its tasks are slow. */
+    var onStragglerEvicted: (Machine) -> Unit = {}
+
     private val stragglers = StragglerDetector(registry)
-    private var slowAt = 0.0
+    private var nextCheckAt = 0.0
 
     /**
-     * A machine whose tasks take much longer than others of the same jobs is given up: what runs there starts again elsewhere
-     * sooner than it would end. Not where many seem slow at once: then it is our measure that is wrong.
+     * Takes machines out of service whose tasks run much longer than others of the same jobs: what runs there is done sooner if it starts
+     * again elsewhere. Where many machines seem slow at once, the comparison is what is wrong, and nothing is done.
      */
     fun evictStragglers(machines: Collection<Machine>) {
-        if (context.now < slowAt) return
-        slowAt = context.now + context.settings.workers.reportSeconds / 2
-        val up = machines.filter { it.up && !it.leaseExpired && !it.draining && !workers.isSilent(it) }
-        val slow = up.filter { stragglers.isSlow(it) }
-        if (slow.size > up.size * MOST_SLOW) return
+        if (context.now < nextCheckAt) return
+        nextCheckAt = context.now + context.settings.workers.reportSeconds / CHECKS_PER_REPORT
+        val inService = machines.filter { it.isUp && !it.isLeaseExpired && !it.isDraining && !leases.isSilent(it) }
+        val slow = inService.filter { stragglers.isSlow(it) }
+        if (slow.size > inService.size * MAX_STRAGGLER_SHARE) return
         for (machine in slow) {
-            context.info(
-                "machine ${machine.id} is slow: its tasks take over ${StragglerDetector.SLOW} times as long as " +
-                    "others of their jobs; leaving it",
-            )
-            evict(machine)
-            workers.onSlow(machine)
+            context.info("straggler machine evicted", "machine" to machine.id, "slowFactor" to StragglerDetector.SLOW_FACTOR)
+            evictStraggler(machine)
+            onStragglerEvicted(machine)
         }
     }
 
-    /** Takes a slow [machine] out of service, and stops what is seen to run there. */
-    fun evict(machine: Machine) {
+    /** Takes the slow [machine] out of service, and stops what runs there. */
+    fun evictStraggler(machine: Machine) {
         machine.drainReason = DrainReason.SLOW
-        stragglers.running(machine).forEach { allocation ->
-            val job = registry.jobs[allocation.job] ?: return@forEach
-            val spec = job.spec
-            when {
-                spec.gang -> {
-                    stopGang(job, "machine ${machine.id} is slow", mustSave = false)
-                }
+        stragglers.runningOn(machine).forEach { stopOnSlow(machine, it) }
+    }
 
-                allocation.stopGraceSeconds == null -> {
-                    allocation.stopGraceSeconds =
-                        if (spec.checkpointSeconds > 0) spec.saveSeconds * GangRules.CHECKPOINT_GRACE_FACTOR else 0.0
-                }
-            }
+    private fun stopOnSlow(
+        machine: Machine,
+        allocation: Allocation,
+    ) {
+        val job = registry.jobs[allocation.job] ?: return
+        val spec = job.spec
+        if (spec.gang) {
+            gangStopper.stop(job, StopReason.MACHINE_SLOW, machine.id, mustSave = false)
+        } else if (allocation.stopGraceSeconds == null) {
+            allocation.stopGraceSeconds = if (spec.checkpointSeconds > 0) saveGraceSeconds(spec) else 0.0
         }
     }
 
-    /** Tasks that can save do so before the cloud takes the machine; the others may yet finish. */
-    fun drain(machine: Machine) {
+    /** Stops the tasks on the reclaimed [machine] that can save their progress; the others may end before the cloud takes it. */
+    fun evictReclaimed(machine: Machine) {
         val gangs = LinkedHashSet<Job>()
-        for (allocation in registry.allocations.byMachine[machine.id]
-            ?.values
-            .orEmpty()) {
+        val allocations = registry.allocations.byMachine[machine.id]?.values
+        for (allocation in allocations.orEmpty()) {
             val job = registry.jobs[allocation.job] ?: continue
-            val spec = job.spec
-            if (spec.gang) {
-                gangs += job
-                continue
-            }
-            if (allocation.phase == AllocationPhase.RUNNING && spec.checkpointSeconds > 0 && allocation.stopGraceSeconds == null) {
-                allocation.stopGraceSeconds = spec.saveSeconds * GangRules.CHECKPOINT_GRACE_FACTOR
-                context.info("task ${allocation.taskName} is stopped on ${machine.id}: the cloud takes the machine back")
-            }
+            if (job.spec.gang) gangs += job else stopOnReclaimed(machine, allocation, job.spec)
         }
-        gangs.forEach { stopGang(it, "the cloud takes ${machine.id} back", mustSave = true) }
+        gangs.forEach { gangStopper.stop(it, StopReason.MACHINE_RECLAIMED, machine.id, mustSave = true) }
     }
 
-    /**
-     * Stops a gang in order: every task is told at once, since the save fails unless all hear of it within a short time. One that
-     * cannot be told, or cannot save where it [mustSave], is left to run: it may yet end before its machine does.
-     */
-    fun stopGang(
-        job: Job,
-        reason: String,
-        mustSave: Boolean,
+    private fun stopOnReclaimed(
+        machine: Machine,
+        allocation: Allocation,
+        spec: JobSpec,
     ) {
-        val state = GangRules.state(job)
-        if (state != GangState.RUNNING && state != GangState.AWAITING_GANG) return
-        val on =
-            job.allocations.values
-                .mapNotNull { workers.machines[it.machine] }
-                .distinct()
-        if (state == GangState.RUNNING) {
-            if (mustSave && job.spec.checkpointSeconds <= 0) return
-            if (!on.all {
-                    it.up && it.isResponsive && !it.leaseExpired && it.refusals == 0 &&
-                        !workers.isSilent(
-                            it,
-                        ) && workers.reaches(it)
-                }
-            ) {
-                return
-            }
-        }
-        context.info("gang ${job.spec.id} run ${job.highestAttempt} is stopped: $reason")
-        GangRules.stop(job).filter { it.phase == AllocationPhase.COMMITTED }.forEach { workers.lose(it, reason) }
-        on.forEach { workers.command(it) }
+        val canSave = allocation.phase == AllocationPhase.RUNNING && spec.checkpointSeconds > 0
+        if (!canSave || allocation.stopGraceSeconds != null) return
+        allocation.stopGraceSeconds = saveGraceSeconds(spec)
+        context.info(
+            "task stop requested",
+            "task" to allocation.taskName,
+            "machine" to machine.id,
+            "reason" to StopReason.MACHINE_RECLAIMED.text,
+        )
     }
 
+    private fun saveGraceSeconds(spec: JobSpec): Double = spec.saveSeconds * GangRules.CHECKPOINT_GRACE_FACTOR
+
     private companion object {
-        const val MOST_SLOW = 0.25
+        const val CHECKS_PER_REPORT = 2
+        const val MAX_STRAGGLER_SHARE = 0.25
     }
 }
--- a/src/main/kotlin/burlridge/worker/TaskOutcomes.kt
+++ b/src/main/kotlin/burlridge/worker/TaskOutcomes.kt
@@ -7,144 +7,208 @@
 import burlridge.core.StepContext
 import burlridge.job.JobSpec
 
-/** What a report says of a claimed task, taken over into its claim and its job. */
+/** Takes the reported status of an allocated task over into its allocation, its job and the image cache of its machine. */
 internal class TaskOutcomes(
     private val context: StepContext,
     private val registry: JobRegistry,
 ) {
-    /** What a type of machine caches; set once the types are known. */
-    var cacheOf: (String) -> Double = { 0.0 }
+    /** The size of the image cache of a machine type, in GB; set once the types are known. */
+    var cacheGbOfType: (String) -> Double = { 0.0 }
 
-    /** Told of each task that was seen to start and has run to its end, with its seconds. */
-    var onRan: (Machine, Job, Double) -> Unit = { _, _, _ -> }
+    /** Called for each task that this leader saw start and run to its end, with its run time in seconds. */
+    var onTaskCompleted: (Machine, Job, Double) -> Unit = { _, _, _ -> }
 
-    private val times = context.settings.workers
+    private val workerSettings = context.settings.workers
 
-    /** The machine has the task, in the state that [report] names. */
-    fun seen(
+    /** The task is on [machine] and has not ended. */
+    fun recordActive(
         machine: Machine,
         allocation: Allocation,
-        report: TaskStatus,
+        status: TaskStatus,
     ) {
         val before = allocation.phase
-        allocation.phase =
-            when (report.state) {
-                "fetching" -> {
-                    AllocationPhase.FETCHING
-                }
-
-                "gathering" -> {
-                    AllocationPhase.AWAITING_GANG
-                }
-
-                "running" -> {
-                    AllocationPhase.RUNNING
-                }
-
-                "saving" -> {
-                    AllocationPhase.CHECKPOINTING
-                }
-
-                // A state of a later day: the machine has the task, and that is all that is known.
-                else -> {
-                    context.count("worker.unknown_words")
-                    context.infoRateLimited(
-                        "states not known",
-                        "machine ${machine.id} reports ${allocation.taskName} in a state that is not known: ${report.state.take(WORD)}",
-                    )
-                    maxOf(before, AllocationPhase.FETCHING)
-                }
-            }
+        allocation.phase = phaseOf(machine, allocation, status.state)
         if (allocation.phase == AllocationPhase.RUNNING && before != AllocationPhase.RUNNING && !allocation.isInherited) {
-            allocation.startedAt = context.now
-            val job = registry.jobs[allocation.job]
-            if (allocation.task == 0 && job?.spec?.gang == true) {
-                context.debug(
-                    "gang ${job.spec.id} run ${allocation.attempt} is seen to run " +
-                        "${(context.wallMillis - job.submittedMillis) / 1000.0} s after its submission",
-                )
-            }
+            recordStart(allocation)
+        }
+        if (allocation.phase >= AllocationPhase.AWAITING_GANG && before < AllocationPhase.AWAITING_GANG) {
+            registry.jobs[allocation.job]?.let { cacheImage(machine, it.spec) }
         }
-        if (allocation.phase >= AllocationPhase.AWAITING_GANG &&
-            before < AllocationPhase.AWAITING_GANG
-        ) {
-            registry.jobs[allocation.job]?.let { remember(machine, it.spec) }
+    }
+
+    private fun phaseOf(
+        machine: Machine,
+        allocation: Allocation,
+        state: TaskState,
+    ): AllocationPhase =
+        when (state) {
+            TaskState.Known.FETCHING -> AllocationPhase.FETCHING
+            TaskState.Known.AWAITING_GANG -> AllocationPhase.AWAITING_GANG
+            TaskState.Known.RUNNING -> AllocationPhase.RUNNING
+            TaskState.Known.CHECKPOINTING -> AllocationPhase.CHECKPOINTING
+            TaskState.Known.EXITED, is TaskState.Unrecognized -> phaseOfUnrecognized(machine, allocation, state)
+        }
+
+    /** The machine has the task, and that is all that is known. */
+    private fun phaseOfUnrecognized(
+        machine: Machine,
+        allocation: Allocation,
+        state: TaskState,
+    ): AllocationPhase {
+        context.count(UNRECOGNIZED_WORDS)
+        context.infoLimited(
+            "task state not recognized",
+            "task" to allocation.taskName,
+            "machine" to machine.id,
+            "state" to state.text.take(MAX_LOGGED_TEXT),
+        )
+        return maxOf(allocation.phase, AllocationPhase.FETCHING)
+    }
+
+    private fun recordStart(allocation: Allocation) {
+        allocation.startedAt = context.now
+        val job = registry.jobs[allocation.job] ?: return
+        if (allocation.task == 0 && job.spec.gang) {
+            context.debug(
+                "gang running",
+                "job" to job.spec.id,
+                "attempt" to allocation.attempt,
+                "sinceSubmissionSeconds" to (context.wallMillis - job.submittedMillis) / MILLIS_PER_SECOND,
+            )
         }
     }
 
-    private fun remember(
+    /** Marks the image of [spec] as the most recently used on [machine], and forgets those that its cache has no space left for. */
+    private fun cacheImage(
         machine: Machine,
         spec: JobSpec,
     ) {
         machine.images.remove(spec.image)
         machine.images[spec.image] = spec.imageGb
-        val cacheGb = cacheOf(machine.type)
+        val cacheGb = cacheGbOfType(machine.type)
         while (machine.images.size > 1 && machine.images.values.sum() > cacheGb) machine.images.remove(machine.images.keys.first())
     }
 
-    /** The task has ended there, for the reason that [report] names. */
-    fun exited(
+    /** The task has ended on [machine]; its allocation is released. */
+    fun recordExit(
         machine: Machine,
         allocation: Allocation,
-        report: TaskStatus,
+        status: TaskStatus,
     ) {
         val job = registry.jobs[allocation.job]
-        registry.allocations.release(allocation, isLost = report.exitReason != "done")
+        val reason = status.exitReason
+        registry.allocations.release(allocation, isLost = reason != ExitReason.Known.DONE)
         if (job == null) return
-        when (report.exitReason) {
-            "done" -> {
-                machine.failures = 0
-                allocation.startedAt?.let {
-                    job.finishedRunSeconds += context.now - it
-                    job.finishedRunCount++
-                    onRan(machine, job, context.now - it)
-                }
-                remember(machine, job.spec)
-                registry.markDone(job, allocation.task)
+        when (reason) {
+            ExitReason.Known.DONE -> {
+                recordCompletion(machine, allocation, job)
             }
 
-            "stopped" -> {
-                context.infoRateLimited("tasks stopped", "task ${allocation.taskName} stopped on ${machine.id}, saved: ${report.saved}")
+            ExitReason.Known.STOPPED -> {
+                logStopped(machine, allocation, status.saved)
             }
 
-            "error" -> {
-                job.failures++
-                machine.failures++
-                context.info(
-                    "task ${allocation.taskName} failed on ${machine.id}: failure ${job.failures} of its job, " +
-                        "${machine.failures} in a row there",
-                )
-                job.delayRetry(allocation.task, context.now + minOf(times.reportSeconds * job.failures, times.leaseSeconds))
-                if (machine.failures >= FAILURES_TO_QUARANTINE && job.failures < machine.failures * 2) {
-                    machine.notBefore = context.now + times.leaseSeconds
-                }
+            ExitReason.Known.ERROR -> {
+                recordFailure(machine, allocation, job)
             }
 
-            // No fault of the machine or of the job: another task of the gang was gone, or late.
-            "peers", "incomplete" -> {
-                context.infoRateLimited(
-                    "gang tasks ended without their gang",
-                    "task ${allocation.taskName} run ${allocation.attempt} ended on ${machine.id} without its gang: ${report.exitReason}",
-                )
+            ExitReason.Known.GANG_LOST, ExitReason.Known.GANG_INCOMPLETE -> {
+                logGangIncomplete(machine, allocation, reason)
             }
 
-            else -> {
-                if (report.exitReason !in REFUSALS) context.count("worker.unknown_words")
-                context.infoRateLimited(
-                    "starts refused",
-                    "start of ${allocation.taskName} refused by ${machine.id}: ${report.exitReason?.take(WORD)}",
-                )
-                job.delayRetry(allocation.task, context.now + times.reportSeconds / 3)
-                if (report.exitReason == "full") machine.notBefore = context.now + times.reportSeconds / 3
+            ExitReason.Known.FULL, ExitReason.Known.IN_USE, ExitReason.Known.TASK_UNKNOWN, is ExitReason.Unrecognized, null -> {
+                recordRefusal(machine, allocation, job, reason)
             }
         }
     }
 
+    private fun recordCompletion(
+        machine: Machine,
+        allocation: Allocation,
+        job: Job,
+    ) {
+        machine.consecutiveTaskFailures = 0
+        allocation.startedAt?.let {
+            job.finishedRunSeconds += context.now - it
+            job.finishedRunCount++
+            onTaskCompleted(machine, job, context.now - it)
+        }
+        cacheImage(machine, job.spec)
+        registry.markDone(job, allocation.task)
+    }
+
+    private fun logStopped(
+        machine: Machine,
+        allocation: Allocation,
+        isSaved: Boolean,
+    ) = context.infoLimited("task stopped", "task" to allocation.taskName, "machine" to machine.id, "saved" to isSaved)
+
+    private fun recordFailure(
+        machine: Machine,
+        allocation: Allocation,
+        job: Job,
+    ) {
+        job.failures++
+        machine.consecutiveTaskFailures++
+        context.info(
+            "task failed",
+            "task" to allocation.taskName,
+            "machine" to machine.id,
+            "failuresOfJob" to job.failures,
+            "consecutiveFailuresOnMachine" to machine.consecutiveTaskFailures,
+        )
+        job.delayRetry(
+            allocation.task,
+            context.now + minOf(workerSettings.reportSeconds * job.failures, workerSettings.leaseSeconds),
+        )
+        val failures = machine.consecutiveTaskFailures
+        // A job most of whose failures were elsewhere is the likelier cause.
+        if (failures >= MIN_FAILURES_TO_QUARANTINE && job.failures < failures * 2) {
+            machine.noPlacementBefore = context.now + workerSettings.leaseSeconds
+        }
+    }
+
+    /** Neither the machine nor the job is at fault: another task of the gang was lost, or late. */
+    private fun logGangIncomplete(
+        machine: Machine,
+        allocation: Allocation,
+        reason: ExitReason,
+    ) = context.infoLimited(
+        "gang task ended without its gang",
+        "task" to allocation.taskName,
+        "attempt" to allocation.attempt,
+        "machine" to machine.id,
+        "reason" to reason.text,
+    )
+
+    private fun recordRefusal(
+        machine: Machine,
+        allocation: Allocation,
+        job: Job,
+        reason: ExitReason?,
+    ) {
+        if (reason !is ExitReason.Known) context.count(UNRECOGNIZED_WORDS)
+        context.infoLimited(
+            "task start refused",
+            "task" to allocation.taskName,
+            "machine" to machine.id,
+            "reason" to reason?.text?.take(MAX_LOGGED_TEXT),
+        )
+        val retryAt = context.now + workerSettings.reportSeconds / RETRIES_PER_REPORT
+        job.delayRetry(allocation.task, retryAt)
+        if (reason == ExitReason.Known.FULL) machine.noPlacementBefore = retryAt
+    }
+
     private companion object {
-        const val FAILURES_TO_QUARANTINE = 2
-        val REFUSALS = setOf("full", "in_use", "unknown")
+        /** Counts states and reasons that this version does not know. */
+        const val UNRECOGNIZED_WORDS = "worker.unknown_words"
+        const val MIN_FAILURES_TO_QUARANTINE = 2
+
+        /** A refused start is tried again after this part of a report interval. */
+        const val RETRIES_PER_REPORT = 3
 
-        /** So much of a word that is not known is logged. */
-        const val WORD = 20
+        /** At most so many characters of a text that is not recognized are logged. */
+        const val MAX_LOGGED_TEXT = 20
+        const val MILLIS_PER_SECOND = 1000.0
     }
 }
--- a/src/main/kotlin/burlridge/worker/WorkerCommand.kt
+++ b/src/main/kotlin/burlridge/worker/WorkerCommand.kt
@@ -4,7 +4,7 @@
 import com.fasterxml.jackson.core.JsonGenerator
 import java.io.StringWriter
 
-/** What a worker is told to do with one attempt of a task. Every command can be repeated, but for a start after a removal. */
+/** A command to a worker about one attempt of a task. Every command is idempotent, except for a start after a removal. */
 internal sealed interface WorkerCommand {
     val task: String
     val attempt: Int
@@ -15,30 +15,30 @@
         override val attempt: Int,
     ) : WorkerCommand
 
-    /** End the attempt; it may save its progress if [graceSeconds] is at least as long as that takes. */
+    /** End the attempt; it saves its progress if that takes no longer than [graceSeconds]. */
     data class Stop(
         override val task: String,
         override val attempt: Int,
         val graceSeconds: Double,
     ) : WorkerCommand
 
-    /** Leave the ended attempt out of later reports. */
+    /** Leave the ended attempt out of later heartbeats. */
     data class Remove(
         override val task: String,
         override val attempt: Int,
     ) : WorkerCommand
 }
 
-/** The JSON of commands, as the answer to a report and as the body of a request to a worker. */
+/** Encodes commands as JSON, in the answer to a heartbeat and in the body of a request to a worker. */
 internal object WorkerCommandCodec {
     private val factory = JsonFactory()
 
-    /** The answer to a report: the fencing token and what is to be done. */
+    /** The answer to a heartbeat: the fencing token and [commands]. */
     fun answer(
         token: Long,
         commands: List<WorkerCommand>,
     ): String =
-        // Most answers carry nothing but the token.
+        // Most answers have no commands; they are written without a generator.
         if (commands.isEmpty()) {
             "{\"baton\":$token,\"orders\":[]}"
         } else {
@@ -48,7 +48,7 @@
             }
         }
 
-    /** A request to a worker, valid for [agentEpoch] of it alone. */
+    /** The body of a request to a worker, which executes it in [agentEpoch] only. */
     fun request(
         token: Long,
         agentEpoch: Long,
--- a/src/main/kotlin/burlridge/worker/ZoneReachability.kt
+++ b/src/main/kotlin/burlridge/worker/ZoneReachability.kt
@@ -4,58 +4,66 @@
 import it.unimi.dsi.fastutil.objects.Object2DoubleOpenHashMap
 import it.unimi.dsi.fastutil.objects.Object2IntOpenHashMap
 
-/** Which zones this leader reaches with commands, and from which it hears reports that come straight to it. */
+/** Which zones this leader reaches with commands, and from which heartbeats come straight to it. */
 internal class ZoneReachability(
     private val context: StepContext,
 ) {
     private val reportSeconds = context.settings.workers.reportSeconds
 
-    /** Commands in a row that reached nobody in a zone: it is then cut off from us, and only what comes by another way is used. */
-    private val unreached = Object2IntOpenHashMap<String>()
+    /** Consecutive direct commands without an answer, by zone; zones whose last one was answered are left out. */
+    private val unansweredCommands = Object2IntOpenHashMap<String>()
 
-    /** When a report last came straight from each zone. */
-    private val directAt = Object2DoubleOpenHashMap<String>()
+    /** When a heartbeat last came straight from each zone. */
+    private val directHeartbeatAt = Object2DoubleOpenHashMap<String>()
 
+    /** Forgets everything, when leadership ends. */
     fun clear() {
-        unreached.clear()
-        directAt.clear()
+        unansweredCommands.clear()
+        directHeartbeatAt.clear()
     }
 
+    /** A heartbeat has come straight from [zone]. */
     fun onHeartbeat(zone: String) {
-        directAt.put(zone, context.now)
+        directHeartbeatAt.put(zone, context.now)
     }
 
-    fun commanded(
+    /** A command sent straight to a worker in [zone] has ended, with or without an answer. */
+    fun onCommandResult(
         zone: String,
-        answered: Boolean,
+        isAnswered: Boolean,
     ) {
-        if (answered) unreached.removeInt(zone) else unreached.addTo(zone, 1)
+        if (isAnswered) unansweredCommands.removeInt(zone) else unansweredCommands.addTo(zone, 1)
     }
 
-    fun isAbandoned(zone: String): Boolean = unreached.getInt(zone) >= UNREACHED_TO_LEAVE && !hearsZone(zone)
+    /** Whether commands to [machine] can be expected to arrive. */
+    fun isReachable(machine: Machine): Boolean = machine.relayedBy != null || !isCutOff(machine.zone)
 
-    /** Zones to which a command is tried only now and then. */
-    fun abandonedZones(): List<String> = unreached.keys.filter { unreached.getInt(it) >= UNREACHED_TO_LEAVE }
+    private fun isCutOff(zone: String): Boolean =
+        unansweredCommands.getInt(zone) >= MIN_UNANSWERED_TO_CUT_OFF && !receivesHeartbeatsFrom(zone)
 
-    /** Whether reports come straight from [zone]: then what cannot be reached there is cut off or dead by itself. */
-    fun hearsZone(zone: String): Boolean = context.now < directAt.getDouble(zone) + reportSeconds / 2
+    /** Zones where so many commands in a row were not answered that they may be cut off. */
+    fun zonesWithUnansweredCommands(): List<String> =
+        unansweredCommands.keys.filter { unansweredCommands.getInt(it) >= MIN_UNANSWERED_TO_CUT_OFF }
 
-    /** Zones with machines that have reported to this leader, of which none has lately come straight to it. */
+    /** Whether heartbeats come straight from [zone], so that a machine there that cannot be reached is cut off or dead by itself. */
+    fun receivesHeartbeatsFrom(zone: String): Boolean = context.now < directHeartbeatAt.getDouble(zone) + reportSeconds / 2
+
+    /** Zones with machines that have reported to this leader, none of them lately and straight. */
     fun zonesWithoutHeartbeats(machines: Collection<Machine>): List<String> {
-        val up = Object2IntOpenHashMap<String>()
-        machines.forEach { if (it.up && !it.leaseExpired && !it.abandoned) up.addTo(it.zone, 1) }
-        return up.keys.filter { zone ->
-            val quietSeconds = reportSeconds * if (up.getInt(zone) >= MANY) QUIET_OF_MANY else QUIET_OF_FEW
-            context.now > directAt.getDouble(zone) + quietSeconds
+        val machineCounts = Object2IntOpenHashMap<String>()
+        machines.forEach { if (it.isUp && !it.isLeaseExpired && !it.isDecommissioning) machineCounts.addTo(it.zone, 1) }
+        return machineCounts.keys.filter { zone ->
+            val patienceReports = if (machineCounts.getInt(zone) >= MIN_LARGE_ZONE) PATIENCE_REPORTS_LARGE else PATIENCE_REPORTS_SMALL
+            context.now > directHeartbeatAt.getDouble(zone) + reportSeconds * patienceReports
         }
     }
 
     private companion object {
-        const val UNREACHED_TO_LEAVE = 4
+        const val MIN_UNANSWERED_TO_CUT_OFF = 4
 
-        /** Of so many machines at least one reports within half an interval; of few, one within a whole and a quarter. */
-        const val MANY = 8
-        const val QUIET_OF_MANY = 0.5
-        const val QUIET_OF_FEW = 1.25
+        /** Of so many machines at least one reports within half an interval; of fewer, one within an interval and a quarter. */
+        const val MIN_LARGE_ZONE = 8
+        const val PATIENCE_REPORTS_LARGE = 0.5
+        const val PATIENCE_REPORTS_SMALL = 1.25
     }
 }
--- a/src/test/kotlin/burlridge/balance/DrainTest.kt
+++ b/src/test/kotlin/burlridge/balance/DrainTest.kt
@@ -146,7 +146,11 @@
                 .first()
                 .machine
         cluster.cloud.worker(slow)?.slowness = 6.0
-        while (cluster.clock.now < 100 && cluster.log.none { "$slow is slow" in it }) cluster.run(cluster.clock.now + 0.1)
+        while (cluster.clock.now < 100 &&
+            cluster.log.none { "straggler machine evicted machine=$slow " in it }
+        ) {
+            cluster.run(cluster.clock.now + 0.1)
+        }
         val foundAt = cluster.clock.now
         assertTrue(foundAt < 60.0, cluster.tail())
         cluster.run(foundAt + 0.2)
@@ -159,7 +163,7 @@
                 .filter { it.machine == slow && it.at > foundAt + 2.5 }
                 .map { "$it" },
         )
-        assertEquals(1, cluster.log.count { "$slow is slow" in it }, cluster.tail())
+        assertEquals(1, cluster.log.count { "straggler machine evicted machine=$slow " in it }, cluster.tail())
     }
 
     /** Guards the row's own stamp: the fence lets every copy of the same leader through. */
--- a/src/test/kotlin/burlridge/failover/HandoverTest.kt
+++ b/src/test/kotlin/burlridge/failover/HandoverTest.kt
@@ -72,7 +72,7 @@
         assertNotEquals(drained, cluster.leader())
         assertTrue(gap() < 0.5, "without a leader for ${gap()} s\n${cluster.tail()}")
         assertEquals(1, cluster.logged("handed over by"))
-        assertEquals(0, cluster.logged("lost on"), "a task was lost")
+        assertEquals(0, cluster.logged("task lost"), "a task was lost")
     }
 
     /** Guards the proof by revision: what the successor did not read in full it must have by the change feed. */
@@ -106,7 +106,7 @@
         cluster.verdict(jobs)
         assertEquals(7, leaders.size, leaders.toString())
         assertEquals(leaders.size - 1, leaders.zipWithNext().count { (one, next) -> one != next }, leaders.toString())
-        assertEquals(0, cluster.logged("lost on"), "a task was lost")
+        assertEquals(0, cluster.logged("task lost"), "a task was lost")
     }
 
     @Test
--- a/src/test/kotlin/burlridge/simulation/FailureTest.kt
+++ b/src/test/kotlin/burlridge/simulation/FailureTest.kt
@@ -209,7 +209,7 @@
         verdict("j-000001")
         val gone =
             cluster.log
-                .first { "the cloud no longer lists it" in it }
+                .first { "machine gone" in it && "reason=not_listed" in it }
                 .take(8)
                 .trim()
                 .toDouble()
@@ -231,7 +231,7 @@
         verdict("j-000001")
         val leaseExpired =
             cluster.log
-                .filter { "lease has lapsed" in it }
+                .filter { "task lost" in it && "reason=lease_expired" in it }
                 .map { it.take(8).trim().toDouble() }
         assertTrue(leaseExpired.isNotEmpty() && leaseExpired.all { it < 45.0 + cluster.leaseSeconds * 1.1 }, "lapsed at $leaseExpired")
     }
@@ -269,7 +269,7 @@
         cluster.clock.after(40.0) { cluster.submit(cluster.job(2, 24, runSeconds = 20.0)) }
         cluster.run(150.0)
         verdict("j-000002")
-        assertTrue(cluster.log.any { "is slow" in it })
+        assertTrue(cluster.log.any { "straggler machine evicted" in it })
     }
 
     @Test
--- a/src/test/kotlin/burlridge/simulation/GangTest.kt
+++ b/src/test/kotlin/burlridge/simulation/GangTest.kt
@@ -183,10 +183,10 @@
         at(38.5) { machinesOf("j-000001", 20).lastOrNull()?.let { m -> cluster.members.forEach { cluster.cut(m, it, 20.0) } } }
         at(45.0) { machinesOf("j-000001", 20).firstOrNull()?.let { cluster.cloud.worker(it)?.recall(15.0) } }
         cluster.run(60.0)
-        val stopped = cluster.log.count { "is stopped: the cloud takes" in it }
+        val stopped = cluster.log.count { "gang stop requested" in it && "reason=machine_reclaimed" in it }
         cluster.run(200.0)
         verdict("j-000001")
-        assertEquals(0, stopped, cluster.log.filter { "lost on" in it || "is stopped" in it || "silent" in it }.joinToString("\n"))
+        assertEquals(0, stopped, cluster.log.filter { "task lost" in it || "stop requested" in it || "silent" in it }.joinToString("\n"))
     }
 
     /** Guards the claim of a gang in several rows: what the dead leader had claimed in part must not begin, nor block. */
@@ -332,7 +332,7 @@
         cluster.run(160.0)
         verdict("j-000001")
         assertEquals(listOf(1, 2), begun("j-000001"))
-        assertTrue(cluster.log.any { "a state that is not known: assembling" in it })
+        assertTrue(cluster.log.any { "task state not recognized" in it && "state=assembling" in it })
     }
 
     /** More seeds on demand: `mvn test -Dsimulation.seeds=300`. */
--- a/src/test/kotlin/burlridge/simulation/WorkerFaultTest.kt
+++ b/src/test/kotlin/burlridge/simulation/WorkerFaultTest.kt
@@ -23,7 +23,11 @@
         cluster.run(150.0)
         verdict(*Array(10) { "j-%06d".format(10 + it) })
         // The first try finds out; only one try a machine may be in vain.
-        val tries = cluster.log.filter { "cannot be reached" in it }.groupBy({ it.substringAfter("lost on ").take(8) }, { it.take(8) })
+        val tries =
+            cluster.log
+                .filter {
+                    "task lost" in it && "reason=machine_unreachable" in it
+                }.groupBy({ it.substringAfter("machine=").take(8) }, { it.take(8) })
         assertTrue(tries.isNotEmpty())
         assertEquals(emptyMap<String, Int>(), tries.mapValues { it.value.distinct().size }.filter { it.value > 1 })
     }
--- a/src/test/kotlin/burlridge/worker/HeartbeatTest.kt
+++ b/src/test/kotlin/burlridge/worker/HeartbeatTest.kt
@@ -16,8 +16,8 @@
     fun `a whole report is read, and unknown fields are ignored`() {
         val tasks =
             listOf(
-                TaskStatus("j-000412/3", 2, "running", null, saved = false),
-                TaskStatus("j-000398/0", 1, "exited", "stopped", saved = true),
+                TaskStatus("j-000412/3", 2, TaskState.Known.RUNNING, null, saved = false),
+                TaskStatus("j-000398/0", 1, TaskState.Known.EXITED, ExitReason.Known.STOPPED, saved = true),
             )
         val expected =
             Heartbeat("m-000231", Endpoint("10.1.0.232", 9000), "g8", "a", true, 2, 88, 41, 7.5, tasks.associateBy { it.key })
@@ -56,7 +56,7 @@
         assertEquals(Heartbeat("m-1"), Heartbeat.decode(odd))
         assertNull(Heartbeat.decode("""{"drover":"m-1","addr":"10.0.0.1:70000"}""")?.address)
         assertEquals(emptyMap<String, TaskStatus>(), Heartbeat.decode("""{"drover":"m-1","pieces":[1,"x",[],null]}""")?.tasks)
-        val task = TaskStatus("j-1/0", 0, "", null, saved = false)
+        val task = TaskStatus("j-1/0", 0, TaskState.Unrecognized(""), null, saved = false)
         assertEquals(
             mapOf(task.key to task),
             Heartbeat.decode("""{"drover":"m-1","pieces":[{"piece":"j-1/0","try":"1","standing":[],"cause":5,"kept":1}]}""")?.tasks,
--- a/src/test/kotlin/burlridge/worker/LastHeartbeatTest.kt
+++ b/src/test/kotlin/burlridge/worker/LastHeartbeatTest.kt
@@ -17,27 +17,27 @@
 
     @Test
     fun `the same under a later number says nothing new`() {
-        assertEquals(100L, last?.numberOf(report("100")))
-        assertEquals(7L, last?.numberOf(report("7")))
+        assertEquals(100L, last?.sequenceIfUnchanged(report("100")))
+        assertEquals(7L, last?.sequenceIfUnchanged(report("7")))
     }
 
     @Test
     fun `whatever else differs is read`() {
-        assertNull(last?.numberOf(report("100", baton = 42)))
-        assertNull(last?.numberOf(report("100", pieces = "[]")))
-        assertNull(last?.numberOf(report("100").replace("running", "runninG")))
-        assertNull(last?.numberOf(report("100").replace("m-1", "m-2")))
-        assertNull(last?.numberOf(report("100") + " "))
-        assertNull(last?.numberOf(report("100").dropLast(1)))
+        assertNull(last?.sequenceIfUnchanged(report("100", baton = 42)))
+        assertNull(last?.sequenceIfUnchanged(report("100", pieces = "[]")))
+        assertNull(last?.sequenceIfUnchanged(report("100").replace("running", "runninG")))
+        assertNull(last?.sequenceIfUnchanged(report("100").replace("m-1", "m-2")))
+        assertNull(last?.sequenceIfUnchanged(report("100") + " "))
+        assertNull(last?.sequenceIfUnchanged(report("100").dropLast(1)))
     }
 
     @Test
     fun `a number that is none, or too long, is read`() {
-        assertNull(last?.numberOf(report("")))
-        assertNull(last?.numberOf(report("-1")))
-        assertNull(last?.numberOf(report("1.5")))
-        assertNull(last?.numberOf(report("1e3")))
-        assertNull(last?.numberOf(report("9".repeat(19))))
+        assertNull(last?.sequenceIfUnchanged(report("")))
+        assertNull(last?.sequenceIfUnchanged(report("-1")))
+        assertNull(last?.sequenceIfUnchanged(report("1.5")))
+        assertNull(last?.sequenceIfUnchanged(report("1e3")))
+        assertNull(last?.sequenceIfUnchanged(report("9".repeat(19))))
     }
 
     /** Guards the place of the number: another field of that name must not be taken for it. */
@@ -50,8 +50,8 @@
 
     @Test
     fun `a name is found only at its usual place`() {
-        assertEquals("m-1", LastHeartbeat.nameIn(report("1")))
-        assertNull(LastHeartbeat.nameIn("""{"stint":1,"drover":"m-1"}"""))
-        assertNull(LastHeartbeat.nameIn("""{"drover":"m-1"""))
+        assertEquals("m-1", LastHeartbeat.machineIdIn(report("1")))
+        assertNull(LastHeartbeat.machineIdIn("""{"stint":1,"drover":"m-1"}"""))
+        assertNull(LastHeartbeat.machineIdIn("""{"drover":"m-1"""))
     }
 }
