--- a/src/main/kotlin/burlridge/allocation/AllocationBatchCodec.kt
+++ b/src/main/kotlin/burlridge/allocation/AllocationBatchCodec.kt
@@ -12,7 +12,8 @@
  * row holds as many allocations as it can.
  */
 internal object AllocationBatchCodec {
-    private const val KEY_PREFIX = "round/"
+    /** The prefix of the rows of all batches. */
+    const val KEY_PREFIX: String = "round/"
     private const val STATUS = "claimed"
     private const val FINGERPRINT_LENGTH = 16
 
--- a/src/main/kotlin/burlridge/allocation/JobRowCodec.kt
+++ b/src/main/kotlin/burlridge/allocation/JobRowCodec.kt
@@ -8,6 +8,13 @@
 
 /** Reads and writes the rows of active and finished jobs. */
 internal object JobRowCodec {
+    fun encodeActive(row: ActiveJobRow): JsonNode =
+        Json.obj {
+            set<JsonNode>("job", row.spec.encode())
+            put("fp", row.spec.fingerprint)
+            put("at", row.submittedMillis)
+        }
+
     /** Throws [InvalidJobException] where [row] holds no job that this version can run. */
     fun decodeActive(row: Row): ActiveJobRow = ActiveJobRow(JobSpec.parse(row.value.path("job")), row.value.path("at").asLong())
 
--- a/src/main/kotlin/burlridge/allocation/ProgressCodec.kt
+++ b/src/main/kotlin/burlridge/allocation/ProgressCodec.kt
@@ -59,7 +59,9 @@
 
     internal companion object {
         const val TASKS_PER_ROW = 32_768
-        private const val KEY_PREFIX = "prog/"
+
+        /** The prefix of the progress rows of all jobs. */
+        const val KEY_PREFIX: String = "prog/"
         private const val SMALL_ROW_PREFIX = "b"
         private const val ENVELOPE_BYTES = 32
         private const val BASE64_GROUP = 4
--- a/src/main/kotlin/burlridge/api/JobValidation.kt
+++ b/src/main/kotlin/burlridge/api/JobValidation.kt
@@ -1,9 +1,10 @@
 package burlridge.api
 
+import burlridge.allocation.ActiveJobRow
+import burlridge.allocation.JobRowCodec
 import burlridge.core.StepContext
 import burlridge.fleet.Catalog
 import burlridge.job.JobSpec
-import burlridge.json.Json
 import burlridge.settings.Team
 import burlridge.store.StoreClient
 import com.fasterxml.jackson.databind.JsonNode
@@ -47,10 +48,5 @@
     }
 
     /** The row of an accepted job. */
-    fun liveRow(spec: JobSpec): JsonNode =
-        Json.obj {
-            set<JsonNode>("job", spec.encode())
-            put("fp", spec.fingerprint)
-            put("at", context.wallMillis)
-        }
+    fun liveRow(spec: JobSpec): JsonNode = JobRowCodec.encodeActive(ActiveJobRow(spec, context.wallMillis))
 }
--- a/src/main/kotlin/burlridge/app/LeaderStateLoader.kt
+++ b/src/main/kotlin/burlridge/app/LeaderStateLoader.kt
@@ -1,7 +1,9 @@
 package burlridge.app
 
 import burlridge.allocation.ActiveJobRow
+import burlridge.allocation.AllocationBatchCodec
 import burlridge.allocation.JobRegistry
+import burlridge.allocation.ProgressCodec
 import burlridge.balance.Balance
 import burlridge.core.StepContext
 import burlridge.failover.Failover
@@ -82,8 +84,8 @@
     ) {
         val activeJobs = listings.getValue(ActiveJobRow.KEY_PREFIX)
         activeJobs.rows.forEach { registry.admit(it) }
-        listings.getValue(PROGRESS).rows.forEach { registry.loadProgress(it) }
-        listings.getValue(ALLOCATION_BATCHES).rows.forEach { registry.allocations.loadBatch(it) }
+        listings.getValue(ProgressCodec.KEY_PREFIX).rows.forEach { registry.loadProgress(it) }
+        listings.getValue(AllocationBatchCodec.KEY_PREFIX).rows.forEach { registry.allocations.loadBatch(it) }
         listings.getValue(RENTALS).rows.forEach { fleet.load(it) }
         balance?.load(listings)
         registry.reconcileLoaded()
@@ -93,13 +95,12 @@
     }
 
     internal companion object {
-        private const val PROGRESS = "prog/"
-        private const val ALLOCATION_BATCHES = "round/"
         private const val RENTALS = "rental/"
         private const val RETRY_SECONDS = 0.5
 
         /** The prefixes of all rows that a new leader reads, those of drains and moves where they are switched on. */
         fun prefixes(withBalance: Boolean): List<String> =
-            listOf(ActiveJobRow.KEY_PREFIX, PROGRESS, ALLOCATION_BATCHES, RENTALS) + if (withBalance) Balance.PREFIXES else emptyList()
+            listOf(ActiveJobRow.KEY_PREFIX, ProgressCodec.KEY_PREFIX, AllocationBatchCodec.KEY_PREFIX, RENTALS) +
+                if (withBalance) Balance.PREFIXES else emptyList()
     }
 }
--- a/src/test/kotlin/burlridge/allocation/ProductionTest.kt
+++ b/src/test/kotlin/burlridge/allocation/ProductionTest.kt
@@ -39,6 +39,16 @@
             val spec = JobSpec.parse(row.value.path("job"))
             assertEquals(row.value.path("fp").asText(), spec.fingerprint)
             assertEquals(Json.write(row.value.path("job")), Json.write(spec.encode()))
+            assertEquals(row.value.path("fp").asText(), JobRowCodec.activeFingerprint(row))
+            assertEquals(Json.write(row.value), Json.write(JobRowCodec.encodeActive(JobRowCodec.decodeActive(row))))
+        }
+    }
+
+    @Test
+    fun `the end of a job of production is read, and written byte for byte as it writes it`() {
+        for (row in rows("over/")) {
+            val finished = checkNotNull(JobRowCodec.decodeFinished(row))
+            assertEquals(Json.write(row.value), Json.write(JobRowCodec.encodeFinished(finished)))
         }
     }
 
