--- a/src/main/kotlin/burlridge/app/Service.kt
+++ b/src/main/kotlin/burlridge/app/Service.kt
@@ -114,7 +114,7 @@
         metrics.carriedOut(effect)
         when (effect) {
             is Effect.Respond -> {
-                server.answer(effect)
+                server.respond(effect)
             }
 
             is Effect.HttpCall -> {
--- a/src/main/kotlin/burlridge/net/ClientConnections.kt
+++ b/src/main/kotlin/burlridge/net/ClientConnections.kt
@@ -1,47 +1,54 @@
 package burlridge.net
 
 /**
- * The connections from users, probes and workers, the one longest idle first. A machine that lost its power never closes its
- * connection, so the places of the dead must be taken back. Only of those: a worker that is about to report, or has just connected,
- * would lose its request.
+ * The open connections from users, health checks and workers, the longest idle first. A machine that lost its power never closes its
+ * connection, so connections of the dead must be reclaimed. Only those: a worker that is about to send a heartbeat would lose it.
  */
 internal class ClientConnections<T : Any>(
-    private val most: Int,
-    private val crowded: Int,
+    private val maxOpen: Int,
+    private val crowdedAbove: Int,
     private val reclaimAfterSeconds: Double,
 ) {
     private val idleSince = LinkedHashMap<T, Double>()
     private val busy = HashSet<T>()
+
+    /** All open connections. */
     val size: Int get() = idleSince.size + busy.size
 
-    /** Whether a worker's connection should be closed with its answer. */
-    val isCrowded: Boolean get() = size > crowded
-    val isFull: Boolean get() = size >= most
+    /** Whether a worker's connection should be closed with its response. */
+    val isCrowded: Boolean get() = size > crowdedAbove
+
+    /** Whether no more may be accepted. */
+    val isFull: Boolean get() = size >= maxOpen
 
-    fun opened(
+    /** [connection] was accepted at [now], in seconds of the steady clock. */
+    fun onOpened(
         connection: T,
         now: Double,
     ) {
         idleSince[connection] = now
     }
 
-    fun requested(connection: T) {
+    /** A request has come on [connection]. */
+    fun onRequest(connection: T) {
         if (idleSince.remove(connection) != null) busy.add(connection)
     }
 
-    fun answered(
+    /** The request on [connection] was answered at [now]. */
+    fun onResponse(
         connection: T,
         now: Double,
     ) {
         if (busy.remove(connection)) idleSince[connection] = now
     }
 
-    fun closed(connection: T) {
+    /** [connection] has ended. */
+    fun onClosed(connection: T) {
         idleSince.remove(connection)
         busy.remove(connection)
     }
 
-    /** The one that can be spared: the longest quiet, and for longer than a live worker ever is. */
+    /** The longest idle connection if it has been idle for longer than a live worker ever is; otherwise null. */
     fun reclaimable(now: Double): T? =
         idleSince.entries
             .firstOrNull()
--- a/src/main/kotlin/burlridge/net/Connection.kt
+++ b/src/main/kotlin/burlridge/net/Connection.kt
@@ -8,7 +8,6 @@
 import kotlinx.coroutines.CancellationException
 import kotlinx.coroutines.CoroutineScope
 import kotlinx.coroutines.CoroutineStart
-import kotlinx.coroutines.delay
 import kotlinx.coroutines.launch
 import kotlinx.coroutines.suspendCancellableCoroutine
 import java.io.IOException
@@ -17,62 +16,66 @@
 import java.nio.ByteBuffer
 import java.nio.channels.CancelledKeyException
 import java.nio.channels.SelectionKey
-import java.nio.channels.ServerSocketChannel
 import java.nio.channels.SocketChannel
 import kotlin.coroutines.Continuation
 import kotlin.coroutines.resume
 
 /**
- * A socket on the event loop. Until the first bytes that nobody takes whole it is read by callbacks alone, without a coroutine or a
- * channel: a worker's connection never needs more. From then on a coroutine reads it into [input], for Ktor's parsers.
+ * A TCP connection on the event loop. While its handler takes every read as one whole request it is read by callbacks alone, without a
+ * coroutine or a channel; a worker's connection never needs more. From the first read that needs a parser on, a coroutine reads it into
+ * [input], for Ktor's parsers.
  */
 internal class Connection private constructor(
     private val loop: EventLoop,
     private val scope: CoroutineScope,
     private val channel: SocketChannel,
 ) : EventLoop.Ready {
-    /** Who serves an accepted connection. */
+    /** Serves an accepted connection. */
     internal interface Handler {
-        /** Takes [bytes] where they are one whole request that needs no parser; false where they have to be read from [input]. */
-        fun takeWhole(
+        /** Handles [bytes] if they are one whole request that needs no parser; false if they have to be read from [input]. */
+        fun tryHandle(
             connection: Connection,
             bytes: ByteArray,
         ): Boolean
 
-        /** Serves the connection from [input] until it ends; called once, with the first bytes that were not taken whole. */
+        /** Serves the connection from [input] until it ends; called once, with the first bytes that were not handled whole. */
         suspend fun serve(connection: Connection)
 
         /** The connection has ended, however it did. */
-        fun ended(connection: Connection)
+        fun onClosed(connection: Connection)
     }
 
     private val key: SelectionKey = channel.register(loop.selector, 0, this)
     private val incoming by lazy(LazyThreadSafetyMode.NONE) { ByteChannel() }
+
+    /** What has been read since the first bytes that were not handled whole. */
     val input: ByteReadChannel get() = incoming
 
-    /** What began the request that is being read, as it came; null between requests. */
-    var opening: ByteArray? = null
+    /** The first bytes of the request that is being read, as they came; null between requests. */
+    var requestBytes: ByteArray? = null
         private set
 
     private var handler: Handler? = null
 
     /** Whether a coroutine reads the socket. */
-    private var pumping = false
+    private var isPumping = false
 
     /** Whether a read is due already, so that a socket that stays readable is not queued twice. */
-    private var readQueued = false
+    private var isReadQueued = false
     private val readTurn =
         Runnable {
-            readQueued = false
-            if (!pumping && channel.isOpen) readOrWait()
+            isReadQueued = false
+            if (!isPumping && channel.isOpen) readOrWait()
         }
     private var reading: Continuation<Unit>? = null
     private var writing: Continuation<Unit>? = null
-    private var answer: Continuation<Unit>? = null
+    private var responseWaiter: Continuation<Unit>? = null
+
+    /** Whether a request that was handled whole still waits for its response. */
+    private var isAwaitingResponse = false
 
-    /** Whether a request that was taken whole still waits for its answer. */
-    private var unanswered = false
-    val closed: Boolean get() = !channel.isOpen || (pumping && incoming.isClosedForRead)
+    /** Whether it can neither be read nor written any more. */
+    val isClosed: Boolean get() = !channel.isOpen || (isPumping && incoming.isClosedForRead)
 
     override fun ready(operations: Int) {
         if (operations and WRITE != 0) {
@@ -80,46 +83,46 @@
             writing?.also { writing = null }?.resume(Unit)
         }
         if (operations and READ == 0) return
-        if (pumping) {
+        if (isPumping) {
             key.interestOpsAnd(READ.inv())
             reading?.also { reading = null }?.resume(Unit)
-        } else if (!readQueued) {
-            readQueued = true
+        } else if (!isReadQueued) {
+            isReadQueued = true
             loop.enqueue(readTurn)
         }
     }
 
-    /** What comes before the last request is answered waits in the socket, so that answers keep the order of their requests. */
+    /** What arrives before the last request is answered waits in the socket, so that responses keep the order of their requests. */
     private fun readOrWait() {
-        if (unanswered) key.interestOpsAnd(READ.inv()) else readWhole()
+        if (isAwaitingResponse) key.interestOpsAnd(READ.inv()) else readRequest()
     }
 
-    private fun takesWhole(bytes: ByteArray): Boolean {
-        unanswered = true
-        val taken = handler?.takeWhole(this, bytes) == true
-        if (!taken) unanswered = false
-        return taken
+    private fun handled(bytes: ByteArray): Boolean {
+        isAwaitingResponse = true
+        val isHandled = handler?.tryHandle(this, bytes) == true
+        if (!isHandled) isAwaitingResponse = false
+        return isHandled
     }
 
-    /** The request that was taken whole has been answered: the next may be read. */
-    fun answered() {
-        unanswered = false
+    /** The request that was handled whole has been answered: the next one may be read. */
+    fun onResponse() {
+        isAwaitingResponse = false
         if (!channel.isOpen) return
-        if (pumping) answer?.also { answer = null }?.resume(Unit) else key.interestOpsOr(READ)
+        if (isPumping) responseWaiter?.also { responseWaiter = null }?.resume(Unit) else key.interestOpsOr(READ)
     }
 
-    /** One read outside any coroutine: a whole request that needs no parser, or the beginning of everything else. */
-    private fun readWhole() {
+    /** Reads once outside any coroutine: a whole request that needs no parser, or the beginning of anything else. */
+    private fun readRequest() {
         val bytes =
             try {
                 read()
             } catch (_: IOException) {
                 null
             } ?: return close()
-        if (takesWhole(bytes)) return
-        pumping = true
+        if (handled(bytes)) return
+        isPumping = true
         key.interestOpsAnd(READ.inv())
-        opening = bytes
+        requestBytes = bytes
         scope.launch { pump(bytes) }
         scope.launch(start = CoroutineStart.UNDISPATCHED) { serve() }
     }
@@ -130,7 +133,7 @@
         } catch (e: CancellationException) {
             throw e
         } catch (_: Exception) {
-            // The other side closed the connection or sent malformed data: the connection ends.
+            // Ktor's parser throws exceptions of several types on malformed input: whatever it is, the connection ends.
         } finally {
             close()
         }
@@ -164,6 +167,7 @@
         }
     }
 
+    /** Writes all of [bytes]. Throws [IOException] when the connection is closed. */
     suspend fun write(bytes: ByteArray) {
         val rest = ByteBuffer.wrap(bytes)
         channel.write(rest)
@@ -173,12 +177,12 @@
         }
     }
 
-    /** The request that was being read has been answered: what comes next begins another. */
-    fun between() {
-        opening = null
+    /** The request that was being read has been answered: the next bytes begin another one. */
+    fun requestCompleted() {
+        requestBytes = null
     }
 
-    /** Writes what goes out at once, and returns what is left of [bytes] where the other side reads slowly. */
+    /** Writes what the socket takes at once; returns the rest of [bytes], or null when all was written. */
     fun tryWrite(bytes: ByteArray): ByteArray? {
         val rest = ByteBuffer.wrap(bytes)
         channel.write(rest)
@@ -191,19 +195,19 @@
             while (true) {
                 readable()
                 val bytes = read() ?: break
-                val between = opening == null
-                if (between && takesWhole(bytes)) {
-                    if (unanswered) suspendCancellableCoroutine { answer = it }
+                val between = requestBytes == null
+                if (between && handled(bytes)) {
+                    if (isAwaitingResponse) suspendCancellableCoroutine { responseWaiter = it }
                     continue
                 }
-                if (between) opening = bytes
+                if (between) requestBytes = bytes
                 pass(bytes)
             }
             incoming.flushAndClose()
         } catch (e: CancellationException) {
             throw e
         } catch (_: IOException) {
-            // Reset by the other side: the same to us as its end.
+            // Reset by the other side: treated as its end.
             incoming.cancel()
         }
     }
@@ -213,98 +217,59 @@
         incoming.flush()
     }
 
+    /** Closes the connection and tells its handler; may be called twice. */
     fun close() {
         channel.close()
         reading?.also { reading = null }?.resume(Unit)
         writing?.also { writing = null }?.resume(Unit)
-        answer?.also { answer = null }?.resume(Unit)
-        handler?.also { handler = null }?.ended(this)
+        responseWaiter?.also { responseWaiter = null }?.resume(Unit)
+        handler?.also { handler = null }?.onClosed(this)
     }
 
     internal companion object {
         private const val READ = SelectionKey.OP_READ
         private const val WRITE = SelectionKey.OP_WRITE or SelectionKey.OP_CONNECT
-        private const val FULL_MILLIS = 20L
 
+        /** A connection to [target]. Throws [IOException] if none can be made. */
         suspend fun connect(
             loop: EventLoop,
             scope: CoroutineScope,
-            to: Endpoint,
+            target: Endpoint,
         ): Connection {
             val channel = SocketChannel.open()
             try {
                 channel.configureBlocking(false)
                 val connection = Connection(loop, scope, channel)
-                if (!channel.connect(InetSocketAddress(to.host, to.port))) {
+                if (!channel.connect(InetSocketAddress(target.host, target.port))) {
                     connection.writable(SelectionKey.OP_CONNECT)
                     channel.finishConnect()
                 }
                 channel.setOption(StandardSocketOptions.TCP_NODELAY, true)
-                connection.pumping = true
+                connection.isPumping = true
                 scope.launch { connection.pump(null) }
                 return connection
             } catch (e: Throwable) {
+                // Whatever happens, cancellation included, the socket must not leak.
                 channel.close()
                 throw e
             }
         }
 
-        /**
-         * Accepts for as long as the loop runs. Where [admit] finds no place, or no socket can be had, accepting rests for a
-         * moment: new connections wait in the backlog, and would otherwise wake the loop over and over.
-         */
-        fun listen(
-            loop: EventLoop,
-            scope: CoroutineScope,
-            at: Endpoint,
-            backlog: Int,
-            admit: () -> Boolean,
-            accepted: (Connection) -> Handler,
-        ) {
-            val server = ServerSocketChannel.open()
-            server.setOption(StandardSocketOptions.SO_REUSEADDR, true)
-            server.bind(InetSocketAddress(at.host, at.port), backlog)
-            server.configureBlocking(false)
-            lateinit var key: SelectionKey
-
-            fun rest() {
-                key.interestOps(0)
-                scope.launch {
-                    delay(FULL_MILLIS)
-                    key.interestOps(SelectionKey.OP_ACCEPT)
-                }
-            }
-            val ready =
-                EventLoop.Ready {
-                    while (true) {
-                        if (!admit()) return@Ready rest()
-                        val channel =
-                            try {
-                                server.accept() ?: break
-                            } catch (_: IOException) {
-                                return@Ready rest()
-                            }
-                        // At once, so that its place counts before the next is let in.
-                        open(loop, scope, channel, accepted)
-                    }
-                }
-            key = server.register(loop.selector, SelectionKey.OP_ACCEPT, ready)
-        }
-
-        private fun open(
+        /** The connection on the accepted [channel], served by the handler that [newHandler] gives; closed if it cannot be set up. */
+        fun accept(
             loop: EventLoop,
             scope: CoroutineScope,
             channel: SocketChannel,
-            accepted: (Connection) -> Handler,
+            newHandler: (Connection) -> Handler,
         ) {
             try {
                 channel.configureBlocking(false)
                 channel.setOption(StandardSocketOptions.TCP_NODELAY, true)
                 val connection = Connection(loop, scope, channel)
-                connection.handler = accepted(connection)
+                connection.handler = newHandler(connection)
                 connection.key.interestOps(READ)
             } catch (_: IOException) {
-                // Closed before it could be served.
+                // The other side closed it before it could be served.
                 channel.close()
             }
         }
--- /dev/null
+++ b/src/main/kotlin/burlridge/net/ConnectionListener.kt
@@ -0,0 +1,58 @@
+package burlridge.net
+
+import burlridge.settings.Endpoint
+import kotlinx.coroutines.CoroutineScope
+import kotlinx.coroutines.delay
+import kotlinx.coroutines.launch
+import java.io.IOException
+import java.net.InetSocketAddress
+import java.net.StandardSocketOptions
+import java.nio.channels.SelectionKey
+import java.nio.channels.ServerSocketChannel
+
+/** Accepts connections on the event loop. */
+internal object ConnectionListener {
+    private const val PAUSE_MILLIS = 20L
+
+    /**
+     * Accepts connections on [endpoint] for as long as the loop runs. When [admit] refuses, or no socket can be had, accepting pauses for a
+     * moment: new connections wait in the backlog and would otherwise wake the loop over and over.
+     */
+    fun listen(
+        loop: EventLoop,
+        scope: CoroutineScope,
+        endpoint: Endpoint,
+        backlog: Int,
+        admit: () -> Boolean,
+        newHandler: (Connection) -> Connection.Handler,
+    ) {
+        val server = ServerSocketChannel.open()
+        server.setOption(StandardSocketOptions.SO_REUSEADDR, true)
+        server.bind(InetSocketAddress(endpoint.host, endpoint.port), backlog)
+        server.configureBlocking(false)
+        lateinit var key: SelectionKey
+
+        fun pause() {
+            key.interestOps(0)
+            scope.launch {
+                delay(PAUSE_MILLIS)
+                key.interestOps(SelectionKey.OP_ACCEPT)
+            }
+        }
+        val ready =
+            EventLoop.Ready {
+                while (true) {
+                    if (!admit()) return@Ready pause()
+                    val channel =
+                        try {
+                            server.accept() ?: break
+                        } catch (_: IOException) {
+                            return@Ready pause()
+                        }
+                    // Registered at once, so that it counts before the next one is admitted.
+                    Connection.accept(loop, scope, channel, newHandler)
+                }
+            }
+        key = server.register(loop.selector, SelectionKey.OP_ACCEPT, ready)
+    }
+}
--- a/src/main/kotlin/burlridge/net/EventLoop.kt
+++ b/src/main/kotlin/burlridge/net/EventLoop.kt
@@ -12,14 +12,14 @@
 import kotlin.coroutines.CoroutineContext
 
 /**
- * One thread for everything: a dispatcher of coroutines whose idle wait is the wait for sockets and timers. On a fifth of a
- * core each hand-over between threads costs more than parsing a report, and `ktor-network` makes three for every message.
+ * One thread for everything: a coroutine dispatcher whose idle wait is the selector's wait for sockets and timers. On a fifth of a core each
+ * switch between threads costs more than parsing a heartbeat, and `ktor-network` makes three for every message.
  */
 @OptIn(InternalCoroutinesApi::class)
 internal class EventLoop :
     CoroutineDispatcher(),
     Delay {
-    /** What waits for a socket; called on the loop with the operations that it can now do. */
+    /** Waits for a socket; called on the loop with the operations that are possible now. */
     internal fun interface Ready {
         fun ready(operations: Int)
     }
@@ -32,17 +32,18 @@
         override fun compareTo(other: Timer): Int = compareValuesBy(this, other, Timer::at, Timer::order)
     }
 
+    /** Where channels register, with a [Ready] as attachment. */
     val selector: Selector = Selector.open()
 
-    /** Shared by all connections: what is read is copied out at once. */
+    /** Read buffer shared by all connections; what is read is copied out at once. */
     val buffer: ByteBuffer = ByteBuffer.allocateDirect(READ_BYTES)
     private val due = ArrayDeque<Runnable>()
 
-    /** What goes before all bulk work: the leader's lease hangs on it, and a slow leader must not be taken for a dead one. */
-    private val first = ArrayDeque<Runnable>()
+    /** Runs before all bulk work: lease renewals depend on it, and a busy leader must not be taken for a dead one. */
+    private val urgentDue = ArrayDeque<Runnable>()
     private val timers = PriorityQueue<Timer>()
 
-    /** Timeouts that have run out, to be looked at again once the sockets have been. */
+    /** Timeouts that have run out, to be run again after the sockets have been read. */
     private val afterSelect = ArrayList<Runnable>()
     private var nextOrder = 0L
     private var cancelled = 0
@@ -55,7 +56,7 @@
         due.addLast(block)
     }
 
-    /** The same loop, for coroutines whose turns come before all others. */
+    /** The same loop for coroutines that run before all others. */
     val urgent: CoroutineDispatcher = Urgent()
 
     private inner class Urgent :
@@ -65,40 +66,42 @@
             context: CoroutineContext,
             block: Runnable,
         ) {
-            first.addLast(block)
+            urgentDue.addLast(block)
         }
     }
 
-    /** Runs [work] in a turn of its own, after what is due already. */
+    /** Runs [work] after everything that is due already. */
     fun enqueue(work: Runnable) {
         due.addLast(work)
     }
 
+    /** Ends [run] after the current turn. */
     fun stop() {
         stopped = true
     }
 
+    /** Runs the loop on the calling thread until [stop]. */
     fun run() {
         while (!stopped) {
-            // A slice of what was due at the start of the turn, so that sockets, timers and urgent work get theirs however much waits.
-            var left = minOf(due.size, SLICE)
-            urgently()
-            while (left-- > 0) {
+            // Only a slice of what is due, so that sockets, timers and urgent work get their turn however much waits.
+            var remaining = minOf(due.size, SLICE)
+            runUrgent()
+            while (remaining-- > 0) {
                 due.removeFirst().run()
-                urgently()
+                runUrgent()
             }
-            fire()
+            runTimers()
             select()
             due.addAll(afterSelect)
             afterSelect.clear()
         }
     }
 
-    private fun urgently() {
-        while (first.isNotEmpty()) first.removeFirst().run()
+    private fun runUrgent() {
+        while (urgentDue.isNotEmpty()) urgentDue.removeFirst().run()
     }
 
-    private fun fire() {
+    private fun runTimers() {
         val now = System.nanoTime()
         while (true) {
             val timer = timers.peek() ?: return
@@ -110,11 +113,11 @@
     }
 
     private fun select() {
-        if (due.isNotEmpty() || first.isNotEmpty() || afterSelect.isNotEmpty()) {
+        if (due.isNotEmpty() || urgentDue.isNotEmpty() || afterSelect.isNotEmpty()) {
             selector.selectNow()
         } else {
             val waitMillis =
-                timers.peek()?.let { (it.at - System.nanoTime() + NANOS_PER_MILLI - 1) / NANOS_PER_MILLI } ?: LONGEST_WAIT_MILLIS
+                timers.peek()?.let { (it.at - System.nanoTime() + NANOS_PER_MILLI - 1) / NANOS_PER_MILLI } ?: MAX_WAIT_MILLIS
             if (waitMillis <= 0) selector.selectNow() else selector.select(waitMillis)
         }
         val keys = selector.selectedKeys()
@@ -128,14 +131,14 @@
     }
 
     private fun after(
-        ms: Long,
+        millis: Long,
         work: Runnable,
-    ): Timer = Timer(System.nanoTime() + ms * NANOS_PER_MILLI, nextOrder++, work).also { timers.add(it) }
+    ): Timer = Timer(System.nanoTime() + millis * NANOS_PER_MILLI, nextOrder++, work).also { timers.add(it) }
 
     private fun cancel(timer: Timer) {
         if (timer.work == null) return
         timer.work = null
-        // Most timers are cancelled long before their time: they are cleared away together.
+        // Most timers are cancelled long before they are due, so they are removed in bulk.
         if (++cancelled > timers.size / 2 + SPARE_TIMERS) {
             timers.removeIf { it.work == null }
             cancelled = 0
@@ -164,9 +167,9 @@
     }
 
     /**
-     * A timeout that counts only what came too late, not what this loop was too slow to read: before [block] runs, the sockets are looked
-     * at and all that is due gets its turn, as often as an answer takes turns from its socket to whoever waits for it. An overloaded
-     * leader else takes live workers for unreachable, and what it claims for them anew only adds to its load.
+     * A timeout that counts only responses that arrived too late, not those that this loop was too busy to read: before [block] runs, sockets
+     * are read and everything due runs, as many times as a response needs from its socket to whoever waits for it. Otherwise an overloaded
+     * leader takes live workers for unreachable and adds to its load by allocating their tasks again.
      */
     private inner class Timeout(
         private val block: Runnable,
@@ -184,14 +187,14 @@
     }
 
     private companion object {
-        /** So many turns of coroutines, a handful of requests, between two looks at sockets and timers. */
+        /** Coroutine turns, a handful of requests, between two checks of sockets and timers. */
         const val SLICE = 32
         const val READ_BYTES = 64 * 1024
         const val NANOS_PER_MILLI = 1_000_000L
-        const val LONGEST_WAIT_MILLIS = 1_000L
+        const val MAX_WAIT_MILLIS = 1_000L
         const val SPARE_TIMERS = 64
 
-        /** The read of a socket, the parser that waits for it, and whoever waits for the parser: one round each, and one to spare. */
+        /** One round each for the read of a socket, the parser, and whoever waits for the parser, and one to spare. */
         const val TIMEOUT_ROUNDS = 4
     }
 }
--- a/src/main/kotlin/burlridge/net/HttpBody.kt
+++ b/src/main/kotlin/burlridge/net/HttpBody.kt
@@ -10,11 +10,11 @@
 import kotlinx.coroutines.launch
 import kotlinx.io.readByteArray
 
-/** Reads the body that [headers] announce; null when it is longer than [most] bytes. */
+/** Reads the body that [headers] announce; null if it is longer than [maxBytes]. */
 internal suspend fun readBody(
     headers: HttpHeadersMap,
     input: ByteReadChannel,
-    most: Int,
+    maxBytes: Int,
 ): String? {
     val length = headers["Content-Length"]?.toString()?.trim()?.toLongOrNull()
     val encoding = headers["Transfer-Encoding"]
@@ -27,9 +27,9 @@
                         decodeChunked(input, decoded)
                         decoded.flushAndClose()
                     }
-                val bytes = decoded.readRemaining(most + 1L).readByteArray()
-                if (bytes.size > most) decoder.cancel()
-                bytes.takeIf { it.size <= most }?.decodeToString()
+                val bytes = decoded.readRemaining(maxBytes + 1L).readByteArray()
+                if (bytes.size > maxBytes) decoder.cancel()
+                bytes.takeIf { it.size <= maxBytes }?.decodeToString()
             }
         }
 
@@ -37,7 +37,7 @@
             ""
         }
 
-        length > most -> {
+        length > maxBytes -> {
             null
         }
 
--- a/src/main/kotlin/burlridge/net/HttpClient.kt
+++ b/src/main/kotlin/burlridge/net/HttpClient.kt
@@ -10,21 +10,21 @@
 import kotlinx.coroutines.sync.Semaphore
 import kotlinx.coroutines.withTimeoutOrNull
 
-/** Calls outside systems over kept connections, one request at a time on each. */
+/** HTTP client with a pool of kept connections, one request at a time on each. */
 internal class HttpClient(
     private val loop: EventLoop,
     private val scope: CoroutineScope,
-    mostAtOnce: Int,
-    private val mostKept: Int,
-    /** Who is never kept waiting by calls to the others, which are many. */
-    private val first: Set<Endpoint>,
-    /** Whose answers come before all bulk work. */
+    maxConcurrent: Int,
+    private val maxIdle: Int,
+    /** Targets whose calls do not count against the limit of concurrent calls. */
+    private val unlimited: Set<Endpoint>,
+    /** Target whose responses are processed before all bulk work. */
     private val urgent: Endpoint? = null,
 ) {
     private val urgentScope = scope + loop.urgent
-    private val permits = Semaphore(mostAtOnce)
+    private val permits = Semaphore(maxConcurrent)
 
-    /** Least lately used first, over all targets. */
+    /** Idle connections to all targets, the least recently used first. */
     private val idle = LinkedHashSet<Link>()
     private val idleAt = HashMap<Endpoint, ArrayDeque<Link>>()
 
@@ -33,11 +33,12 @@
         val connection: Connection,
     )
 
+    /** Makes the call of [effect] and tells how it ended; never throws but for cancellation. */
     suspend fun call(effect: Effect.HttpCall): CallOutcome {
-        if (effect.target in first) return callNow(effect)
-        // Hundreds of machines that hang must not take all sockets; a call that waited in vain was never sent.
+        if (effect.target in unlimited) return callNow(effect)
+        // Hundreds of machines that hang must not take all sockets. A call that waited in vain was never sent.
         if (!permits.tryAcquire()) {
-            withTimeoutOrNull((effect.timeoutSeconds * 1000).toLong()) { permits.acquire() }
+            withTimeoutOrNull((effect.timeoutSeconds * MILLIS_PER_SECOND).toLong()) { permits.acquire() }
                 ?: return CallOutcome.NotSent
         }
         return try {
@@ -48,9 +49,9 @@
     }
 
     private suspend fun callNow(effect: Effect.HttpCall): CallOutcome {
-        val timeoutMillis = (effect.timeoutSeconds * 1000).toLong()
+        val timeoutMillis = (effect.timeoutSeconds * MILLIS_PER_SECOND).toLong()
         val link =
-            kept(effect.target) ?: withTimeoutOrNull(minOf(timeoutMillis, CONNECT_MILLIS)) { connect(effect.target) }
+            takeIdle(effect.target) ?: withTimeoutOrNull(minOf(timeoutMillis, CONNECT_MILLIS)) { connect(effect.target) }
                 ?: return CallOutcome.NotSent
         val outcome =
             try {
@@ -59,20 +60,21 @@
                 link.connection.close()
                 throw e
             } catch (_: Exception) {
+                // Ktor's parser throws exceptions of several types on malformed input; like a reset, it leaves the outcome unknown.
                 null
             }
         if (outcome == null) link.connection.close()
         return outcome ?: CallOutcome.Unknown
     }
 
-    private fun kept(target: Endpoint): Link? {
+    private fun takeIdle(target: Endpoint): Link? {
         val links = idleAt[target] ?: return null
         while (true) {
             val link = links.removeLastOrNull()
             if (links.isEmpty()) idleAt.remove(target)
             if (link == null) return null
             idle.remove(link)
-            if (!link.connection.closed) return link
+            if (!link.connection.isClosed) return link
             link.connection.close()
         }
     }
@@ -83,6 +85,7 @@
         } catch (e: CancellationException) {
             throw e
         } catch (_: Exception) {
+            // An address that cannot be resolved is no IOException, and worker addresses come from outside.
             null
         }
 
@@ -102,15 +105,15 @@
                 if (body != null) append("Content-Type: application/json\r\nContent-Length: ").append(body.size).append("\r\n")
                 append("\r\n")
             }.encodeToByteArray()
-        if (tooLate(effect)) {
-            // The call waited for a place or a connection, or the process stood still: whoever decided on it may not do so any more.
+        if (isPastDeadline(effect)) {
+            // The call waited for a permit or a connection, or the process was paused: the decision behind it may no longer stand.
             keep(link)
             return CallOutcome.NotSent
         }
         link.connection.write(if (body == null) head else head + body)
         val response = parseResponse(link.connection.input) ?: return null
         try {
-            val text = readBody(response.headers, link.connection.input, MOST_RESPONSE) ?: return null
+            val text = readBody(response.headers, link.connection.input, MAX_RESPONSE_BYTES) ?: return null
             if (response.headers["Connection"]?.contains("close", ignoreCase = true) == true) {
                 link.connection.close()
             } else {
@@ -122,12 +125,12 @@
         }
     }
 
-    private fun tooLate(effect: Effect.HttpCall) = effect.sendDeadline < System.nanoTime() / NANOS_PER_SECOND
+    private fun isPastDeadline(effect: Effect.HttpCall) = effect.sendDeadline < System.nanoTime() / NANOS_PER_SECOND
 
     private fun keep(link: Link) {
         idle.add(link)
         idleAt.getOrPut(link.target) { ArrayDeque() }.addLast(link)
-        if (idle.size > mostKept) drop(idle.first())
+        if (idle.size > maxIdle) drop(idle.first())
     }
 
     private fun drop(link: Link) {
@@ -140,8 +143,9 @@
     }
 
     private companion object {
+        const val MILLIS_PER_SECOND = 1000
         const val CONNECT_MILLIS = 1_000L
         const val NANOS_PER_SECOND = 1e9
-        const val MOST_RESPONSE = 8 * 1024 * 1024
+        const val MAX_RESPONSE_BYTES = 8 * 1024 * 1024
     }
 }
--- a/src/main/kotlin/burlridge/net/RequestHead.kt
+++ b/src/main/kotlin/burlridge/net/RequestHead.kt
@@ -1,8 +1,8 @@
 package burlridge.net
 
 /**
- * The head of a request that Ktor's parser has read. Workers and health checks all send the same one again and again, but for the
- * length of the body: such a request need not be parsed anew, which was a quarter of a leader's time.
+ * The head of a request that Ktor's parser has read. Workers and health checks send the same head again and again, but for the length of
+ * the body; such a request can be compared byte for byte instead of being parsed.
  */
 internal class RequestHead private constructor(
     private val head: ByteArray,
@@ -18,7 +18,11 @@
         if (lengthAt == head.size) return if (bytes.size == head.size) bytes.size else -1
         var end = lengthAt
         var length = 0
-        while (end < bytes.size && end < lengthAt + MOST_DIGITS && bytes[end] in ZERO..NINE) length = length * TEN + (bytes[end++] - ZERO)
+        while (end < bytes.size && end < lengthAt + MAX_LENGTH_DIGITS &&
+            bytes[end] in ZERO..NINE
+        ) {
+            length = length * DECIMAL + (bytes[end++] - ZERO)
+        }
         val rest = head.size - lengthEnd
         val bodyAt = end + rest
         return if (end > lengthAt && bodyAt + length == bytes.size && matches(bytes, end, lengthEnd, rest)) bodyAt else -1
@@ -32,14 +36,14 @@
     ): Boolean = from + size <= bytes.size && java.util.Arrays.equals(bytes, from, from + size, head, headFrom, headFrom + size)
 
     internal companion object {
-        /** A body of up to 99,999 bytes, more than is ever taken. */
-        private const val MOST_DIGITS = 5
-        private const val TEN = 10
+        /** A body of up to 99,999 bytes, more than is ever accepted. */
+        private const val MAX_LENGTH_DIGITS = 5
+        private const val DECIMAL = 10
         private const val ZERO = '0'.code.toByte()
         private const val NINE = '9'.code.toByte()
         private const val NAME = "\r\ncontent-length:"
 
-        /** Of a request that came whole in [bytes] and was read as [method] and [uri]; null where its form is not plain. */
+        /** The head of a request that came whole as [bytes] and was parsed as [method] and [uri]; null if its form is unusual. */
         fun of(
             bytes: ByteArray,
             method: String,
--- a/src/main/kotlin/burlridge/peer/PeerTransport.kt
+++ b/src/main/kotlin/burlridge/peer/PeerTransport.kt
@@ -3,6 +3,7 @@
 import burlridge.core.Effect
 import burlridge.message.PeerMessage
 import burlridge.net.Connection
+import burlridge.net.ConnectionListener
 import burlridge.net.EventLoop
 import burlridge.settings.Endpoint
 import burlridge.settings.Settings
@@ -51,12 +52,12 @@
         settings.others.forEach { peer ->
             scope.launch { keepConnected(scope, peer.endpoint, queues.getValue(peer.member)) }
         }
-        Connection.listen(loop, scope, settings.peerBind, BACKLOG, { true }) { FrameReader() }
+        ConnectionListener.listen(loop, scope, settings.peerBind, BACKLOG, { true }) { FrameReader() }
     }
 
     /** Reads the frames of one accepted connection. */
     private inner class FrameReader : Connection.Handler {
-        override fun takeWhole(
+        override fun tryHandle(
             connection: Connection,
             bytes: ByteArray,
         ): Boolean = false
@@ -71,7 +72,7 @@
             }
         }
 
-        override fun ended(connection: Connection) = Unit
+        override fun onClosed(connection: Connection) = Unit
     }
 
     /** Connects to one member, sends its queue, and connects again whenever that ends. */
@@ -103,7 +104,7 @@
     ) {
         val connection = withTimeout(CONNECT_MILLIS) { Connection.connect(loop, scope, target) }
         try {
-            while (!connection.closed) {
+            while (!connection.isClosed) {
                 val frames = nextFrames(queue)
                 if (frames.size > 0) withTimeout(WRITE_MILLIS) { connection.write(frames.readByteArray()) }
             }
--- a/src/test/kotlin/burlridge/loopback/LoopbackCluster.kt
+++ b/src/test/kotlin/burlridge/loopback/LoopbackCluster.kt
@@ -156,7 +156,7 @@
         lateinit var server: HttpServer
         server =
             HttpServer(loop, ConnectionBudget(CONNECTIONS), IDLE_SECONDS) { request ->
-                handle(request) { status, body -> server.answer(Effect.Respond(request.id, status, body, null)) }
+                handle(request) { status, body -> server.respond(Effect.Respond(request.id, status, body, null)) }
             }
         server.serve(at, scope)
     }
--- a/src/test/kotlin/burlridge/net/ClientConnectionsTest.kt
+++ b/src/test/kotlin/burlridge/net/ClientConnectionsTest.kt
@@ -28,22 +28,22 @@
 
     @Test
     fun `at the limit the one longest quiet goes, and nobody who waits for an answer or has just come`() {
-        val clients = ClientConnections<String>(most = 4, crowded = 2, reclaimAfterSeconds = 9.0)
+        val clients = ClientConnections<String>(maxOpen = 4, crowdedAbove = 2, reclaimAfterSeconds = 9.0)
         listOf("dead", "worker", "probe").forEach {
-            clients.opened(it, 0.0)
-            clients.requested(it)
+            clients.onOpened(it, 0.0)
+            clients.onRequest(it)
         }
-        clients.answered("dead", 1.0)
-        clients.answered("worker", 7.0)
-        clients.opened("new", 8.0)
+        clients.onResponse("dead", 1.0)
+        clients.onResponse("worker", 7.0)
+        clients.onOpened("new", 8.0)
         assertTrue(clients.isFull)
         assertNull(clients.reclaimable(9.5))
         assertEquals("dead", clients.reclaimable(10.5))
-        clients.closed("dead")
+        clients.onClosed("dead")
         // The worker is due any moment, the probe waits for its answer.
         assertNull(clients.reclaimable(15.5))
         assertEquals("worker", clients.reclaimable(16.5))
-        clients.requested("worker")
+        clients.onRequest("worker")
         assertEquals("new", clients.reclaimable(17.5))
     }
 
@@ -59,7 +59,7 @@
         server =
             HttpServer(loop, budget, 9.0) {
                 most = maxOf(most, server.open)
-                server.answer(Effect.Respond(it.id, if (it.path == "/agent/beat") 200 else 404, "{}", null))
+                server.respond(Effect.Respond(it.id, if (it.path == "/agent/beat") 200 else 404, "{}", null))
             }
         server.serve(at, scope)
         val workers = List(CROWD) { HttpClient(loop, scope, 1, 1, emptySet()) }
--- a/src/test/kotlin/burlridge/net/ConnectionTest.kt
+++ b/src/test/kotlin/burlridge/net/ConnectionTest.kt
@@ -36,7 +36,7 @@
     /** A server that tells each request back. */
     private fun server(): Int =
         server { server, request ->
-            server.answer(Effect.Respond(request.id, 200, "${request.method} ${request.path} ${request.body}", null))
+            server.respond(Effect.Respond(request.id, 200, "${request.method} ${request.path} ${request.body}", null))
         }
 
     @AfterEach
@@ -141,8 +141,8 @@
         val port =
             server { server, request ->
                 if (request.body == "slow") slow = request.id
-                if (request.path == "/release") server.answer(Effect.Respond(slow, 200, "slow", null))
-                if (request.body == "slow") handled.countDown() else server.answer(Effect.Respond(request.id, 200, request.body, null))
+                if (request.path == "/release") server.respond(Effect.Respond(slow, 200, "slow", null))
+                if (request.body == "slow") handled.countDown() else server.respond(Effect.Respond(request.id, 200, request.body, null))
             }
         teach(port)
         Socket(InetAddress.getLoopbackAddress(), port).use { socket ->
