--- /dev/null
+++ b/src/main/kotlin/burlridge/api/GangAdmission.kt
@@ -0,0 +1,64 @@
+package burlridge.api
+
+import burlridge.allocation.JobRegistry
+import burlridge.core.HttpResponse
+import burlridge.core.HttpStatus
+import burlridge.core.StepContext
+import burlridge.leadership.GangFeatureGate
+import burlridge.leadership.GangSupport
+
+/**
+ * Whether gangs can be submitted. They are accepted once every member supports them, and never forwarded to one that may not. Until then a
+ * gang is refused at once; for one that has been accepted its state is given all the same.
+ */
+internal class GangAdmission(
+    private val context: StepContext,
+    private val registry: JobRegistry,
+    private val gangGate: GangFeatureGate,
+    private val lookup: JobLookup,
+    private val responses: JobResponses,
+) {
+    private val retryAfterSeconds = Math.ceil(context.settings.workers.reportSeconds).toInt()
+
+    /** Calls [onAdmitted] where the gang may be submitted, and responds where not. */
+    fun check(
+        body: SubmissionBody,
+        respond: (HttpResponse) -> Unit,
+        onAdmitted: () -> Unit,
+    ) {
+        val id = body.jobId
+        when {
+            context.settings.workers.gang == null -> refuse(id, HttpResponse.error(HttpStatus.BAD_REQUEST, NO_GANGS), respond)
+            gangGate.allMembersSupportGangs || isKnown(id) -> onAdmitted()
+            else -> gangGate.check { onSupport(it, id, respond, onAdmitted) }
+        }
+    }
+
+    private fun isKnown(id: String?): Boolean = id != null && (registry.endOf(id) != null || registry.jobs.containsKey(id))
+
+    private fun onSupport(
+        support: GangSupport,
+        id: String?,
+        respond: (HttpResponse) -> Unit,
+        onAdmitted: () -> Unit,
+    ) {
+        when (support) {
+            GangSupport.ALL_MEMBERS -> onAdmitted()
+            GangSupport.NOT_ALL_MEMBERS -> refuse(id, HttpResponse.unavailable(NOT_ALL_MEMBERS, retryAfterSeconds), respond)
+            GangSupport.UNKNOWN -> respond(responses.storeUnavailable())
+        }
+    }
+
+    private fun refuse(
+        id: String?,
+        refusal: HttpResponse,
+        respond: (HttpResponse) -> Unit,
+    ) {
+        if (id == null) respond(refusal) else lookup.refuseUnlessStored(id, null, refusal, respond)
+    }
+
+    private companion object {
+        const val NO_GANGS = "this deployment serves no gangs: params.workers sets no gang times"
+        const val NOT_ALL_MEMBERS = "not every member knows gangs yet"
+    }
+}
--- a/src/main/kotlin/burlridge/api/JobValidation.kt
+++ b/src/main/kotlin/burlridge/api/JobValidation.kt
@@ -9,44 +9,67 @@
 import burlridge.store.StoreClient
 import com.fasterxml.jackson.databind.JsonNode
 
-/** Whether a job could ever run; the same for every repeat of its submission. */
+/** Whether a job could ever run. */
+internal sealed interface JobVerdict {
+    data object Runnable : JobVerdict
+
+    /** No state of the cluster would let it run; [reason] is for its owner. */
+    data class NeverRuns(
+        val reason: String,
+    ) : JobVerdict
+}
+
+/** Checks whether a job could ever run; the verdict is the same for every repetition of its submission. */
 internal class JobValidation(
     private val context: StepContext,
     private val store: StoreClient,
 ) {
-    /** The reason why [spec] can never run, or null. */
-    fun neverRuns(
+    /** Checks [spec] against its team's quota, the machine types of [catalog] and the limits of the key-value store. */
+    fun validate(
+        spec: JobSpec,
+        catalog: Catalog,
+    ): JobVerdict {
+        val reason = reasonAgainst(spec, catalog)
+        return if (reason == null) JobVerdict.Runnable else JobVerdict.NeverRuns(reason)
+    }
+
+    private fun reasonAgainst(
         spec: JobSpec,
-        types: Catalog,
+        catalog: Catalog,
     ): String? {
         val team = context.settings.teams[spec.team] ?: return "unknown team ${spec.team}"
-        if (team.cpusMax > 0 && spec.size.cpus > team.cpusMax) return "a task needs more CPUs than the limit of ${team.name}"
-        if (team.gpusMax > 0 && spec.size.gpus > team.gpusMax) return "a task needs more GPUs than the limit of ${team.name}"
-        if (types.allowed(spec).isEmpty()) return "a task fits no allowed machine type"
-        if (!store.fitsValueLimit(liveRow(spec))) return "the description is longer than the state service takes"
-        return if (spec.gang) neverGathers(spec, team, types) else null
+        return when {
+            team.cpusMax > 0 && spec.size.cpus > team.cpusMax -> "a task needs more CPUs than the limit of ${team.name}"
+            team.gpusMax > 0 && spec.size.gpus > team.gpusMax -> "a task needs more GPUs than the limit of ${team.name}"
+            catalog.allowed(spec).isEmpty() -> "a task fits no allowed machine type"
+            !store.fitsValueLimit(activeRow(spec)) -> "the description is longer than the state service takes"
+            spec.gang -> reasonAgainstGang(spec, team, catalog)
+            else -> null
+        }
     }
 
-    private fun neverGathers(
+    private fun reasonAgainstGang(
         spec: JobSpec,
         team: Team,
-        types: Catalog,
+        catalog: Catalog,
     ): String? {
-        val all = spec.size * spec.tasks
-        val zones =
-            types
-                .allowed(spec)
-                .flatMap { it.zones }
-                .distinct()
-                .size
+        val total = spec.size * spec.tasks
         return when {
-            team.cpusMax > 0 && all.cpus > team.cpusMax -> "all tasks together need more CPUs than the limit of ${team.name}"
-            team.gpusMax > 0 && all.gpus > team.gpusMax -> "all tasks together need more GPUs than the limit of ${team.name}"
-            spec.spread && spec.tasks > 1 && (spec.oneZone || zones < 2) -> "its tasks can be in one zone only, and must be spread"
+            team.cpusMax > 0 && total.cpus > team.cpusMax -> "all tasks together need more CPUs than the limit of ${team.name}"
+            team.gpusMax > 0 && total.gpus > team.gpusMax -> "all tasks together need more GPUs than the limit of ${team.name}"
+            spec.spread && spec.tasks > 1 && !canSpread(spec, catalog) -> "its tasks can be in one zone only, and must be spread"
             else -> null
         }
     }
 
+    private fun canSpread(
+        spec: JobSpec,
+        catalog: Catalog,
+    ): Boolean {
+        val zones = catalog.allowed(spec).flatMapTo(HashSet()) { it.zones }
+        return !spec.oneZone && zones.size > 1
+    }
+
     /** The row of an accepted job. */
-    fun liveRow(spec: JobSpec): JsonNode = JobRowCodec.encodeActive(ActiveJobRow(spec, context.wallMillis))
+    fun activeRow(spec: JobSpec): JsonNode = JobRowCodec.encodeActive(ActiveJobRow(spec, context.wallMillis))
 }
--- /dev/null
+++ b/src/main/kotlin/burlridge/api/SubmissionBody.kt
@@ -0,0 +1,26 @@
+package burlridge.api
+
+import burlridge.job.InvalidJobException
+import burlridge.job.JobSpec
+import burlridge.json.Json
+
+/** The body of a submission, valid or not. */
+internal class SubmissionBody(
+    text: String,
+) {
+    private val json = Json.parseOrNull(text)
+
+    /** Whether it describes a gang. */
+    val isGang: Boolean get() = json?.path("shape")?.asText() == JobSpec.GANG
+
+    /** The job's id; null where there is no valid one. */
+    val jobId: String? get() =
+        json
+            ?.path("id")
+            ?.takeIf { it.isTextual }
+            ?.asText()
+            ?.takeIf(JobSpec::isId)
+
+    /** The job; throws [InvalidJobException] where the body does not describe one. */
+    fun parse(): JobSpec = JobSpec.parse(json)
+}
--- a/src/main/kotlin/burlridge/app/Controller.kt
+++ b/src/main/kotlin/burlridge/app/Controller.kt
@@ -59,7 +59,7 @@
     private val admin =
         AdminRequests(
             failover?.let { MemberRequests(context, it, peers) },
-            balance?.let { MachineRequests(context, leadership, it, peers) { jobApi.loaded } },
+            balance?.let { MachineRequests(context, leadership, it, peers) { jobApi.isLoaded } },
         )
     private val router = RequestRouter(settings.member, leadership, workers, relay, jobApi, admin, fleet, failover)
     private val peerMessages =
@@ -95,7 +95,7 @@
     val counters: Map<String, Long> get() = context.counters
 
     /** Whether this member leads, no other can have been elected, and it has read the rows. */
-    val isActiveLeader: Boolean get() = leadership.holdsLease && jobApi.loaded
+    val isActiveLeader: Boolean get() = leadership.holdsLease && jobApi.isLoaded
 
     /** Whether this member is draining; false also where a drain was refused for want of another member. */
     val isDraining: Boolean get() = failover?.isDraining ?: false
@@ -137,7 +137,7 @@
         gangGate.tick()
         failover?.tick()
         broadcastStatusIfDue()
-        if (leadership.isLeader && jobApi.loaded) tickAsLeader()
+        if (leadership.isLeader && jobApi.isLoaded) tickAsLeader()
     }
 
     private fun broadcastStatusIfDue() {
@@ -157,7 +157,7 @@
     }
 
     private fun place() {
-        if (!leadership.holdsLease || !jobApi.loaded || isQuiescing) return
+        if (!leadership.holdsLease || !jobApi.isLoaded || isQuiescing) return
         placementTimer.onRoundStarted()
         balance?.applyCordons()
         placement.schedule()
--- a/src/main/kotlin/burlridge/app/LeaderLifecycle.kt
+++ b/src/main/kotlin/burlridge/app/LeaderLifecycle.kt
@@ -41,7 +41,7 @@
     }
 
     private fun clear() {
-        jobApi.loaded = false
+        jobApi.isLoaded = false
         registry.clear()
         workers.clear()
         fleet.clear()
@@ -50,7 +50,7 @@
 
     private fun onStateLoaded(term: Long) {
         workers.loaded = true
-        jobApi.loaded = true
+        jobApi.isLoaded = true
         val machinesWithAllocations =
             registry.allocations.byMachine.keys
                 .toList()
--- a/src/main/kotlin/burlridge/app/PeerMessageHandler.kt
+++ b/src/main/kotlin/burlridge/app/PeerMessageHandler.kt
@@ -75,15 +75,15 @@
     }
 
     private fun onJobAccepted(job: String) {
-        jobApi.heardAccepted(job)
-        if (leadership.isLeader && jobApi.loaded && !registry.jobs.containsKey(job)) readAndAdmit(job)
+        jobApi.onAccepted(job)
+        if (leadership.isLeader && jobApi.isLoaded && !registry.jobs.containsKey(job)) readAndAdmit(job)
     }
 
     /** The message may be old and the job finished long ago, so its row is read before it counts. */
     private fun readAndAdmit(job: String) {
         val isStillLeading = leadership.whileLeading(leadership.term)
         store.get(ActiveJobRow.key(job), RequestPriority.USER) { read ->
-            if (isStillLeading() && jobApi.loaded && read is ReadResult.Found) {
+            if (isStillLeading() && jobApi.isLoaded && read is ReadResult.Found) {
                 registry.admit(read.value)
                 onJobAdmitted()
             }
--- a/src/main/kotlin/burlridge/app/RequestRouter.kt
+++ b/src/main/kotlin/burlridge/app/RequestRouter.kt
@@ -57,7 +57,7 @@
             }
 
             segments.size == JOB_SEGMENTS + 1 && segments.last() == ABORT -> {
-                ifMethod(method, POST, onResult) { jobApi.abort(segments[JOB_SEGMENT], isForwarded, onResult) }
+                ifMethod(method, POST, onResult) { jobApi.cancel(segments[JOB_SEGMENT], isForwarded, onResult) }
             }
 
             else -> {
