--- a/src/test/kotlin/burlridge/failover/FailoverInputTest.kt
+++ b/src/test/kotlin/burlridge/failover/FailoverInputTest.kt
@@ -19,8 +19,6 @@
 
 /** What outsiders, older and later versions and operators send wrongly. */
 internal class FailoverInputTest {
-    private val on = OperatorSettings(failover = FailoverSettings())
-
     private fun SimulatedCluster.ask(
         member: String,
         method: String,
@@ -63,7 +61,7 @@
 
     @Test
     fun `heartbeats that are copies, from the future or of strangers are refused, counted and logged once`() {
-        val cluster = SimulatedCluster(1, operator = on)
+        val cluster = SimulatedCluster(1, operator = withFailover)
         cluster.run(10.0)
         val status = FailoverStatus(incarnation = 1, sequence = 1)
 
@@ -86,7 +84,7 @@
     /** None of these may move the leadership, whatever the order: each names an attempt, a term or a member that is not the one. */
     @Test
     fun `steps of a handover that was never offered change nothing`() {
-        val cluster = SimulatedCluster(2, operator = on)
+        val cluster = SimulatedCluster(2, operator = withFailover)
         cluster.run(10.0)
         val leader = cluster.leader()!!
         val term = Json.parse(cluster.state.value("term").toString()).path("n").asLong()
@@ -118,7 +116,7 @@
 
     @Test
     fun `status and drain answer what they are asked and say why not`() {
-        val cluster = SimulatedCluster(3, operator = on)
+        val cluster = SimulatedCluster(3, operator = withFailover)
         cluster.run(10.0)
         val leader = cluster.leader()!!
         val (other, third) = cluster.members.filter { it != leader }
