--- a/src/main/kotlin/burlridge/leadership/GangFeatureGate.kt
+++ b/src/main/kotlin/burlridge/leadership/GangFeatureGate.kt
@@ -1,14 +1,12 @@
 package burlridge.leadership
 
 import burlridge.core.StepContext
-import burlridge.json.Json
 import burlridge.store.Change
 import burlridge.store.Condition
 import burlridge.store.ListResult
 import burlridge.store.RequestPriority
 import burlridge.store.StoreClient
 import burlridge.store.Transaction
-import com.fasterxml.jackson.databind.JsonNode
 
 /** Whether all members run a version that supports gangs. */
 internal enum class GangSupport {
@@ -19,19 +17,6 @@
     UNKNOWN,
 }
 
-/** The row that a member leaves for the version it runs. */
-internal data class MemberVersionRow(
-    val version: Int,
-) {
-    fun encode(): JsonNode = Json.obj { put("v", version) }
-
-    internal companion object {
-        const val PREFIX: String = "version/"
-
-        fun decode(value: JsonNode): MemberVersionRow = MemberVersionRow(value.path("v").asInt())
-    }
-}
-
 /**
  * A gang is accepted only once every member runs a version that supports gangs: an older leader could not read its row, and would stop its
  * tasks. Each member of such a version leaves a row, which lasts while the member is down, so that an outage of one member holds nothing
--- a/src/main/kotlin/burlridge/leadership/Leadership.kt
+++ b/src/main/kotlin/burlridge/leadership/Leadership.kt
@@ -20,7 +20,8 @@
     private val lease = LeaderLease(context, store) { stepDown(StepDownReason.LeaseExpired) }
     private val formerLeaders = FormerLeaders(context, lease.answerBoundSeconds)
     private val campaign = ElectionCampaign(context, store, this, listener, lease, formerLeaders, ::onWon)
-    private val transfer = LeadershipTransfer(context, store, this)
+    private val statuses = StatusExchange(context, store, this, listener)
+    private val transfer = LeadershipTransfer(context, store)
 
     /** The term that this member leads, or led last; 0 before the first. */
     var term: Long = 0
@@ -43,7 +44,6 @@
     /** The highest term that this member knows of. */
     var knownTerm: Long = 0
         private set
-    private var lastPeerStatusAt = 0.0
 
     /** Stalls of this member noticed while it led, in this process. */
     val stalls: Long get() = lease.stalls
@@ -69,7 +69,7 @@
      */
     val mayAnswerWorkers: Boolean
         get() = isLeader && context.now < lease.answersUntil && (holdsLease || settings.others.isEmpty() || !isIsolated)
-    private val isIsolated: Boolean get() = context.now > lastPeerStatusAt + lease.ttlSeconds
+    private val isIsolated: Boolean get() = context.now > statuses.lastReceivedAt + lease.ttlSeconds
 
     /** No other member can be answering workers by an earlier term after this time of the steady clock. */
     val othersAnswerUntil: Double get() = formerLeaders.answerUntil
@@ -120,7 +120,7 @@
     ) {
         val transaction =
             beginTermTransaction(LeadershipRevisions(fence, fence), term + 1, successor, leaseId, formerLeaders.afterOwnTerm())
-        transfer.begin(transaction, lease.ttlSeconds) { outcome ->
+        transfer.begin(transaction, fence, lease.ttlSeconds) { outcome ->
             when (outcome) {
                 TransferOutcome.Done -> onHandedOver(successor, term + 1)
                 is TransferOutcome.Deposed -> stepDown(outcome.reason)
@@ -188,35 +188,12 @@
     }
 
     fun onPeerStatus(status: PeerMessage.Status) {
-        lastPeerStatusAt = context.now
-        // A member that follows a later leader reports it as well: that leader itself may be out of reach.
-        if (status.isLeader) {
-            observeLeader(status.from, status.term)
-        } else if (status.leader.isNotEmpty()) {
-            onLaterTermReported(status)
-        }
+        statuses.onReceived(status)
         if (isLeader && !status.mayAnswerWorkers && status.term >= term) formerLeaders.onConfirmed(status.from)
     }
 
-    private fun onLaterTermReported(status: PeerMessage.Status) {
-        if (isLeader && status.term > term && status.leader != settings.member) observeLeader(status.leader, status.term)
-    }
-
     /** Sends this member's status to all others. */
-    fun broadcastStatus(zonesWithoutHeartbeats: List<String> = emptyList()) {
-        val message =
-            PeerMessage.Status(
-                settings.member,
-                knownTerm,
-                knownLeader.orEmpty(),
-                isLeader,
-                mayAnswerWorkers,
-                store.isServing,
-                zonesWithoutHeartbeats,
-                listener.failoverStatus(),
-            )
-        settings.others.forEach { context.send(it.member, message) }
-    }
+    fun broadcastStatus(zonesWithoutHeartbeats: List<String> = emptyList()) = statuses.broadcast(zonesWithoutHeartbeats)
 
     internal companion object {
         /** The key of the term row, on which every write of a leader is conditional. */
--- a/src/main/kotlin/burlridge/leadership/LeadershipTransfer.kt
+++ b/src/main/kotlin/burlridge/leadership/LeadershipTransfer.kt
@@ -30,7 +30,6 @@
 internal class LeadershipTransfer(
     private val context: StepContext,
     private val store: StoreClient,
-    private val leadership: Leadership,
 ) {
     private class Attempt(
         val fence: Long,
@@ -50,14 +49,15 @@
     /** True from the moment the first copy leaves until the outcome is definite. */
     val isUnderWay: Boolean get() = current != null
 
-    /** Sends [transaction], which is conditional on the leader's current fence; [leaseSeconds] is the time to live of the leader's lease. */
+    /** Sends [transaction], which is conditional on the leader's [fence]; [leaseSeconds] is the time to live of the leader's lease. */
     fun begin(
         transaction: Transaction,
+        fence: Long,
         leaseSeconds: Double,
         onResult: (TransferOutcome) -> Unit,
     ) {
         val giveUpAt = context.now + leaseSeconds / GIVE_UP_FRACTION
-        val attempt = Attempt(leadership.fence, transaction, leaseSeconds, giveUpAt, onResult)
+        val attempt = Attempt(fence, transaction, leaseSeconds, giveUpAt, onResult)
         current = attempt
         send(attempt)
     }
--- /dev/null
+++ b/src/main/kotlin/burlridge/leadership/MemberVersionRow.kt
@@ -0,0 +1,17 @@
+package burlridge.leadership
+
+import burlridge.json.Json
+import com.fasterxml.jackson.databind.JsonNode
+
+/** The row that a member leaves for the version it runs. */
+internal data class MemberVersionRow(
+    val version: Int,
+) {
+    fun encode(): JsonNode = Json.obj { put("v", version) }
+
+    internal companion object {
+        const val PREFIX: String = "version/"
+
+        fun decode(value: JsonNode): MemberVersionRow = MemberVersionRow(value.path("v").asInt())
+    }
+}
--- /dev/null
+++ b/src/main/kotlin/burlridge/leadership/TermRow.kt
@@ -0,0 +1,38 @@
+package burlridge.leadership
+
+import burlridge.json.Json
+import com.fasterxml.jackson.databind.JsonNode
+
+/**
+ * The row that counts the terms. It outlives every leader; its modification revision is the fencing token of the term that it names.
+ */
+internal data class TermRow(
+    val term: Long,
+    /** The member that leads [term]; null where the row does not say. */
+    val leader: String?,
+    /** Who led before [term], with the wall-clock time in milliseconds at which each one's term ended; null where the row does not say. */
+    val formerLeaders: Map<String, Long>?,
+) {
+    fun encode(): JsonNode =
+        Json.obj {
+            put("n", term)
+            leader?.let { put("by", it) }
+            formerLeaders?.let { leaders ->
+                val field = putObject("led")
+                leaders.forEach { (member, endedMillis) -> field.put(member, endedMillis) }
+            }
+        }
+
+    internal companion object {
+        const val KEY: String = "term"
+
+        fun decode(value: JsonNode): TermRow {
+            val formerLeaders = value.path("led").takeIf { it.isObject }
+            return TermRow(
+                term = value.path("n").asLong(),
+                leader = value.path("by").takeIf { it.isTextual }?.asText(),
+                formerLeaders = formerLeaders?.properties()?.associate { (member, endedMillis) -> member to endedMillis.asLong() },
+            )
+        }
+    }
+}
