--- a/src/main/kotlin/burlridge/allocation/Job.kt
+++ b/src/main/kotlin/burlridge/allocation/Job.kt
@@ -46,8 +46,7 @@
     /** The allocations of a broken gang attempt are being released; guards against doing so recursively. */
     var isAbortingAttempt: Boolean = false
 
-    /** Called with the final state once the job has ended. */
-    val endListeners: ArrayList<(JobState) -> Unit> = ArrayList()
+    private val endListeners = ArrayList<(JobState) -> Unit>()
 
     /** How many attempts of its tasks have failed. */
     var failures: Int = 0
@@ -98,6 +97,17 @@
     /** The time since its submission at [wallMillis]; it spans changes of leader. */
     fun ageSeconds(wallMillis: Long): Double = (wallMillis - submittedMillis) / MILLIS_PER_SECOND
 
+    /** Calls [listener] with the final state, once, when the job has ended. */
+    fun onEnd(listener: (JobState) -> Unit) {
+        endListeners += listener
+    }
+
+    /** Calls the listeners with [finalState], which is stored. */
+    fun notifyEnd(finalState: JobState) {
+        endListeners.forEach { it(finalState) }
+        endListeners.clear()
+    }
+
     /** Remembers the attempt number of [allocation], so that it is not used again. */
     fun recordAttempt(allocation: Allocation) {
         lastAttemptByTask.put(allocation.task, maxOf(allocation.attempt, lastAttemptByTask.get(allocation.task)))
--- a/src/main/kotlin/burlridge/allocation/JobRegistry.kt
+++ b/src/main/kotlin/burlridge/allocation/JobRegistry.kt
@@ -15,8 +15,9 @@
     private val leadership: Leadership,
 ) {
     /** Active jobs by id, in the order in which they were admitted. */
-    val jobs: LinkedHashMap<String, Job> = LinkedHashMap()
-    val allocations: AllocationTable = AllocationTable(context, store, leadership, jobs)
+    val jobs: Map<String, Job> get() = activeJobs
+    private val activeJobs = LinkedHashMap<String, Job>()
+    val allocations: AllocationTable = AllocationTable(context, store, leadership, activeJobs)
     private val progress = ProgressWriter(context, store, leadership)
     private val finisher = JobFinisher(context, store, leadership, ::onFinished)
 
@@ -37,7 +38,7 @@
 
     /** Forgets all that only a leader may know. Ended jobs are remembered. */
     fun clear() {
-        jobs.clear()
+        activeJobs.clear()
         allocations.clear()
         progress.clear()
     }
@@ -72,7 +73,7 @@
             "estimate_seconds" to spec.estimateSeconds,
             "deadline_seconds" to spec.deadlineSeconds,
         )
-        return Job(spec, row.modRevision, active.submittedMillis).also { jobs[id] = it }
+        return Job(spec, row.modRevision, active.submittedMillis).also { activeJobs[id] = it }
     }
 
     /** Adds a progress row that a new leader finds. */
@@ -106,7 +107,7 @@
         val id = job.spec.id
         job.endState = row.jobState
         finishedJobs[id] = row
-        jobs.remove(id)
+        activeJobs.remove(id)
         progress.orphan(job)
         // Allocations whose start command has not been sent are not started any more.
         job.allocations.values
@@ -114,8 +115,7 @@
             .forEach { allocations.release(it, isLost = true) }
         val ageSeconds = job.ageSeconds(context.wallMillis).toLong()
         context.info("job ended", "job" to id, "state" to row.jobState.wire, "age_seconds" to ageSeconds)
-        job.endListeners.forEach { it(row.jobState) }
-        job.endListeners.clear()
+        job.notifyEnd(row.jobState)
     }
 
     /** Does once a second what can wait: persists progress and cleans up rows. */
--- a/src/main/kotlin/burlridge/api/JobCancellation.kt
+++ b/src/main/kotlin/burlridge/api/JobCancellation.kt
@@ -99,7 +99,7 @@
             hasResponded = true
             respond(response())
         }
-        job.endListeners += { jobState -> respondOnce { responses.state(job.spec.id, jobState) } }
+        job.onEnd { jobState -> respondOnce { responses.state(job.spec.id, jobState) } }
         context.schedule(END_WAIT_SECONDS) { respondOnce { responses.outcomeUnknown() } }
         registry.finish(job, JobState.CANCELLED)
         onCancelled(job)
