--- a/src/main/kotlin/burlridge/app/FailoverReportFormatter.kt
+++ b/src/main/kotlin/burlridge/app/FailoverReportFormatter.kt
@@ -4,8 +4,8 @@
 import java.time.Instant
 
 /**
- * A controller's failover report as lines of text for `burlridge status`. It reads the JSON leniently instead of decoding it to a report: the
- * controller may be of another version than the command line, and a field that is missing is shown as empty.
+ * A controller's failover report as lines of text for `burlridge status`. It reads the JSON leniently instead of decoding it to a report:
+ * the controller may be of another version than the command line, and a field that is missing is shown as empty.
  */
 internal object FailoverReportFormatter {
     fun describe(report: JsonNode): String =
--- a/src/main/kotlin/burlridge/failover/ClusterView.kt
+++ b/src/main/kotlin/burlridge/failover/ClusterView.kt
@@ -3,7 +3,6 @@
 import burlridge.core.StepContext
 import burlridge.leadership.Leadership
 import burlridge.message.FailoverStatus
-import burlridge.message.PeerMessage
 import burlridge.settings.FailoverSettings
 
 /**
--- a/src/main/kotlin/burlridge/failover/Failover.kt
+++ b/src/main/kotlin/burlridge/failover/Failover.kt
@@ -181,30 +181,7 @@
     // --- operators
 
     /** This member's view, for operators. */
-    fun report(): FailoverReport =
-        FailoverReport(
-            member = member,
-            role = role(),
-            leader = leadership.knownLeader,
-            term = leadership.knownTerm,
-            isDraining = isDraining,
-            isDrained = isDrained,
-            isRecoveringFromPause = cluster.detector.isRecoveringFromPause(context.now),
-            members = cluster.reports(),
-            replica = replica.report(),
-            outgoingHandover = handovers.outgoingDescription,
-            incomingHandover = handovers.incomingDescription,
-            falseSuspicions = cluster.detector.falseSuspicions,
-            ownPauses = cluster.detector.ownPauses,
-            leaderChanges = history.toList(),
-        )
-
-    private fun role(): MemberRole =
-        when {
-            leadership.isLeader -> MemberRole.LEADER
-            cluster.isStandby(isDraining) -> MemberRole.STANDBY
-            else -> MemberRole.FOLLOWER
-        }
+    fun report(): FailoverReport = FailoverReportBuilder(context, leadership, cluster, replica, handovers, history).build()
 
     private companion object {
         const val BYTES_PER_MB = 1024 * 1024
--- a/src/main/kotlin/burlridge/failover/IncomingHandover.kt
+++ b/src/main/kotlin/burlridge/failover/IncomingHandover.kt
@@ -31,23 +31,6 @@
         fun unfitness(): DeclineReason?
     }
 
-    /** An offer that this member takes up. */
-    private class AcceptedOffer(
-        val attempt: Long,
-        val from: String,
-        val term: Long,
-        val deadline: Double,
-    ) {
-        /** Null until it is granted. */
-        var lease: Long? = null
-
-        /** When the call was sent that last renewed [lease]. */
-        var renewedAt = 0.0
-        var nextRenewAt = 0.0
-        var nextCheckAt = 0.0
-        var isReading = false
-    }
-
     private var current: AcceptedOffer? = null
 
     /** The state in words for an operator. */
--- a/src/main/kotlin/burlridge/message/PeerMessage.kt
+++ b/src/main/kotlin/burlridge/message/PeerMessage.kt
@@ -63,8 +63,8 @@
     ) : PeerMessage
 
     /**
-     * Sent to all members by one that has just written the row of an accepted job, so that the leader need not wait for its watch. A hint: it
-     * may be lost, and the receiver reads the row.
+     * Sent to all members by one that has just written the row of an accepted job, so that the leader need not wait for its watch. A hint:
+     * it may be lost, and the receiver reads the row.
      */
     @Serializable
     @SerialName("j")
