--- a/src/main/kotlin/burlridge/app/AdminCommand.kt
+++ b/src/main/kotlin/burlridge/app/AdminCommand.kt
@@ -1,6 +1,7 @@
 package burlridge.app
 
 import burlridge.balance.MachineRequests
+import burlridge.core.HttpStatus
 import burlridge.failover.MemberRequests
 import burlridge.json.Json
 import burlridge.settings.Settings
@@ -12,44 +13,47 @@
 import java.net.http.HttpResponse
 import java.time.Duration
 
-/** What an operator asks of a controller that runs, from the command line of its machine. */
+/** The operators' commands against a running controller, over its HTTP address. */
 internal class AdminCommand(
     settings: Settings,
 ) {
-    /** A controller that cannot be asked, or does not do what it is asked; the message is one line for the operator. */
+    /** The controller cannot be reached or refuses; the message is one line for the operator. */
     class Failure(
         message: String,
-    ) : Exception(message)
+        cause: Throwable? = null,
+    ) : Exception(message, cause)
 
     private val address = settings.serveOn
     private val client =
         HttpClient
             .newBuilder()
             .version(HttpClient.Version.HTTP_1_1)
-            .connectTimeout(PATIENCE)
+            .connectTimeout(TIMEOUT)
             .build()
 
-    /** What each part that is switched on says. */
+    /** State of failover and balance, as far as they are switched on. Throws [Failure]. */
     fun status(): String {
-        val members = askIfOn("GET", MemberRequests.STATUS)?.let(FailoverReportFormatter::describe)
-        val machines = askIfOn("GET", MachineRequests.STATUS)?.let(BalanceReportFormatter::describe)
+        val members = requestIfEnabled("GET", MemberRequests.STATUS)?.let(FailoverReportFormatter::describe)
+        val machines = requestIfEnabled("GET", MachineRequests.STATUS)?.let(BalanceReportFormatter::describe)
         val parts = listOfNotNull(members, machines)
         if (parts.isEmpty()) throw Failure("the controller at $address has neither failover nor balance switched on")
         return parts.joinToString("\n")
     }
 
-    /** Has the machines of [target] drained; done once that is durable. */
+    /** Begins a drain of [target] and returns once that is durable. Throws [Failure]. */
     fun drainMachines(
         target: MachineTarget,
         forced: Boolean,
     ): String = change(MachineRequests.DRAIN, target, forced)
 
+    /** Cancels the drain of [target] and returns once that is durable. Throws [Failure]. */
     fun undrainMachines(target: MachineTarget): String = change(MachineRequests.UNDRAIN, target, forced = false)
 
-    /** Why the leader decided what it did about a task or machine. */
+    /** The leader's decisions about the task or machine [subject]. Throws [Failure]. */
     fun explain(subject: String): String {
         val answer =
-            askIfOn("GET", MachineRequests.EXPLAIN + subject) ?: throw Failure("the controller at $address has no balance switched on")
+            requestIfEnabled("GET", MachineRequests.EXPLAIN + subject)
+                ?: throw Failure("the controller at $address has no balance switched on")
         return BalanceReportFormatter.explain(answer)
     }
 
@@ -64,36 +68,37 @@
                 put("force", forced)
                 put(MachineRequests.ASKED, System.currentTimeMillis())
             }
-        val answer = askIfOn("POST", path, Json.write(request)) ?: throw Failure("the controller at $address has no balance switched on")
+        val answer =
+            requestIfEnabled("POST", path, Json.write(request)) ?: throw Failure("the controller at $address has no balance switched on")
         return BalanceReportFormatter.drain(answer)
     }
 
-    /** Takes [member], or the controller itself, out of service and waits until it is. */
+    /** Drains [member], or the controller itself if null, and waits until it is drained. Throws [Failure]. */
     fun drain(
         member: String?,
         waitSeconds: Long,
     ): String {
-        val answer = ask("POST", MemberRequests.DRAIN + member?.let { "/$it" }.orEmpty())
+        val answer = request("POST", MemberRequests.DRAIN + member?.let { "/$it" }.orEmpty())
         val name = answer.path("member").asText()
         // Only the controller at this address can be watched from here.
         if (member != null && member != selfName()) return "$name is draining"
         val until = System.nanoTime() + Duration.ofSeconds(waitSeconds).toNanos()
-        while (!ask("GET", MemberRequests.STATUS).path("drained").asBoolean()) {
+        while (!request("GET", MemberRequests.STATUS).path("drained").asBoolean()) {
             if (System.nanoTime() > until) throw Failure("$name is draining, and not drained after $waitSeconds s")
             Thread.sleep(POLL_MILLIS)
         }
         return "$name is drained: it can be stopped"
     }
 
-    private fun selfName(): String = ask("GET", MemberRequests.STATUS).path("member").asText()
+    private fun selfName(): String = request("GET", MemberRequests.STATUS).path("member").asText()
 
-    private fun ask(
+    private fun request(
         method: String,
         path: String,
-    ): JsonNode = askIfOn(method, path) ?: throw Failure("the controller at $address has no failover switched on")
+    ): JsonNode = requestIfEnabled(method, path) ?: throw Failure("the controller at $address has no failover switched on")
 
-    /** Null where the controller does not know [path]. */
-    private fun askIfOn(
+    /** Null if the controller does not know [path] because the feature is off. */
+    private fun requestIfEnabled(
         method: String,
         path: String,
         content: String? = null,
@@ -102,25 +107,23 @@
         val request =
             HttpRequest
                 .newBuilder(URI.create("http://$address$path"))
-                .timeout(PATIENCE)
+                .timeout(TIMEOUT)
                 .method(method, publisher)
                 .build()
         val response =
             try {
                 client.send(request, HttpResponse.BodyHandlers.ofString())
             } catch (e: IOException) {
-                throw Failure("the controller at $address cannot be asked: ${e.message ?: e.javaClass.simpleName}")
+                throw Failure("the controller at $address cannot be asked: ${e.message ?: e.javaClass.simpleName}", e)
             }
         val body = Json.parseOrNull(response.body()) ?: throw Failure("the controller at $address answers what is not JSON")
-        if (response.statusCode() == NOT_FOUND) return null
-        if (response.statusCode() != OK) throw Failure(body.path("error").asText("status ${response.statusCode()}"))
+        if (response.statusCode() == HttpStatus.NOT_FOUND) return null
+        if (response.statusCode() != HttpStatus.OK) throw Failure(body.path("error").asText("status ${response.statusCode()}"))
         return body
     }
 
     private companion object {
-        val PATIENCE: Duration = Duration.ofSeconds(5)
+        val TIMEOUT: Duration = Duration.ofSeconds(5)
         const val POLL_MILLIS = 200L
-        const val OK = 200
-        const val NOT_FOUND = 404
     }
 }
--- a/src/main/kotlin/burlridge/app/BalanceReportFormatter.kt
+++ b/src/main/kotlin/burlridge/app/BalanceReportFormatter.kt
@@ -3,8 +3,9 @@
 import com.fasterxml.jackson.databind.JsonNode
 import java.time.Instant
 
-/** The leader's report about drains and moves as lines of text. */
+/** Formats the leader's report about drains and moves for a terminal. */
 internal object BalanceReportFormatter {
+    /** All drains, hot machines and open moves. */
     fun describe(report: JsonNode): String =
         buildString {
             val lately = "${report.path("moved_lately").asInt()} of ${report.path("moves_per_minute").asInt()} lately"
@@ -22,24 +23,19 @@
             report.path("damaged_rows").forEach { appendLine("  damaged row, left as it is: ${it.asText()}") }
         }.trimEnd()
 
+    /** One drain, in a line. */
     fun drain(report: JsonNode): String {
         val kind = listOf("machine", "network", "zone").first { report.has(it) }
         val known = report.has("machines_left")
         val left =
-            if (known) {
-                ", ${report.path(
-                    "machines_left",
-                ).asInt()} machines and ${report.path("tasks_left").asInt()} tasks left"
-            } else {
-                ""
-            }
+            if (known) ", ${report.path("machines_left").asInt()} machines and ${report.path("tasks_left").asInt()} tasks left" else ""
         val waits = report.path("waits_for").properties().joinToString { (reason, count) -> "${count.asInt()} $reason" }
         val why = if (waits.isEmpty()) "" else ": $waits"
-        return "drain of $kind ${report.path(
-            kind,
-        ).asText()} (${report.path("cause").asText()}): ${report.path("state").asText()}$left$why"
+        val cause = report.path("cause").asText()
+        return "drain of $kind ${report.path(kind).asText()} ($cause): ${report.path("state").asText()}$left$why"
     }
 
+    /** Decisions about a task or machine, a line each. */
     fun explain(answer: JsonNode): String {
         val decisions = answer.path("decisions").map { "  ${Instant.ofEpochMilli(it.path("at_ms").asLong())} ${it.path("text").asText()}" }
         val since = Instant.ofEpochMilli(answer.path("since_ms").asLong())
--- a/src/main/kotlin/burlridge/app/ClassArchiveTraining.kt
+++ b/src/main/kotlin/burlridge/app/ClassArchiveTraining.kt
@@ -6,8 +6,9 @@
 import java.net.InetAddress
 import java.net.ServerSocket
 
-/** Settings and calls for [Service.rehearse]: everything on loopback, and every outside system is the controller itself. */
+/** Settings and calls for [Service.trainClassArchive]: everything on loopback, and every outside system is the controller itself. */
 internal object ClassArchiveTraining {
+    /** A platform settings file with free ports. */
     fun settings(): String {
         val (serve, peer) =
             List(2) { ServerSocket(0, 1, InetAddress.getLoopbackAddress()) }
@@ -49,7 +50,8 @@
         )
     }
 
-    fun calls(at: Endpoint): List<Effect.HttpCall> =
+    /** One call of each kind to [endpoint]. */
+    fun calls(endpoint: Endpoint): List<Effect.HttpCall> =
         listOf(
             "GET /ready ",
             "GET /api/jobs/j-000001 ",
@@ -58,10 +60,10 @@
             "POST /agent/beat {}",
         ).map {
             val (method, path, body) = it.split(' ', limit = 3)
-            Effect.HttpCall(0, at, method, path, body.ifEmpty { null }, 1.0)
+            Effect.HttpCall(0, endpoint, method, path, body.ifEmpty { null }, 1.0)
         }
 
-    /** A call to a port that was free a moment ago, so that nobody is there. */
+    /** A call to a port on which nobody listens. */
     fun refusedCall(): Effect.HttpCall {
         val port = ServerSocket(0, 1, InetAddress.getLoopbackAddress()).use { it.localPort }
         return Effect.HttpCall(0, Endpoint("127.0.0.1", port), "GET", "/", null, 1.0)
--- a/src/main/kotlin/burlridge/app/CommandLine.kt
+++ b/src/main/kotlin/burlridge/app/CommandLine.kt
@@ -40,7 +40,7 @@
 
   -h, --help        show this message and exit"""
 
-/** Machines as an operator names them: a machine, a network or a zone. */
+/** Machines as an operator names them: one machine, a network or a zone. */
 internal data class MachineTarget(
     val kind: String,
     val value: String,
@@ -48,49 +48,58 @@
 
 /** What the command line asks for. */
 internal sealed interface CommandLine {
+    /** Run a controller. */
     data class Serve(
         val files: SettingsFiles,
     ) : CommandLine
 
+    /** Validate the settings files. */
     data class Check(
         val files: SettingsFiles,
     ) : CommandLine
 
+    /** Ask a running controller for its state. */
     data class Status(
         val files: SettingsFiles,
     ) : CommandLine
 
+    /** Take a controller out of service; [member] is null for the one that is asked. */
     data class Drain(
         val files: SettingsFiles,
         val member: String?,
         val waitSeconds: Long,
     ) : CommandLine
 
+    /** Take machines out of service. */
     data class DrainMachines(
         val files: SettingsFiles,
         val target: MachineTarget,
         val forced: Boolean,
     ) : CommandLine
 
+    /** Cancel a drain of machines. */
     data class UndrainMachines(
         val files: SettingsFiles,
         val target: MachineTarget,
     ) : CommandLine
 
+    /** Ask why a task or machine was treated as it was. */
     data class Explain(
         val files: SettingsFiles,
         val subject: String,
     ) : CommandLine
 
-    /** Run once by the build: what it loads goes into the class archive that makes a controller's start cheap. */
+    /** Run once by the build: the classes that it loads go into the class data archive, which makes a start cheap. */
     data object Rehearse : CommandLine
 
+    /** Print the usage. */
     data object Help : CommandLine
 
+    /** Print the version. */
     data object Version : CommandLine
 
-    /** A line that cannot be understood, with the reason. */
-    data class Mistaken(
+    /** A command line that cannot be understood, with the reason. */
+    data class Invalid(
         val reason: String,
     ) : CommandLine
 
@@ -101,15 +110,16 @@
         private const val MEMBER = "member"
         private const val WAIT = "wait"
         private const val FORCE = "force"
-        private val TARGETS = listOf("machine", "network", "zone")
-        private val EXPLAINED = listOf("task", "machine")
+        private val TARGET_KINDS = listOf("machine", "network", "zone")
+        private val SUBJECT_KINDS = listOf("task", "machine")
         private val SUBJECT = Regex("[A-Za-z0-9._/-]{1,200}")
-        private const val USUAL_WAIT = "30"
-        private val WAITS = 0L..3600L
+        private const val DEFAULT_WAIT_SECONDS = "30"
+        private val WAIT_SECONDS_RANGE = 0L..3600L
 
+        /** The command that [args] ask for; [Invalid] if there is none. */
         fun parse(args: List<String>): CommandLine =
             when (val command = args.firstOrNull()) {
-                null -> Mistaken("a command is missing")
+                null -> Invalid("a command is missing")
                 "--help", "-h" -> Help
                 "--version" -> Version
                 "serve" -> withFiles(args.drop(1), options()) { files, _ -> Serve(files) }
@@ -118,8 +128,8 @@
                 "drain" -> withFiles(args.drop(1), drainOptions(), ::drain)
                 "undrain" -> withFiles(args.drop(1), targetOptions(), ::undrain)
                 "explain" -> withFiles(args.drop(1), explainOptions(), ::explain)
-                "rehearse" -> if (args.size == 1) Rehearse else Mistaken("rehearse takes no arguments")
-                else -> Mistaken("no such command: $command")
+                "rehearse" -> if (args.size == 1) Rehearse else Invalid("rehearse takes no arguments")
+                else -> Invalid("no such command: $command")
             }
 
         private fun withFiles(
@@ -131,11 +141,11 @@
                 try {
                     DefaultParser(false).parse(options, args.toTypedArray())
                 } catch (e: ParseException) {
-                    return Mistaken(e.message.orEmpty())
+                    return Invalid(e.message.orEmpty())
                 }
             if (line.hasOption(HELP_OPTION)) return Help
-            line.argList.firstOrNull()?.let { return Mistaken("unexpected argument: $it") }
-            val config = line.getOptionValue(CONFIG) ?: return Mistaken("--$CONFIG is missing")
+            line.argList.firstOrNull()?.let { return Invalid("unexpected argument: $it") }
+            val config = line.getOptionValue(CONFIG) ?: return Invalid("--$CONFIG is missing")
             return command(SettingsFiles(config, line.getOptionValue(SETTINGS)), line)
         }
 
@@ -144,39 +154,40 @@
             line: ParsedOptions,
         ): CommandLine {
             val targets = targets(line)
-            if (targets.size + (if (line.hasOption(MEMBER)) 1 else 0) > 1) return Mistaken("name one of --$MEMBER, ${named()}")
+            if (targets.size + (if (line.hasOption(MEMBER)) 1 else 0) > 1) return Invalid("name one of --$MEMBER, ${targetOptionNames()}")
             targets.firstOrNull()?.let { return DrainMachines(files, it, line.hasOption(FORCE)) }
-            if (line.hasOption(FORCE)) return Mistaken("--$FORCE goes with one of ${named()}")
-            val wait = line.getOptionValue(WAIT, USUAL_WAIT)
+            if (line.hasOption(FORCE)) return Invalid("--$FORCE goes with one of ${targetOptionNames()}")
+            val wait = line.getOptionValue(WAIT, DEFAULT_WAIT_SECONDS)
             val waitSeconds =
-                wait.toLongOrNull()?.takeIf { it in WAITS } ?: return Mistaken("--$WAIT must be whole seconds in $WAITS, not $wait")
+                wait.toLongOrNull()?.takeIf { it in WAIT_SECONDS_RANGE }
+                    ?: return Invalid("--$WAIT must be whole seconds in $WAIT_SECONDS_RANGE, not $wait")
             return Drain(files, line.getOptionValue(MEMBER), waitSeconds)
         }
 
         private fun undrain(
             files: SettingsFiles,
             line: ParsedOptions,
-        ): CommandLine = targets(line).singleOrNull()?.let { UndrainMachines(files, it) } ?: Mistaken("name one of ${named()}")
+        ): CommandLine = targets(line).singleOrNull()?.let { UndrainMachines(files, it) } ?: Invalid("name one of ${targetOptionNames()}")
 
         private fun explain(
             files: SettingsFiles,
             line: ParsedOptions,
         ): CommandLine {
-            val subject = EXPLAINED.mapNotNull { line.getOptionValue(it) }.singleOrNull()
-            if (subject == null || !SUBJECT.matches(subject)) return Mistaken("name one of --task, --machine")
+            val subject = SUBJECT_KINDS.mapNotNull { line.getOptionValue(it) }.singleOrNull()
+            if (subject == null || !SUBJECT.matches(subject)) return Invalid("name one of --task, --machine")
             return Explain(files, subject)
         }
 
         private fun explainOptions(): Options =
-            options().also { all -> EXPLAINED.forEach { all.addOption(Option(null, it, true, "the $it to explain")) } }
+            options().also { all -> SUBJECT_KINDS.forEach { all.addOption(Option(null, it, true, "the $it to explain")) } }
 
         private fun targets(line: ParsedOptions): List<MachineTarget> =
-            TARGETS.mapNotNull { kind -> line.getOptionValue(kind)?.let { MachineTarget(kind, it) } }
+            TARGET_KINDS.mapNotNull { kind -> line.getOptionValue(kind)?.let { MachineTarget(kind, it) } }
 
-        private fun named(): String = TARGETS.joinToString { "--$it" }
+        private fun targetOptionNames(): String = TARGET_KINDS.joinToString { "--$it" }
 
         private fun targetOptions(): Options =
-            options().also { all -> TARGETS.forEach { all.addOption(Option(null, it, true, "the $it to drain")) } }
+            options().also { all -> TARGET_KINDS.forEach { all.addOption(Option(null, it, true, "the $it to drain")) } }
 
         private fun drainOptions(): Options =
             targetOptions()
--- a/src/main/kotlin/burlridge/app/Main.kt
+++ b/src/main/kotlin/burlridge/app/Main.kt
@@ -4,15 +4,16 @@
 import java.io.File
 import kotlin.system.exitProcess
 
-private const val STATUS_USAGE = 2
-private const val STATUS_REFUSED = 1
+private const val EXIT_USAGE = 2
+private const val EXIT_REFUSED = 1
 
+/** Ends the process with one line on standard error. */
 internal fun fail(reason: String): Nothing {
     System.err.println("burlridge: $reason")
-    exitProcess(STATUS_USAGE)
+    exitProcess(EXIT_USAGE)
 }
 
-private fun check(settings: Settings) {
+private fun reportValidSettings(settings: Settings) {
     val gangs = if (settings.workers.gang == null) "no gangs are served" else "gangs are served once all members know them"
     val value = settings.store.valueBytes
     println("settings of ${settings.member} are fine: ${settings.controllers} members; $gangs; at most $value bytes a value")
@@ -26,17 +27,17 @@
         println(AdminCommand(files.read()).request())
     } catch (e: AdminCommand.Failure) {
         System.err.println("burlridge: ${e.message}")
-        exitProcess(STATUS_REFUSED)
+        exitProcess(EXIT_REFUSED)
     }
 }
 
-private fun rehearse() {
+private fun trainClassArchive() {
     val file = File.createTempFile("burlridge", ".json")
     try {
         file.writeText(ClassArchiveTraining.settings())
-        // By the way of `serve`, so that its classes are in the archive as well.
+        // Through the command line of `serve`, so that its classes are in the archive as well.
         val serve = CommandLine.parse(listOf("serve", "--config", file.path)) as CommandLine.Serve
-        Service(serve.files.read()).rehearse()
+        Service(serve.files.read()).trainClassArchive()
     } finally {
         file.delete()
     }
@@ -46,11 +47,12 @@
 private fun configureLogging() {
     val level = System.getenv("LOG_LEVEL")?.lowercase()?.takeIf { it in setOf("error", "info", "debug") } ?: "info"
     System.setProperty("org.slf4j.simpleLogger.defaultLogLevel", level)
-    // Named here, so that the class path is not searched for one; what it says about that is no news.
+    // Named here, so that the class path is not searched for a provider at every start.
     System.setProperty("slf4j.provider", "org.slf4j.simple.SimpleServiceProvider")
     System.setProperty("slf4j.internal.verbosity", "WARN")
 }
 
+/** Entry point; see [HELP]. */
 internal fun main(args: Array<String>) {
     configureLogging()
     when (val command = CommandLine.parse(args.toList())) {
@@ -60,10 +62,10 @@
         is CommandLine.DrainMachines -> administer(command.files) { drainMachines(command.target, command.forced) }
         is CommandLine.Explain -> administer(command.files) { explain(command.subject) }
         is CommandLine.UndrainMachines -> administer(command.files) { undrainMachines(command.target) }
-        is CommandLine.Check -> check(command.files.read())
-        CommandLine.Rehearse -> rehearse()
+        is CommandLine.Check -> reportValidSettings(command.files.read())
+        CommandLine.Rehearse -> trainClassArchive()
         CommandLine.Help -> println(HELP)
         CommandLine.Version -> println("burlridge version ${CommandLine::class.java.`package`.implementationVersion ?: "development"}")
-        is CommandLine.Mistaken -> fail("${command.reason}; see burlridge --help")
+        is CommandLine.Invalid -> fail("${command.reason}; see burlridge --help")
     }
 }
--- a/src/main/kotlin/burlridge/app/Metrics.kt
+++ b/src/main/kotlin/burlridge/app/Metrics.kt
@@ -7,18 +7,19 @@
 import io.micrometer.core.instrument.simple.SimpleMeterRegistry
 import it.unimi.dsi.fastutil.objects.Object2LongOpenHashMap
 
-/** Counts of what a controller does, logged now and then at debug level. */
+/** Counts inputs and effects by kind; logged once a minute at debug level together with the core's counters. */
 internal class Metrics {
     private val counts = Object2LongOpenHashMap<String>()
 
-    /** Made with the first line that is logged: its set-up would be a good part of a controller's start. */
+    /** Created with the first line that is logged: its set-up would take a good part of a controller's start. */
     private val registry by lazy(LazyThreadSafetyMode.NONE) { SimpleMeterRegistry() }
-    private val answers = HashMap<Int, String>()
+    private val statusCounters = HashMap<Int, String>()
 
     private fun count(name: String) {
         counts.addTo(name, 1)
     }
 
+    /** The core is about to take a step for [input]. */
     fun stepped(input: Input) =
         count(
             when (input) {
@@ -48,20 +49,22 @@
             },
         )
 
+    /** [effect] is about to be carried out. */
     fun carriedOut(effect: Effect) {
         when (effect) {
-            is Effect.Respond -> count(answers.getOrPut(effect.status) { "out.answer.${effect.status}" })
+            is Effect.Respond -> count(statusCounters.getOrPut(effect.status) { "out.answer.${effect.status}" })
             is Effect.HttpCall -> count("out.call")
             is Effect.SendToPeer -> count("out.peer")
             is Effect.Log, is Effect.Trace -> Unit
         }
     }
 
+    /** A message of a kind that this version does not know has come from another controller. */
     fun unknownPeerMessage() = count("in.peer.unknown")
 
-    /** One line for the log; [work] is what the core has counted. */
-    fun line(work: Map<String, Long>): String {
-        val all = counts + work.mapKeys { "work.${it.key}" }
+    /** All counters as `name=value`; [coreCounters] are those of the core. */
+    fun line(coreCounters: Map<String, Long>): String {
+        val all = counts + coreCounters.mapKeys { "work.${it.key}" }
         all.forEach { (name, amount) -> registry.counter(name).let { it.increment(amount - it.count()) } }
         return all.keys.sorted().joinToString(" ") { "$it=${registry.counter(it).count().toLong()}" }
     }
--- a/src/main/kotlin/burlridge/app/Service.kt
+++ b/src/main/kotlin/burlridge/app/Service.kt
@@ -23,25 +23,27 @@
 import kotlin.coroutines.EmptyCoroutineContext
 import kotlin.system.exitProcess
 
-/** The thin shell: one thread steps the core, carries out its effects and waits for sockets. */
+/** The process of one controller: one thread steps the core, carries out its effects and waits for sockets and timers. */
 internal class Service(
     private val settings: Settings,
 ) {
     private val log = LoggerFactory.getLogger("burlridge")
     private val controller = Controller(settings, System.nanoTime())
     private val loop = EventLoop()
-    private val scope = CoroutineScope(loop + SupervisorJob() + CoroutineExceptionHandler { _, e -> log.error("unexpected", e) })
+    private val scope =
+        CoroutineScope(loop + SupervisorJob() + CoroutineExceptionHandler { _, unexpected -> log.error("coroutine failed", unexpected) })
     private val budget = ConnectionBudget(settings.limits.maxConnections)
     private val client = HttpClient(loop, scope, budget.commands, budget.kept, setOf(settings.state, settings.cloud), settings.state)
-    private val server = HttpServer(loop, budget, settings.workers.reportSeconds * QUIET_REPORTS) { step(it) }
+    private val server = HttpServer(loop, budget, settings.workers.reportSeconds * IDLE_REPORTS) { step(it) }
     private val metrics = Metrics()
     private val peers = PeerTransport(settings, loop, metrics::unknownPeerMessage) { step(Input.MessageReceived(it)) }
     private val serveOn = settings.serveOn
-    private var metricsAt = 0L
+    private var metricsLoggedAt = 0L
     private val failover = settings.operator.failover
     private val tracer = failover?.traceFile?.let { LeaderChangeTracer(File(it), settings.member) }
     private val shutdown = if (failover == null) null else OrderlyShutdown(failover.drainPatienceSeconds(settings))
 
+    /** Runs the controller until the process is killed. */
     fun run() {
         shutdown?.install()
         start {
@@ -72,19 +74,19 @@
     }
 
     private fun logMetrics() {
-        if (!log.isDebugEnabled || System.nanoTime() - metricsAt < METRICS_NANOS) return
-        metricsAt = System.nanoTime()
+        if (!log.isDebugEnabled || System.nanoTime() - metricsLoggedAt < METRICS_NANOS) return
+        metricsLoggedAt = System.nanoTime()
         log.debug("metrics: {} net.open={}", metrics.line(controller.counters), server.open)
     }
 
-    /** A short life with itself as state service, cloud and worker, so that every path of I/O is walked once. */
-    fun rehearse() {
-        // A deployment without guarantees rents in another way, and gangs take ways of their own.
+    /** Runs for two seconds with itself as store, cloud and worker, so that the class archive holds the classes of all I/O paths. */
+    fun trainClassArchive() {
+        // Without guarantees other code scales out, and gangs have code of their own: both belong in the archive.
         val gang = GangTimings(settings.workers.reportSeconds, settings.workers.reportSeconds)
         val unguaranteed = settings.teams.mapValues { it.value.copy(cpus = 0.0) }
         WarmUp(settings.copy(teams = unguaranteed, workers = settings.workers.copy(gang = gang))).run()
         scope.launch {
-            delay(REHEARSAL_MILLIS)
+            delay(TRAINING_MILLIS)
             loop.stop()
         }
         start {
@@ -101,11 +103,11 @@
         metrics.stepped(input)
         val effects =
             try {
-                controller.step(input, System.nanoTime() / 1e9, System.currentTimeMillis())
-            } catch (e: Exception) {
-                // Half a step may have been taken: a fresh start from the rows is safe, going on is not.
-                log.error("the core failed on {}", input, e)
-                exitProcess(STATUS_FAILED)
+                controller.step(input, System.nanoTime() / NANOS_PER_SECOND, System.currentTimeMillis())
+            } catch (unexpected: Exception) {
+                // Any exception: the step may be half done. Restarting from the rows is safe, continuing is not.
+                log.error("core step failed input={}", input, unexpected)
+                exitProcess(EXIT_FAILED)
             }
         effects.forEach(::carryOut)
     }
@@ -141,12 +143,13 @@
     }
 
     private companion object {
+        const val NANOS_PER_SECOND = 1e9
         const val TICK_MILLIS = 100L
         const val METRICS_NANOS = 60_000_000_000L
-        const val REHEARSAL_MILLIS = 2_000L
-        const val STATUS_FAILED = 70
+        const val TRAINING_MILLIS = 2_000L
+        const val EXIT_FAILED = 70
 
-        /** A worker reports at the latest after one and a quarter report intervals. */
-        const val QUIET_REPORTS = 1.5
+        /** A live worker sends a heartbeat at least every one and a quarter intervals. */
+        const val IDLE_REPORTS = 1.5
     }
 }
--- a/src/main/kotlin/burlridge/app/SettingsFiles.kt
+++ b/src/main/kotlin/burlridge/app/SettingsFiles.kt
@@ -6,12 +6,12 @@
 import java.io.File
 import java.io.IOException
 
-/** Where the settings are: the platform's JSON file and, if there is one, the operators' INI file. */
+/** Paths of the platform's JSON file and, unless null, the operators' INI file. */
 internal data class SettingsFiles(
     val platform: String,
     val operator: String?,
 ) {
-    /** Ends the process with one clear line where a file cannot be used. */
+    /** Reads both files; ends the process with one line if one cannot be used. */
     fun read(): Settings {
         val settings = load(platform, Settings::parse)
         return if (operator == null) settings else settings.copy(operator = load(operator) { operatorSettings(it, settings) })
--- a/src/main/kotlin/burlridge/app/WarmUp.kt
+++ b/src/main/kotlin/burlridge/app/WarmUp.kt
@@ -2,15 +2,15 @@
 
 import burlridge.core.CallOutcome
 import burlridge.core.Effect
+import burlridge.core.HttpStatus
 import burlridge.core.Input
 import burlridge.json.Json
 import burlridge.settings.Settings
 import com.fasterxml.jackson.databind.JsonNode
 
 /**
- * A few seconds in the life of another core, in virtual time and with an outside that always says yes. On a fifth of a core the
- * first submission, claim and report of a fresh process would take several tenths of a second each; they are taken here,
- * before the process says that it is ready.
+ * Steps another core for a few seconds of virtual time, with an outside that accepts everything, before the process reports ready. On a
+ * fifth of a core the first submission, allocation and heartbeat of a cold JVM would take several tenths of a second each.
  */
 internal class WarmUp(
     private val settings: Settings,
@@ -21,8 +21,11 @@
     private var nextId = 1L
     private var sequence = 1L
     private val reported = Json.arr()
-    val work: Map<String, Long> get() = core.counters
 
+    /** Counters of the core that was warmed up. */
+    val counters: Map<String, Long> get() = core.counters
+
+    /** Runs the warm-up. */
     fun run() {
         var now = 0.0
         repeat(STEPS) { step ->
@@ -33,7 +36,7 @@
                 inputs +=
                     Input.Request(nextId++, "POST", "/api/jobs", "", JOB.replace("ID", job).replace("TEAM", settings.teams.keys.first()))
                 inputs += Input.Request(nextId++, "GET", "/api/jobs/$job", "", "")
-                inputs += Input.Request(nextId++, "POST", "/agent/beat", "", Json.write(report()))
+                inputs += Input.Request(nextId++, "POST", "/agent/beat", "", Json.write(heartbeat()))
             }
             while (inputs.isNotEmpty()) {
                 core.step(inputs.removeFirst(), now, (now * MILLIS_PER_SECOND).toLong()).forEach { if (it is Effect.HttpCall) reply(it) }
@@ -43,10 +46,10 @@
 
     private fun reply(call: Effect.HttpCall) {
         val path = call.path.substringBefore('?')
-        val status = if (call.method == "GET" && path.startsWith("/store/")) NOT_FOUND else OK
+        val status = if (call.method == "GET" && path.startsWith("/store/")) HttpStatus.NOT_FOUND else HttpStatus.OK
         val body =
             when {
-                status == NOT_FOUND -> "{}"
+                status == HttpStatus.NOT_FOUND -> "{}"
 
                 path == "/catalog" -> CATALOG
 
@@ -64,7 +67,7 @@
 
                 path == "/do" -> Json.write(execute(Json.parse(call.body.orEmpty())))
 
-                // A watch that stays open.
+                // A watch stays open.
                 else -> return
             }
         inputs += Input.CallCompleted(call.callId, CallOutcome.Responded(status, body))
@@ -79,10 +82,10 @@
                 .put("standing", "exited")
                 .put("cause", "done")
         }
-        return report()
+        return heartbeat()
     }
 
-    private fun report(): JsonNode =
+    private fun heartbeat(): JsonNode =
         Json.obj {
             put("drover", "m-000001")
             put("addr", "127.0.0.1:1")
@@ -101,8 +104,6 @@
         const val STEP_SECONDS = 0.1
         const val STEPS_PER_JOB = 4
         const val MILLIS_PER_SECOND = 1000
-        const val OK = 200
-        const val NOT_FOUND = 404
         const val FIRST_TOKEN = 1L shl 20
         const val MACHINE =
             """{"id":"m-000001","addr":"127.0.0.1:1","breed":"t","yard":"a","loaners":false,"standing":"running",
--- a/src/main/kotlin/burlridge/balance/Move.kt
+++ b/src/main/kotlin/burlridge/balance/Move.kt
@@ -111,11 +111,12 @@
         ): Move? {
             val numbers = listOf(entry.path(0), entry.path(1), entry.path(4), entry.path(5))
             if (numbers.any { !it.isInt } || !entry.path(2).isTextual) return null
-            val (task, run, count, tasks) = numbers.map { it.asInt() }
+            val (task, attempt, count) = numbers.map { it.asInt() }
+            val tasks = numbers.last().asInt()
             val reason = MoveReason.of(entry.path(6).asText()) ?: return null
             val to = entry.path(3).takeIf { it.isTextual }?.asText()
-            return Move(job, task, run, team, jobClass, entry.path(2).asText(), to, count, tasks, reason)
-                .takeIf { task >= Move.WHOLE_GANG && run > 0 && count > 0 && tasks > 0 }
+            return Move(job, task, attempt, team, jobClass, entry.path(2).asText(), to, count, tasks, reason)
+                .takeIf { task >= Move.WHOLE_GANG && attempt > 0 && count > 0 && tasks > 0 }
         }
     }
 }
--- a/src/main/kotlin/burlridge/net/Connection.kt
+++ b/src/main/kotlin/burlridge/net/Connection.kt
@@ -248,10 +248,10 @@
                 connection.isPumping = true
                 scope.launch { connection.pump(null) }
                 return connection
-            } catch (e: Throwable) {
+            } catch (unexpected: Throwable) {
                 // Whatever happens, cancellation included, the socket must not leak.
                 channel.close()
-                throw e
+                throw unexpected
             }
         }
 
--- a/src/main/kotlin/burlridge/settings/IniSection.kt
+++ b/src/main/kotlin/burlridge/settings/IniSection.kt
@@ -59,7 +59,7 @@
                 try {
                     Ini(StringReader(text))
                 } catch (e: InvalidFileFormatException) {
-                    throw InvalidSettingsException("not an INI file: ${e.message}")
+                    throw InvalidSettingsException("not an INI file: ${e.message}", e)
                 }
             for ((name, section) in ini) {
                 val known = keys[name] ?: throw InvalidSettingsException("unknown section [$name]; known are ${keys.keys}")
--- a/src/main/kotlin/burlridge/settings/SettingsParser.kt
+++ b/src/main/kotlin/burlridge/settings/SettingsParser.kt
@@ -20,9 +20,9 @@
         try {
             read(Json.parse(text))
         } catch (e: JsonProcessingException) {
-            throw InvalidSettingsException("the settings are not JSON: ${e.originalMessage}")
+            throw InvalidSettingsException("the settings are not JSON: ${e.originalMessage}", e)
         } catch (e: IOException) {
-            throw InvalidSettingsException("the settings are not JSON: ${e.message}")
+            throw InvalidSettingsException("the settings are not JSON: ${e.message}", e)
         }
 
     private fun read(root: JsonNode): Settings {
--- a/src/test/kotlin/burlridge/app/WarmUpTest.kt
+++ b/src/test/kotlin/burlridge/app/WarmUpTest.kt
@@ -9,7 +9,7 @@
     fun `it leads, claims, commands and finishes jobs`() {
         val warmUp = WarmUp(Settings.parse(ClassArchiveTraining.settings()))
         warmUp.run()
-        assertTrue(warmUp.work.getValue("intent.starts") > 10, "${warmUp.work}")
-        assertTrue(warmUp.work.getValue("worker.commands") > 5, "${warmUp.work}")
+        assertTrue(warmUp.counters.getValue("intent.starts") > 10, "${warmUp.counters}")
+        assertTrue(warmUp.counters.getValue("worker.commands") > 5, "${warmUp.counters}")
     }
 }
--- a/src/test/kotlin/burlridge/simulation/RandomFaults.kt
+++ b/src/test/kotlin/burlridge/simulation/RandomFaults.kt
@@ -2,7 +2,7 @@
 
 import kotlin.random.Random
 
-/** Troubles drawn by a seed, alone and together. */
+/** Injects faults drawn by a seed, alone and overlapping. */
 internal class RandomFaults(
     private val cluster: SimulatedCluster,
     seed: Int,
@@ -16,126 +16,110 @@
     ) {
         cluster.lossy = 0.02
         cluster.cutsHoldPackets = seededRandom.nextBoolean()
-        if (seededRandom.nextInt(3) ==
-            0
-        ) {
+        if (seededRandom.nextInt(3) == 0) {
             cluster.copyAfter = { if (seededRandom.nextInt(4) == 0) 2.0 + seededRandom.nextDouble() * 60 else null }
         }
-        repeat(count) { cluster.clock.after(from + seededRandom.nextDouble() * (until - from)) { one() } }
+        repeat(count) { cluster.clock.after(from + seededRandom.nextDouble() * (until - from)) { injectOne() } }
         cluster.clock.after(until + 30.0) {
             cluster.lossy = 0.0
             cluster.copyAfter = { null }
         }
     }
 
-    private fun some(count: Int): List<String> =
+    private val faults: List<() -> Unit> =
+        listOf(
+            ::killLeader,
+            ::killAllMembers,
+            { cluster.state.outage(seededRandom.nextDouble() * 25) },
+            ::cutLeaderFromStore,
+            ::takeFirstMachines,
+            ::cutLastMachinesFromAllMembers,
+            ::loseAnswersToOneMachine,
+            ::freezeLeader,
+            ::reclaimSpotMachines,
+            ::cutMembersFromOneAnother,
+            ::refuseLeader,
+            { drawnMachines(3).forEach { cluster.mute(it, seededRandom.nextDouble() * 50) } },
+            { drawnMachines(3).forEach { cluster.cloud.worker(it)?.hang(seededRandom.nextDouble() * 22) } },
+            { cluster.keepReportsForNextLeader(seededRandom.nextDouble() * 10) },
+            ::loseOrDelayTransactions,
+            ::takeCloudDown,
+        )
+
+    private fun injectOne() = faults[seededRandom.nextInt(faults.size)]()
+
+    private fun drawnMachines(count: Int): List<String> =
         cluster.cloud
             .names()
             .shuffled(seededRandom)
             .take(count)
 
-    private fun one() {
-        when (seededRandom.nextInt(16)) {
-            0 -> {
-                cluster.leader()?.let { cluster.crash(it, seededRandom.nextDouble() * 8) }
-            }
-
-            1 -> {
-                cluster.members.forEach { cluster.crash(it, 1 + seededRandom.nextDouble() * 5) }
-            }
-
-            2 -> {
-                cluster.state.outage(seededRandom.nextDouble() * 25)
-            }
-
-            3 -> {
-                cluster.leader()?.let { cluster.cut(it, "state", 10 + seededRandom.nextDouble() * 20) }
-            }
-
-            4 -> {
-                cluster.cloud
-                    .names()
-                    .take(3)
-                    .forEach { cluster.cloud.take(it) }
-            }
-
-            5 -> {
-                cluster.cloud
-                    .names()
-                    .takeLast(4)
-                    .forEach { m -> cluster.members.forEach { cluster.cut(it, m, 5 + seededRandom.nextDouble() * 40) } }
-            }
+    private fun killLeader() {
+        cluster.leader()?.let { cluster.crash(it, seededRandom.nextDouble() * 8) }
+    }
 
-            6 -> {
-                cluster.cloud
-                    .names()
-                    .randomOrNull(seededRandom)
-                    ?.let { cluster.deafen(it, seededRandom.nextDouble() * 40) }
-            }
+    private fun killAllMembers() = cluster.members.forEach { cluster.crash(it, 1 + seededRandom.nextDouble() * 5) }
 
-            7 -> {
-                cluster.leader()?.let { cluster.freeze(it, seededRandom.nextDouble() * 12) }
-            }
+    private fun cutLeaderFromStore() {
+        cluster.leader()?.let { cluster.cut(it, "state", 10 + seededRandom.nextDouble() * 20) }
+    }
 
-            8 -> {
-                cluster.cloud
-                    .names()
-                    .filter { cluster.cloud.worker(it)?.spot == true }
-                    .take(3)
-                    .forEach { cluster.cloud.worker(it)?.recall(5 + seededRandom.nextDouble() * 15) }
-            }
+    private fun takeFirstMachines() =
+        cluster.cloud
+            .names()
+            .take(3)
+            .forEach { cluster.cloud.take(it) }
 
-            9 -> {
-                cluster.members.forEach { a ->
-                    cluster.members.forEach { b ->
-                        if (a !=
-                            b
-                        ) {
-                            cluster.cut(a, b, 5 + seededRandom.nextDouble() * 20)
-                        }
-                    }
-                }
-            }
+    private fun cutLastMachinesFromAllMembers() =
+        cluster.cloud
+            .names()
+            .takeLast(4)
+            .forEach { machine -> cluster.members.forEach { cluster.cut(it, machine, 5 + seededRandom.nextDouble() * 40) } }
 
-            10 -> {
-                cluster.leader()?.let { cluster.refuse(it, 5 + seededRandom.nextDouble() * 20) }
-                if (seededRandom.nextBoolean()) {
-                    cluster.clock.after(seededRandom.nextDouble() * 6) {
-                        cluster.state.outage(seededRandom.nextDouble() * 30)
-                    }
-                }
-            }
+    private fun loseAnswersToOneMachine() {
+        cluster.cloud
+            .names()
+            .randomOrNull(seededRandom)
+            ?.let { cluster.deafen(it, seededRandom.nextDouble() * 40) }
+    }
 
-            11 -> {
-                some(3).forEach { cluster.mute(it, seededRandom.nextDouble() * 50) }
-            }
+    private fun freezeLeader() {
+        cluster.leader()?.let { cluster.freeze(it, seededRandom.nextDouble() * 12) }
+    }
 
-            12 -> {
-                some(3).forEach { cluster.cloud.worker(it)?.hang(seededRandom.nextDouble() * 22) }
-            }
+    private fun reclaimSpotMachines() =
+        cluster.cloud
+            .names()
+            .filter { cluster.cloud.worker(it)?.spot == true }
+            .take(3)
+            .forEach { cluster.cloud.worker(it)?.recall(5 + seededRandom.nextDouble() * 15) }
 
-            13 -> {
-                cluster.keepReportsForNextLeader(seededRandom.nextDouble() * 10)
+    private fun cutMembersFromOneAnother() {
+        for (first in cluster.members) {
+            for (second in cluster.members) {
+                if (first != second) cluster.cut(first, second, 5 + seededRandom.nextDouble() * 20)
             }
+        }
+    }
 
-            14 -> {
-                val until = cluster.clock.now + 5 + seededRandom.nextDouble() * 20
-                val fate = if (seededRandom.nextBoolean()) SimulatedCluster.CallFate.LATE else SimulatedCluster.CallFate.ANSWER_LOST
-                cluster.onCall = { _, call ->
-                    if (cluster.clock.now < until && call.path == "/multi" &&
-                        seededRandom.nextInt(3) == 0
-                    ) {
-                        fate
-                    } else {
-                        SimulatedCluster.CallFate.FINE
-                    }
-                }
-            }
+    private fun refuseLeader() {
+        cluster.leader()?.let { cluster.refuse(it, 5 + seededRandom.nextDouble() * 20) }
+        if (seededRandom.nextBoolean()) {
+            cluster.clock.after(seededRandom.nextDouble() * 6) { cluster.state.outage(seededRandom.nextDouble() * 30) }
+        }
+    }
 
-            else -> {
-                cluster.cloud.down = true
-                cluster.clock.after(20.0) { cluster.cloud.down = false }
-            }
+    private fun loseOrDelayTransactions() {
+        val until = cluster.clock.now + 5 + seededRandom.nextDouble() * 20
+        val fate = if (seededRandom.nextBoolean()) SimulatedCluster.CallFate.LATE else SimulatedCluster.CallFate.ANSWER_LOST
+        cluster.onCall = { _, call ->
+            val isHit = cluster.clock.now < until && call.path == "/multi" && seededRandom.nextInt(3) == 0
+            if (isHit) fate else SimulatedCluster.CallFate.FINE
         }
     }
+
+    private fun takeCloudDown() {
+        cluster.cloud.down = true
+        cluster.clock.after(20.0) { cluster.cloud.down = false }
+    }
 }
