--- a/src/main/kotlin/burlridge/allocation/JobRowCodec.kt
+++ b/src/main/kotlin/burlridge/allocation/JobRowCodec.kt
@@ -1,7 +1,7 @@
 package burlridge.allocation
 
 import burlridge.job.InvalidJobException
-import burlridge.job.JobSpec
+import burlridge.job.JobSpecCodec
 import burlridge.json.Json
 import burlridge.store.Row
 import com.fasterxml.jackson.databind.JsonNode
@@ -10,13 +10,13 @@
 internal object JobRowCodec {
     fun encodeActive(row: ActiveJobRow): JsonNode =
         Json.obj {
-            set<JsonNode>("job", row.spec.encode())
+            set<JsonNode>("job", JobSpecCodec.encode(row.spec))
             put("fp", row.spec.fingerprint)
             put("at", row.submittedMillis)
         }
 
     /** Throws [InvalidJobException] where [row] holds no job that this version can run. */
-    fun decodeActive(row: Row): ActiveJobRow = ActiveJobRow(JobSpec.parse(row.value.path("job")), row.value.path("at").asLong())
+    fun decodeActive(row: Row): ActiveJobRow = ActiveJobRow(JobSpecCodec.decode(row.value.path("job")), row.value.path("at").asLong())
 
     /** The fingerprint in the active job's [row], which can be read even where the job cannot. */
     fun activeFingerprint(row: Row): String = row.value.path("fp").asText()
--- a/src/main/kotlin/burlridge/api/SubmissionBody.kt
+++ b/src/main/kotlin/burlridge/api/SubmissionBody.kt
@@ -2,6 +2,7 @@
 
 import burlridge.job.InvalidJobException
 import burlridge.job.JobSpec
+import burlridge.job.JobSpecCodec
 import burlridge.json.Json
 
 /** The body of a submission, valid or not. */
@@ -11,7 +12,7 @@
     private val json = Json.parseOrNull(text)
 
     /** Whether it describes a gang. */
-    val isGang: Boolean get() = json?.path("shape")?.asText() == JobSpec.GANG
+    val isGang: Boolean get() = json?.path("shape")?.asText() == JobSpecCodec.GANG
 
     /** The job's id; null where there is no valid one. */
     val jobId: String? get() =
@@ -22,5 +23,5 @@
             ?.takeIf(JobSpec::isId)
 
     /** The job; throws [InvalidJobException] where the body does not describe one. */
-    fun parse(): JobSpec = JobSpec.parse(json)
+    fun parse(): JobSpec = JobSpecCodec.decode(json)
 }
--- a/src/test/kotlin/burlridge/allocation/LimitsTest.kt
+++ b/src/test/kotlin/burlridge/allocation/LimitsTest.kt
@@ -174,6 +174,6 @@
     }
 
     private object JobSpecLimits {
-        const val TASKS = JobSpec.MOST_TASKS
+        const val TASKS = JobSpec.MAX_TASKS
     }
 }
--- a/src/test/kotlin/burlridge/allocation/ProductionTest.kt
+++ b/src/test/kotlin/burlridge/allocation/ProductionTest.kt
@@ -2,7 +2,7 @@
 
 import burlridge.balance.Drain
 import burlridge.balance.MoveBatch
-import burlridge.job.JobSpec
+import burlridge.job.JobSpecCodec
 import burlridge.json.Json
 import burlridge.leadership.LeaderRow
 import burlridge.leadership.TermRow
@@ -36,9 +36,9 @@
     @Test
     fun `a job of production is read, and an array is written byte for byte as it writes it`() {
         for (row in rows("live/")) {
-            val spec = JobSpec.parse(row.value.path("job"))
+            val spec = JobSpecCodec.decode(row.value.path("job"))
             assertEquals(row.value.path("fp").asText(), spec.fingerprint)
-            assertEquals(Json.write(row.value.path("job")), Json.write(spec.encode()))
+            assertEquals(Json.write(row.value.path("job")), Json.write(JobSpecCodec.encode(spec)))
             assertEquals(row.value.path("fp").asText(), JobRowCodec.activeFingerprint(row))
             assertEquals(Json.write(row.value), Json.write(JobRowCodec.encodeActive(JobRowCodec.decodeActive(row))))
         }
@@ -94,7 +94,7 @@
 
     private fun job(tasks: Int): Job {
         val body = rows("live/").first().value.path("job")
-        return Job(JobSpec.parse(body).copy(id = "j-000090", tasks = tasks), 1, 0)
+        return Job(JobSpecCodec.decode(body).copy(id = "j-000090", tasks = tasks), 1, 0)
     }
 
     @Test
--- a/src/test/kotlin/burlridge/job/JobSpecTest.kt
+++ b/src/test/kotlin/burlridge/job/JobSpecTest.kt
@@ -17,22 +17,22 @@
         to: String,
     ): String =
         assertThrows(InvalidJobException::class.java) {
-            JobSpec.parse(Json.parseOrNull(good.replace(from, to).also { check(it != good) }))
+            JobSpecCodec.decode(Json.parseOrNull(good.replace(from, to).also { check(it != good) }))
         }.message.orEmpty()
 
     @Test
     fun `a job is read, written and read again alike`() {
-        val spec = JobSpec.parse(Json.parse(good))
-        assertEquals(spec, JobSpec.parse(spec.encode()))
-        assertEquals(spec.fingerprint, JobSpec.parse(spec.encode()).fingerprint)
+        val spec = JobSpecCodec.decode(Json.parse(good))
+        assertEquals(spec, JobSpecCodec.decode(JobSpecCodec.encode(spec)))
+        assertEquals(spec.fingerprint, JobSpecCodec.decode(JobSpecCodec.encode(spec)).fingerprint)
     }
 
     @Test
     fun `a gang is read, written and read again alike, and is not taken for an array`() {
-        val spec = JobSpec.parse(Json.parse(good.replace("\"array\"", "\"ensemble\"")))
+        val spec = JobSpecCodec.decode(Json.parse(good.replace("\"array\"", "\"ensemble\"")))
         assertEquals(true, spec.gang)
-        assertEquals(spec, JobSpec.parse(spec.encode()))
-        assertNotEquals(JobSpec.parse(Json.parse(good)).fingerprint, spec.fingerprint)
+        assertEquals(spec, JobSpecCodec.decode(JobSpecCodec.encode(spec)))
+        assertNotEquals(JobSpecCodec.decode(Json.parse(good)).fingerprint, spec.fingerprint)
     }
 
     @Test
--- a/src/test/kotlin/burlridge/loopback/LoopbackCluster.kt
+++ b/src/test/kotlin/burlridge/loopback/LoopbackCluster.kt
@@ -4,6 +4,7 @@
 import burlridge.core.Effect
 import burlridge.core.Input
 import burlridge.job.JobSpec
+import burlridge.job.JobSpecCodec
 import burlridge.job.Priority
 import burlridge.job.Resources
 import burlridge.json.Json
@@ -237,7 +238,7 @@
     }
 
     private fun attempt(spec: JobSpec) {
-        request(USER, members.random(random), "POST", "/api/jobs", spec.encode().toString(), SUBMIT_SECONDS) { status, _ ->
+        request(USER, members.random(random), "POST", "/api/jobs", JobSpecCodec.encode(spec).toString(), SUBMIT_SECONDS) { status, _ ->
             if (status == 200 || status == 201) poll(spec) else clock.after(1.0) { attempt(spec) }
         }
     }
--- a/src/test/kotlin/burlridge/simulation/RollingUpgradeTest.kt
+++ b/src/test/kotlin/burlridge/simulation/RollingUpgradeTest.kt
@@ -1,5 +1,6 @@
 package burlridge.simulation
 
+import burlridge.job.JobSpecCodec
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Assertions.assertTrue
 import org.junit.jupiter.api.Test
@@ -61,7 +62,7 @@
             cluster.invariants.submitted(spec)
             cluster.clock.after(at) {
                 val member = cluster.upgraded().randomOrNull(cluster.random) ?: return@after
-                cluster.request("user", member, "POST", "/api/jobs", spec.encode().toString(), 5.0) { status, _ ->
+                cluster.request("user", member, "POST", "/api/jobs", JobSpecCodec.encode(spec).toString(), 5.0) { status, _ ->
                     answers += at to status
                     cluster.invariants.answered(spec.id, status, null, submission = true)
                 }
--- a/src/test/kotlin/burlridge/simulation/SimulatedUsers.kt
+++ b/src/test/kotlin/burlridge/simulation/SimulatedUsers.kt
@@ -1,6 +1,7 @@
 package burlridge.simulation
 
 import burlridge.job.JobSpec
+import burlridge.job.JobSpecCodec
 import burlridge.job.Priority
 import burlridge.job.Resources
 import burlridge.json.Json
@@ -63,7 +64,7 @@
 
 private fun SimulatedCluster.attempt(spec: JobSpec) {
     val askedAt = clock.now
-    request("user", anyMember(), "POST", "/api/jobs", spec.encode().toString(), 5.0) { status, body ->
+    request("user", anyMember(), "POST", "/api/jobs", JobSpecCodec.encode(spec).toString(), 5.0) { status, body ->
         invariants.answered(spec.id, status, standing(body), submission = true, askedAt)
         if (status == 201) lookClosely(spec)
         if (status == 200 || status == 201) poll(spec, 0) else clock.after(1.0) { attempt(spec) }
@@ -93,7 +94,7 @@
     member: String,
 ) {
     val askedAt = clock.now
-    request("user", member, "POST", "/api/jobs", spec.encode().toString(), 5.0) { status, body ->
+    request("user", member, "POST", "/api/jobs", JobSpecCodec.encode(spec).toString(), 5.0) { status, body ->
         invariants.answered(spec.id, status, standing(body), submission = true, askedAt)
     }
 }
@@ -151,8 +152,8 @@
 internal fun SimulatedCluster.sendWrongOnes(until: Double) {
     if (clock.now > until) return
     val number = 900_000 + (clock.now * 10).toInt()
-    val lacking = job(number, 1).encode().toString().replace("\"crew\":\"crew-y\",", "")
-    val huge = job(number + 1, 1, cpus = 1000.0).encode().toString()
+    val lacking = JobSpecCodec.encode(job(number, 1)).toString().replace("\"crew\":\"crew-y\",", "")
+    val huge = JobSpecCodec.encode(job(number + 1, 1, cpus = 1000.0)).toString()
     listOf(number to lacking, number + 1 to huge).forEach { (id, body) ->
         request(
             "user",
--- a/src/test/kotlin/burlridge/simulation/SubmissionTest.kt
+++ b/src/test/kotlin/burlridge/simulation/SubmissionTest.kt
@@ -1,6 +1,7 @@
 package burlridge.simulation
 
 import burlridge.job.JobSpec
+import burlridge.job.JobSpecCodec
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Test
 
@@ -11,7 +12,14 @@
         members.forEach { member ->
             repeat(2) { i ->
                 clock.after(20.0 + 2 * i) {
-                    request("user", member, "POST", "/api/jobs", spec.encode().toString(), 5.0) { status, _ -> answers += status }
+                    request(
+                        "user",
+                        member,
+                        "POST",
+                        "/api/jobs",
+                        JobSpecCodec.encode(spec).toString(),
+                        5.0,
+                    ) { status, _ -> answers += status }
                 }
             }
         }
