--- a/src/main/kotlin/burlridge/fleet/CapacityDemand.kt
+++ b/src/main/kotlin/burlridge/fleet/CapacityDemand.kt
@@ -6,83 +6,86 @@
 import burlridge.job.JobSpec
 import burlridge.job.Priority
 
-/** How many tasks want room now, and how many more should find room at once. */
+/** How many tasks need capacity now, and for how many more it should be there before they come. */
 internal class CapacityDemand(
     private val context: StepContext,
     private val registry: JobRegistry,
 ) {
-    private val waits = context.settings.objectives.filter { it.kind == "wait" && it.jobClass != null && it.withinSeconds != null }
-    private val recent = HashMap<String, ArrayDeque<Job>>()
-    private val seen = HashSet<String>()
+    private val operator = context.settings.operator
+    private val waitObjectives =
+        context.settings.objectives.filter { it.kind == "wait" && it.jobClass != null && it.withinSeconds != null }
+    private val recentJobs = RecentJobs(context, registry)
 
     /**
-     * Where no team is guaranteed anything, nobody counts what a team uses, and no aim speaks of money: whatever can be had is
-     * kept. Guarantees are bought, so where there are some, machines are rented for work that is there or surely comes.
+     * Whether all machines that can be had are kept: where no team has a guaranteed quota, nobody accounts for what a team uses, and no
+     * objective is about cost. Where there are guarantees, machines are rented for work that is there or surely comes.
      */
     val keepsAllMachines: Boolean =
         context.settings.teams.values
             .none { it.cpus > 0 || it.gpus > 0 }
 
-    /** Tasks of one kind that want room, how long they may still wait for it, and how many like them have some already. */
+    /** Tasks of one job class that need capacity. */
     data class Need(
         val spec: JobSpec,
         val tasks: Int,
+        /** How long they may still wait by the objectives; negative if they are late. */
         val slackSeconds: Double,
-        val held: Int,
+        /** How many tasks of their job class have an allocation already. */
+        val allocatedTasks: Int,
     )
 
-    /** Takes note of the jobs there are, so that what comes can be guessed from what came. */
-    fun observe() {
-        registry.jobs.values.forEach { if (!it.isEnding && seen.add(it.spec.id)) remember(it) }
-        // A job that is over does not come again.
-        if (seen.size > MOST_SEEN && seen.size > registry.jobs.size * 2) seen.retainAll(registry.jobs.keys)
-    }
+    /** Takes note of the jobs that are new, from which coming ones are predicted. */
+    fun observe() = recentJobs.observe()
+
+    /** Types that some kind of recent job cannot do without. */
+    fun indispensableTypes(catalog: Catalog): Set<String> = recentJobs.indispensableTypes(catalog)
 
-    fun wanted(types: Catalog): List<Need> {
-        val now = registry.jobs.values.filter { !it.isEnding }
-        val held = HashMap<String, Int>()
-        now.forEach { held.merge(it.spec.jobClass, it.allocations.size, Int::plus) }
+    /** All needs, in the order in which placement serves them: capacity that is reserved for gangs is not there for job arrays. */
+    fun needs(catalog: Catalog): List<Need> {
+        val unfinished = registry.jobs.values.filter { !it.isEnding }
+        val allocatedTasks = allocatedTasksByClass { true }
         val waiting =
-            now.filter { it.unallocatedCount > 0 }.map {
-                Need(
-                    it.spec,
-                    it.unallocatedCount,
-                    slackSeconds(it),
-                    held[it.spec.jobClass] ?: 0,
-                )
+            unfinished.filter { it.unallocatedCount > 0 }.map {
+                Need(it.spec, it.unallocatedCount, slackSeconds(it), allocatedTasks[it.spec.jobClass] ?: 0)
             }
-        // In the order in which placement gives room away: what is kept for gangs is no room for arrays.
         val (gangs, arrays) = waiting.sortedBy { it.spec.priority }.partition { it.spec.gang }
-        return gangs + expectedGangs(types) + arrays + headroom()
+        return gangs + expectedGangs(catalog) + arrays + headroom()
+    }
+
+    private fun allocatedTasksByClass(isCounted: (Job) -> Boolean): Map<String, Int> {
+        val counts = HashMap<String, Int>()
+        registry.jobs.values.forEach {
+            if (!it.isEnding && isCounted(it)) counts.merge(it.spec.jobClass, it.allocations.size, Int::plus)
+        }
+        return counts
     }
 
     /**
-     * Room for the gangs that come while a machine boots, or where machines are kept anyway while others fall free; and two
-     * machines for each job class that is to start at once and of which nothing has come yet.
+     * Gangs that are likely to come while a machine boots, or, where machines are kept anyway, while others become free; and two machines
+     * for each job class that is to start at once and has had no job yet.
      */
-    fun expectedGangs(types: Catalog): List<Need> {
+    fun expectedGangs(catalog: Catalog): List<Need> {
         if (context.settings.workers.gang == null) return emptyList()
-        val cheapest = types.types.values.minByOrNull { it.price } ?: return emptyList()
-        val held = HashMap<String, Int>()
-        registry.jobs.values.forEach {
-            if (it.spec.gang &&
-                !it.isEnding
-            ) {
-                held.merge(it.spec.jobClass, it.allocations.size, Int::plus)
-            }
-        }
-        return waits.distinctBy { it.jobClass }.mapNotNull { aim ->
-            val list = recent[aim.jobClass]
-            val tightSeconds = aim.withinSeconds ?: Double.MAX_VALUE
+        val cheapest = catalog.types.values.minByOrNull { it.price } ?: return emptyList()
+        val allocatedTasks = allocatedTasksByClass { it.spec.gang }
+        return waitObjectives.distinctBy { it.jobClass }.mapNotNull { objective ->
+            val jobs = recentJobs.of(objective.jobClass)
+            val withinSeconds = objective.withinSeconds ?: Double.MAX_VALUE
             when {
-                list == null -> unseen(aim.jobClass.orEmpty(), cheapest).takeIf { tightSeconds < cheapest.bootSeconds }
-                !list.last().spec.gang || hasStoppedArriving(list) -> null
-                else -> Need(list.last().spec, gangTasks(list, held[aim.jobClass] ?: 0, cheapest.bootSeconds), Double.MAX_VALUE, 0)
+                jobs == null -> needOfNewClass(objective.jobClass.orEmpty(), cheapest).takeIf { withinSeconds < cheapest.bootSeconds }
+                !jobs.last().spec.gang || recentJobs.hasStoppedArriving(jobs) -> null
+                else -> expectedGangs(jobs, allocatedTasks[objective.jobClass] ?: 0, cheapest.bootSeconds)
             }
         }
     }
 
-    private fun unseen(
+    private fun expectedGangs(
+        jobs: List<Job>,
+        allocatedTasks: Int,
+        bootSeconds: Double,
+    ): Need = Need(jobs.last().spec, expectedGangTasks(jobs, allocatedTasks, bootSeconds), Double.MAX_VALUE, 0)
+
+    private fun needOfNewClass(
         jobClass: String,
         type: MachineType,
     ): Need {
@@ -93,7 +96,7 @@
                 context.settings.teams.keys
                     .first(),
                 Priority.LOW,
-                BET_MACHINES,
+                NEW_CLASS_MACHINES,
                 type.size,
                 "",
                 0.0,
@@ -107,86 +110,61 @@
                 saveSeconds = 0.0,
                 deadlineSeconds = null,
             )
-        return Need(spec, BET_MACHINES, Double.MAX_VALUE, 0)
+        return Need(spec, NEW_CLASS_MACHINES, Double.MAX_VALUE, 0)
     }
 
-    /** So many tasks of a job class of gangs are likely to come, beyond the room that those who run will leave, before more can be had. */
-    private fun gangTasks(
-        list: List<Job>,
-        held: Int,
+    /** How many tasks of gangs like [jobs] are likely to come before more machines can be had, beyond what running ones will free. */
+    private fun expectedGangTasks(
+        jobs: List<Job>,
+        allocatedTasks: Int,
         bootSeconds: Double,
     ): Int {
-        val soonSeconds = if (keepsAllMachines) context.settings.workers.reportSeconds * SOON_REPORTS else bootSeconds * LONG_BOOT
-        val overSeconds = maxOf((context.wallMillis - list.minOf { it.submittedMillis }) / MILLIS_PER_SECOND.toDouble(), soonSeconds / 2)
-        val jobs = list.size / overSeconds * soonSeconds
-        val tasks = list.map { it.spec.tasks }.average()
-        val draining =
-            held *
-                minOf(
-                    1.0,
-                    soonSeconds /
-                        list
-                            .last()
-                            .spec.estimateSeconds
-                            .coerceAtLeast(1.0),
-                ) / 2
-        val likely = tasks * (jobs + Math.sqrt(jobs) * context.settings.operator.gangDeviations) - draining
-        return Math.ceil(maxOf(likely, list.maxOf { it.spec.tasks }.toDouble())).toInt()
-    }
-
-    private fun remember(job: Job) {
-        val list = recent.getOrPut(job.spec.jobClass) { ArrayDeque() }
-        list.addLast(job)
-        if (list.size > REMEMBERED) list.removeFirst()
+        val horizonSeconds =
+            if (keepsAllMachines) context.settings.workers.reportSeconds * HORIZON_REPORTS else bootSeconds * LONG_BOOT_FACTOR
+        val ageSeconds = (context.wallMillis - jobs.minOf { it.submittedMillis }) / MILLIS_PER_SECOND
+        val observedSeconds = maxOf(ageSeconds, horizonSeconds / 2)
+        val expectedJobs = jobs.size / observedSeconds * horizonSeconds
+        val tasksPerJob = jobs.map { it.spec.tasks }.average()
+        val runSeconds =
+            jobs
+                .last()
+                .spec
+                .estimateSeconds
+                .coerceAtLeast(1.0)
+        val freedTasks = allocatedTasks * minOf(1.0, horizonSeconds / runSeconds) / 2
+        val likelyJobs = expectedJobs + Math.sqrt(expectedJobs) * operator.gangDeviations
+        val likelyTasks = tasksPerJob * likelyJobs - freedTasks
+        return Math.ceil(maxOf(likelyTasks, jobs.maxOf { it.spec.tasks }.toDouble())).toInt()
     }
 
-    /** Types that some kind of recent job cannot do without: other jobs leave them alone while there is another way. */
-    fun indispensable(types: Catalog): Set<String> =
-        recent.values.mapNotNullTo(HashSet()) { list ->
-            types
-                .allowed(list.last().spec)
-                .singleOrNull()
-                ?.name
-        }
-
-    /** How long the tasks of [job] may still wait by what the aims say of its job class; where they say nothing, not at all. */
+    /** How long the tasks of [job] may still wait by the objectives of its class and its deadline; without any, not at all. */
     private fun slackSeconds(job: Job): Double {
         val spec = job.spec
-        val aims = context.settings.objectives.filter { it.jobClass == spec.jobClass }
-        val startBy = aims.filter { it.kind == "wait" }.mapNotNull { it.withinSeconds }
-        val doneBy = aims.filter { it.kind == "finished" }.mapNotNull { it.withinSeconds } + listOfNotNull(spec.deadlineSeconds)
-        val latest = (startBy + doneBy.map { it - spec.estimateSeconds * LONG_RUN }).minOrNull() ?: 0.0
-        return latest - (context.wallMillis - job.submittedMillis) / 1000.0
+        val objectives = context.settings.objectives.filter { it.jobClass == spec.jobClass }
+        val startWithin = objectives.filter { it.kind == "wait" }.mapNotNull { it.withinSeconds }
+        val finishWithin = objectives.filter { it.kind == "finished" }.mapNotNull { it.withinSeconds } + listOfNotNull(spec.deadlineSeconds)
+        val maxWaitSeconds = (startWithin + finishWithin.map { it - spec.estimateSeconds * LONG_RUN_FACTOR }).minOrNull() ?: 0.0
+        return maxWaitSeconds - (context.wallMillis - job.submittedMillis) / MILLIS_PER_SECOND
     }
 
-    /** For job classes with a wait aim, room for a job of the usual size, as long as jobs of it come. */
+    /** For each class of job arrays with a wait objective, capacity for part of a usual job, as long as jobs of it come. */
     private fun headroom(): List<Need> =
-        waits.mapNotNull { aim ->
-            val list = recent[aim.jobClass]?.takeIf { !it.last().spec.gang && !hasStoppedArriving(it) } ?: return@mapNotNull null
-            val usual = list.map { it.spec.tasks }.average()
-            Need(list.last().spec, Math.ceil(usual * context.settings.operator.headroom).toInt(), Double.MAX_VALUE, 0)
+        waitObjectives.mapNotNull { objective ->
+            val jobs = recentJobs.of(objective.jobClass)?.takeIf { !it.last().spec.gang && !recentJobs.hasStoppedArriving(it) }
+            if (jobs == null) return@mapNotNull null
+            val tasksPerJob = jobs.map { it.spec.tasks }.average()
+            Need(jobs.last().spec, Math.ceil(tasksPerJob * operator.headroom).toInt(), Double.MAX_VALUE, 0)
         }
 
-    /** Whether nothing has come for many times as long as usual: then what is kept free would be paid for nobody. */
-    private fun hasStoppedArriving(list: List<Job>): Boolean {
-        if (list.size < REMEMBERED) return false
-        val submitted = list.map { it.submittedMillis }
-        val gapMillis = (submitted.max() - submitted.min()).toDouble() / (list.size - 1)
-        return context.wallMillis - submitted.max() > maxOf(gapMillis * DRY_GAPS, context.settings.workers.leaseSeconds * MILLIS_PER_SECOND)
-    }
-
     private companion object {
-        const val REMEMBERED = 10
-        const val MOST_SEEN = 1000
-        const val DRY_GAPS = 8
-        const val BET_MACHINES = 2
-
-        /** Boots take up to half as long again as their type's figure. */
-        const val LONG_BOOT = 1.5
-        const val SOON_REPORTS = 4
-        const val MILLIS_PER_SECOND = 1000
-
-        /** Estimates are often wrong by half. */
-        const val LONG_RUN = 1.5
+        const val NEW_CLASS_MACHINES = 2
+
+        /** Boots take up to so many times their type's figure. */
+        const val LONG_BOOT_FACTOR = 1.5
+        const val HORIZON_REPORTS = 4
+        const val MILLIS_PER_SECOND = 1000.0
+
+        /** Run times are often so many times their estimate. */
+        const val LONG_RUN_FACTOR = 1.5
     }
 }
--- a/src/main/kotlin/burlridge/fleet/CatalogCache.kt
+++ b/src/main/kotlin/burlridge/fleet/CatalogCache.kt
@@ -1,9 +1,7 @@
 package burlridge.fleet
 
 import burlridge.allocation.JobRegistry
-import burlridge.core.CallOutcome
 import burlridge.core.StepContext
-import burlridge.json.Json
 import burlridge.leadership.Leadership
 import burlridge.store.Change
 import burlridge.store.ReadResult
@@ -11,67 +9,60 @@
 import burlridge.store.StoreClient
 import burlridge.store.Transaction
 import burlridge.store.TransactionResult
-import com.fasterxml.jackson.databind.JsonNode
+import burlridge.worker.Machine
 
-/** Asks the cloud for its machine types, and keeps a copy in the state service for a start during an outage of the cloud. */
+/** Reads the cloud's machine types, and keeps a copy in the key-value store for members that start during an outage of the cloud. */
 internal class CatalogCache(
     private val context: StepContext,
     private val store: StoreClient,
     private val leadership: Leadership,
     private val registry: JobRegistry,
+    private val cloud: CloudApi,
 ) {
+    /** Null until it has been read from the cloud or the store. */
     var catalog: Catalog? = null
         private set
-    private var askedAt = -1e9
-    private var busy = false
-    private var kept = false
+    private var readAt = Machine.NEVER
+    private var isReading = false
+    private var isStored = false
 
+    /** Has the next catalog stored again, when leadership ends. */
     fun clear() {
-        kept = false
+        isStored = false
     }
 
-    /** Every member needs the machine types to judge a submission. */
+    /** Reads the catalog, if it is time; every member needs it to validate submissions. */
     fun tick() {
-        if (busy || context.now < askedAt + if (catalog == null) 1.0 else CATALOG_SECONDS) return
-        busy = true
-        askedAt = context.now
-        context.call(context.settings.cloud, "GET", "/catalog", null, CLOUD_TIMEOUT_SECONDS) { outcome ->
-            busy = false
-            val body = (outcome as? CallOutcome.Responded)?.takeIf { it.status == 200 }?.let { Json.parseOrNull(it.body) }
-            val parsed = Catalog.parse(body)
-            when {
-                parsed != null && body != null -> {
-                    catalog = parsed
-                    keepCatalog(body)
-                }
-
-                catalog == null -> {
-                    store.get("catalog", RequestPriority.USER) { read ->
-                        if (read is ReadResult.Found &&
-                            catalog == null
-                        ) {
-                            catalog = Catalog.parse(read.value.value)
-                        }
-                    }
-                }
+        val intervalSeconds = if (catalog == null) RETRY_SECONDS else REFRESH_SECONDS
+        if (isReading || context.now < readAt + intervalSeconds) return
+        isReading = true
+        readAt = context.now
+        cloud.readCatalog { row ->
+            isReading = false
+            if (row != null) {
+                catalog = row.catalog
+                store(row)
+            } else if (catalog == null) {
+                readStored()
             }
         }
     }
 
-    /** Kept so that a start during a cloud outage still knows the machine types. */
-    private fun keepCatalog(body: JsonNode) {
-        if (!leadership.isLeader || kept) return
-        kept = true
-        store.commit(Transaction(listOf(registry.fenceCondition()), listOf(Change.Put("catalog", body))), RequestPriority.CLEANUP) {
-            if (it !is TransactionResult.Committed) {
-                kept =
-                    false
-            }
+    private fun readStored() {
+        store.get(CatalogRow.KEY, RequestPriority.USER) { read ->
+            if (read is ReadResult.Found && catalog == null) catalog = CatalogRow.decode(read.value.value)?.catalog
         }
     }
 
+    private fun store(row: CatalogRow) {
+        if (!leadership.isLeader || isStored) return
+        isStored = true
+        val transaction = Transaction(listOf(registry.fenceCondition()), listOf(Change.Put(CatalogRow.KEY, row.value)))
+        store.commit(transaction, RequestPriority.CLEANUP) { if (it !is TransactionResult.Committed) isStored = false }
+    }
+
     private companion object {
-        const val CATALOG_SECONDS = 60.0
-        const val CLOUD_TIMEOUT_SECONDS = 3.0
+        const val RETRY_SECONDS = 1.0
+        const val REFRESH_SECONDS = 60.0
     }
 }
--- /dev/null
+++ b/src/main/kotlin/burlridge/fleet/CloudApiCodec.kt
@@ -0,0 +1,28 @@
+package burlridge.fleet
+
+import burlridge.json.Json
+
+/** The JSON of the cloud's API for rentals and returns. */
+internal object CloudApiCodec {
+    fun rentRequest(rental: Rental): String =
+        Json.write(
+            Json.obj {
+                put("hire", "r-${rental.step}")
+                put("breed", rental.offering.type)
+                put("yard", rental.offering.zone)
+                put("loaners", rental.offering.spot)
+                put("number", rental.count)
+            },
+        )
+
+    /** The ids of the machines that were rented; null if [body] does not list them. */
+    fun decodeRentedIds(body: String): List<String>? =
+        Json
+            .parseOrNull(body)
+            ?.get("drovers")
+            ?.takeIf { it.isArray }
+            ?.map { it.asText() }
+
+    fun returnRequest(ids: List<String>): String =
+        Json.write(Json.obj { putArray("drovers").also { array -> ids.forEach { array.add(it) } } })
+}
--- a/src/main/kotlin/burlridge/fleet/FreeCapacity.kt
+++ b/src/main/kotlin/burlridge/fleet/FreeCapacity.kt
@@ -3,24 +3,27 @@
 import burlridge.job.JobSpec
 import burlridge.job.Resources
 
-/** What is free, now or soon, of one machine. */
+/** The free resources of one machine, which may be still to come. */
 internal class FreeCapacity(
-    val type: String,
-    val zone: String,
-    val spot: Boolean,
-    var free: Resources,
+    val offering: InstanceOffering,
+    free: Resources,
 ) {
-    fun allows(spec: JobSpec): Boolean = spec.allows(type, zone, spot)
+    var free: Resources = free
+        private set
 
-    fun seats(size: Resources): Int = free.holds(size)
+    /** Whether tasks of [spec] may run there at all. */
+    fun allows(spec: JobSpec): Boolean = spec.allows(offering.type, offering.zone, offering.spot)
 
-    /** Takes room for up to [most] tasks of [size]; returns how many found some. */
+    /** How many tasks of [size] fit. */
+    fun fitCount(size: Resources): Int = free.holds(size)
+
+    /** Takes the resources of up to [maxTasks] tasks of [size]; returns of how many. */
     fun take(
         size: Resources,
-        most: Int,
+        maxTasks: Int,
     ): Int {
         var taken = 0
-        while (taken < most && size.fits(free)) {
+        while (taken < maxTasks && size.fits(free)) {
             free -= size
             taken++
         }
--- a/src/main/kotlin/burlridge/fleet/CloudInventory.kt
+++ b/src/main/kotlin/burlridge/fleet/MachinePage.kt
@@ -17,24 +17,30 @@
     val type: String? = null,
     val zone: String? = null,
     val spot: Boolean? = null,
+    /** The state as the cloud spells it; only [STARTING] and [FAILED] are acted on. */
     val state: String = "",
     /** Seconds since the rental was asked for, at the time that the list describes. */
     val ageSeconds: Double = 0.0,
-)
+) {
+    internal companion object {
+        const val STARTING: String = "starting"
+        const val FAILED: String = "failed"
+    }
+}
 
 /** One page of the cloud's list of machines. */
 internal data class MachinePage(
     val machines: List<ListedMachine>,
     /** Whether more machines follow. */
-    val truncated: Boolean,
+    val isTruncated: Boolean,
 ) {
     internal companion object {
-        /** Null for what is no such page. */
+        /** Null for anything but such a page. */
         fun decode(body: String): MachinePage? = JsonStream.decodeObject(body, ::readPage)
     }
 }
 
-/** Of a field that stands twice the last one counts. */
+/** Where a field occurs twice, the last one counts. */
 private fun readPage(parser: JsonParser): MachinePage? {
     var machines: List<ListedMachine>? = null
     var truncated = false
--- a/src/main/kotlin/burlridge/fleet/PriceSelector.kt
+++ b/src/main/kotlin/burlridge/fleet/PriceSelector.kt
@@ -2,48 +2,62 @@
 
 import burlridge.job.JobSpec
 
-/** What an offer costs a task. */
+/** Chooses the offering whose machines cost the least for each task that they hold. */
 internal object PriceSelector {
-    const val DEAR_FACTOR = 2.0
+    /** An offering that costs so many times as much as the cheapest one is expensive. */
+    const val EXPENSIVE_FACTOR: Double = 2.0
 
-    /** How much dearer a scarce type counts to jobs that can do without it. */
-    private const val SCARCE_FACTOR = 3.0
+    /** So many times its price an indispensable type counts for jobs that can do without it. */
+    private const val INDISPENSABLE_FACTOR = 3.0
+
+    /** Tasks that a machine holds of a resource that they do not use. */
+    private const val UNBOUNDED_TASKS = 1e3
+
+    private class PricedOffering(
+        val offering: InstanceOffering,
+        val pricePerTask: Double,
+    )
 
     /**
-     * The cheapest offer for a task of [spec] that the cloud has not just refused. One that costs twice as much as the cheapest
-     * there is, refused or not, is taken only for what cannot wait for cheap machines to fall free.
+     * The cheapest offering for a task of [spec] that [isRefused] lets through; null if there is none. An expensive one, compared with the
+     * cheapest whether refused or not, is chosen only if the task cannot wait for a cheaper machine ([canWait]).
      */
     fun cheapest(
-        types: Catalog,
+        catalog: Catalog,
         spec: JobSpec,
-        scarce: Set<String>,
-        refused: (InstanceOffering) -> Boolean,
+        indispensableTypes: Set<String>,
+        isRefused: (InstanceOffering) -> Boolean,
         canWait: () -> Boolean,
     ): InstanceOffering? {
-        val allowed = types.allowed(spec)
-        val costs =
-            allowed.flatMap { type ->
-                val dearer = if (type.name in scarce && allowed.size > 1) SCARCE_FACTOR else 1.0
-                type.zones.filter { spec.zone == null || it == spec.zone }.flatMap { zone ->
-                    listOf(true, false).filter { !it || spec.spot }.map { spot ->
-                        InstanceOffering(type.name, zone, spot) to (if (spot) type.spotPrice else type.price) * dearer / fitting(type, spec)
-                    }
+        val priced = pricedOfferings(catalog, spec, indispensableTypes)
+        val lowestPrice = priced.minOfOrNull { it.pricePerTask } ?: return null
+        val cheapest = priced.filterNot { isRefused(it.offering) }.minByOrNull { it.pricePerTask } ?: return null
+        return cheapest.offering.takeIf { cheapest.pricePerTask <= lowestPrice * EXPENSIVE_FACTOR || !canWait() }
+    }
+
+    private fun pricedOfferings(
+        catalog: Catalog,
+        spec: JobSpec,
+        indispensableTypes: Set<String>,
+    ): List<PricedOffering> {
+        val allowed = catalog.allowed(spec)
+        return allowed.flatMap { type ->
+            val factor = if (type.name in indispensableTypes && allowed.size > 1) INDISPENSABLE_FACTOR else 1.0
+            type.zones.filter { spec.zone == null || it == spec.zone }.flatMap { zone ->
+                listOf(true, false).filter { !it || spec.spot }.map { spot ->
+                    val price = if (spot) type.spotPrice else type.price
+                    PricedOffering(InstanceOffering(type.name, zone, spot), price * factor / tasksPerMachine(type, spec))
                 }
             }
-        val least = costs.minOfOrNull { it.second } ?: return null
-        val (offering, cost) = costs.filterNot { refused(it.first) }.minByOrNull { it.second } ?: return null
-        return offering.takeIf { cost <= least * DEAR_FACTOR || !canWait() }
+        }
     }
 
-    /** How many tasks of [spec] a machine of [type] holds. */
-    private fun fitting(
+    private fun tasksPerMachine(
         type: MachineType,
         spec: JobSpec,
     ): Double {
-        val byCpu = if (spec.size.cpus > 0) type.size.cpus / spec.size.cpus else PLENTY
-        val byMemory = if (spec.size.memoryGb > 0) type.size.memoryGb / spec.size.memoryGb else PLENTY
+        val byCpu = if (spec.size.cpus > 0) type.size.cpus / spec.size.cpus else UNBOUNDED_TASKS
+        val byMemory = if (spec.size.memoryGb > 0) type.size.memoryGb / spec.size.memoryGb else UNBOUNDED_TASKS
         return Math.floor(minOf(byCpu, byMemory)).coerceAtLeast(1.0)
     }
-
-    private const val PLENTY = 1e3
 }
--- /dev/null
+++ b/src/main/kotlin/burlridge/fleet/RentalRows.kt
@@ -0,0 +1,70 @@
+package burlridge.fleet
+
+import burlridge.leadership.Leadership
+import burlridge.store.Change
+import burlridge.store.Condition
+import burlridge.store.RequestPriority
+import burlridge.store.StoreClient
+import burlridge.store.Transaction
+import burlridge.store.TransactionResult
+
+/** Writes and deletes the rows of rentals, under the leader's fence. */
+internal class RentalRows(
+    private val store: StoreClient,
+    private val leadership: Leadership,
+) {
+    /** Writes the row of [rental]; [onResult] gets whether it exists now. Nothing is called if leadership has ended. */
+    fun write(
+        rental: Rental,
+        onResult: (isWritten: Boolean) -> Unit,
+    ) {
+        val transaction =
+            Transaction(
+                listOf(leadership.fenceCondition(), Condition(rental.rowKey, 0)),
+                listOf(Change.Put(rental.rowKey, RentalRowCodec.encode(rental, leadership.term))),
+            )
+        val isStillLeading = leadership.whileLeading(leadership.term)
+        store.commitUntilKnown(transaction, RequestPriority.CLAIM, isStillLeading) { result ->
+            when {
+                result is TransactionResult.Committed -> {
+                    rental.modRevision = result.revision
+                    onResult(true)
+                }
+
+                result is TransactionResult.Conflict && Leadership.TERM in result.failed -> {
+                    leadership.stepDownOnPassedTerm()
+                }
+
+                // An earlier copy of this transaction was applied.
+                result is TransactionResult.Conflict -> {
+                    rental.modRevision = UNKNOWN_REVISION
+                    onResult(true)
+                }
+
+                else -> {
+                    onResult(false)
+                }
+            }
+        }
+    }
+
+    /** Deletes the row of [rental]. */
+    fun delete(
+        rental: Rental,
+        onDeleted: () -> Unit,
+    ) {
+        rental.modRevision = 0
+        store.commitUntilKnown(
+            Transaction(listOf(leadership.fenceCondition()), listOf(Change.Delete(rental.rowKey))),
+            RequestPriority.CLEANUP,
+            leadership.whileLeading(leadership.term),
+        ) {
+            onDeleted()
+        }
+    }
+
+    private companion object {
+        /** Of a row that exists, where its revision is not known; rows are deleted whatever their revision. */
+        const val UNKNOWN_REVISION = 1L
+    }
+}
--- a/src/main/kotlin/burlridge/fleet/ScaleIn.kt
+++ b/src/main/kotlin/burlridge/fleet/ScaleIn.kt
@@ -1,177 +1,196 @@
 package burlridge.fleet
 
 import burlridge.allocation.JobRegistry
-import burlridge.core.CallOutcome
 import burlridge.core.StepContext
-import burlridge.json.Json
 import burlridge.leadership.Leadership
 import burlridge.worker.DrainReason
 import burlridge.worker.LossReason
 import burlridge.worker.Machine
 import burlridge.worker.WorkerManager
+import burlridge.worker.hasAllocationsOn
 
-/** Machines that go back to the cloud: the failed, the overdue, the silent, the deaf and the idle. */
+/** The offering that a machine is of. */
+internal val Machine.offering: InstanceOffering get() = InstanceOffering(type, zone, spot)
+
+/** Returns machines to the cloud: those that are lost or drained, and those that are idle and not needed. */
 internal class ScaleIn(
     private val context: StepContext,
     private val leadership: Leadership,
     private val registry: JobRegistry,
     private val workers: WorkerManager,
-    private val rentals: ScaleOut,
+    private val scaleOut: ScaleOut,
+    private val cloud: CloudApi,
 ) {
-    private val idleSeconds = context.settings.workers.reportSeconds * context.settings.operator.idleReports
+    private val workerSettings = context.settings.workers
+    private val idleSeconds = workerSettings.reportSeconds * context.settings.operator.idleReports
 
-    /** Machines that failed, or whose boot has taken far too long, go back. */
-    fun discard(types: Catalog) {
-        val heard = zonesWithHeartbeats()
+    /** Returns machines that are dead, cut off, overdue, or drained and empty. */
+    fun returnLost(catalog: Catalog) {
+        val reportingZones = reportingZones()
         for (machine in workers.machines.values) {
-            val boot = types.types[machine.type]?.bootSeconds ?: continue
-            // To a new leader every machine is silent at first: only one that the cloud still calls starting is overdue.
-            val overdue =
-                machine.isStarting && !machine.isUp && machine.rentedAt > 0 && context.now > machine.rentedAt + boot * OVERDUE_BOOTS
-            if (machine.zone in heard && isConfirmedDead(machine)) {
-                context.infoRateLimited(
-                    "silent machines returned",
-                    "machine ${machine.id} is silent for ${(context.now - machine.silentSince).toInt()} s and " +
-                        "cannot be reached; returning it to be certain",
-                )
-                machine.isDead = true
-            }
-            val unresponsiveSince = machine.unresponsiveSince
-            if (machine.zone in heard && !machine.isDead && unresponsiveSince != null &&
-                context.now > unresponsiveSince + context.settings.workers.leaseSeconds / 2
-            ) {
-                context.infoRateLimited(
-                    "deaf machines returned",
-                    "machine ${machine.id} reports but has heard nothing for ${(context.now - unresponsiveSince).toInt()} s; returning it",
-                )
-                machine.isDead = true
-            }
-            if (overdue && !machine.isDraining) {
-                context.info("machine ${machine.id} has not come up in ${(context.now - machine.rentedAt).toInt()} s; returning it")
-                machine.drainReason = DrainReason.OVERDUE
+            val type = catalog.types[machine.type] ?: continue
+            val isZoneReporting = machine.zone in reportingZones
+            val isOverdue = isOverdue(machine, type)
+            if (isZoneReporting) {
+                if (isSilentAndUnreachable(machine)) giveUpSilent(machine)
+                giveUpIfUnresponsive(machine)
             }
+            if (isOverdue && !machine.isDraining) drainOverdue(machine)
         }
         // Hundreds may be due at once, and each second counts for the tasks on them.
         workers.machines.values
-            .filter { !it.isReturning && (it.isDead || isEmptied(it)) }
-            .chunked(MOST_PER_RETURN)
-            .take(MOST_RETURNS)
-            .forEach { giveBack(it) }
+            .filter { !it.isReturning && (it.isDead || isDrainedEmpty(it)) }
+            .chunked(MAX_MACHINES_PER_CALL)
+            .take(MAX_CALLS_PER_PLAN)
+            .forEach { returnMachines(it) }
     }
 
-    /** An operator's drain can wait until the ends that only its worker keeps are durable. */
-    private fun isEmptied(machine: Machine): Boolean {
-        if (!machine.isDraining || !registry.allocations.byMachine[machine.id].isNullOrEmpty()) return false
+    /** To a new leader every machine is silent at first, so only one that the cloud still calls starting is overdue. */
+    private fun isOverdue(
+        machine: Machine,
+        type: MachineType,
+    ): Boolean =
+        machine.isStarting && !machine.isUp && machine.rentedAt > 0 &&
+            context.now > machine.rentedAt + type.bootSeconds * OVERDUE_BOOT_FACTOR
+
+    private fun drainOverdue(machine: Machine) {
+        context.info("machine boot overdue, returning it", "machine" to machine.id, "sinceSeconds" to secondsSince(machine.rentedAt))
+        machine.drainReason = DrainReason.OVERDUE
+    }
+
+    private fun giveUpSilent(machine: Machine) {
+        context.infoLimited(
+            "machine silent and unreachable, returning it",
+            "machine" to machine.id,
+            "silentSeconds" to secondsSince(machine.silentSince),
+        )
+        machine.isDead = true
+    }
+
+    private fun giveUpIfUnresponsive(machine: Machine) {
+        val unresponsiveSince = machine.unresponsiveSince
+        if (machine.isDead || unresponsiveSince == null || context.now <= unresponsiveSince + workerSettings.leaseSeconds / 2) return
+        context.infoLimited(
+            "machine unresponsive, returning it",
+            "machine" to machine.id,
+            "unresponsiveSeconds" to secondsSince(unresponsiveSince),
+        )
+        machine.isDead = true
+    }
+
+    private fun secondsSince(time: Double): Int = (context.now - time).toInt()
+
+    /** A drain by operators waits until the ends of tasks that only the worker keeps are stored. */
+    private fun isDrainedEmpty(machine: Machine): Boolean {
+        if (!machine.isDraining || registry.hasAllocationsOn(machine)) return false
         return machine.drainReason != DrainReason.OPERATOR || machine.reportedTasks.isEmpty() || machine.isLeaseExpired
     }
 
     /**
-     * A machine that reported to this leader and fell silent is dead or cut off. Returning it settles which, well before its
-     * worker's lease would. Not where many are silent at once: then the fault is more likely ours or the network's.
+     * Whether [machine] has fallen silent and does not answer commands: it is dead or cut off, and returning it ends its tasks for certain,
+     * well before its worker's lease would.
      */
-    private fun isConfirmedDead(machine: Machine): Boolean {
-        val wanted = machine.isUp || !registry.allocations.byMachine[machine.id].isNullOrEmpty()
-        if (!wanted || machine.isDead || machine.isLeaseExpired || machine.isStarting ||
-            machine.consecutiveCommandFailures < TRIES_TO_BURY
-        ) {
-            return false
-        }
-        return workers.receivesHeartbeatsFrom(machine.zone) &&
-            context.now > machine.silentSince + context.settings.workers.reportSeconds * DEAD_REPORTS
+    private fun isSilentAndUnreachable(machine: Machine): Boolean {
+        val isExpected = machine.isUp || registry.hasAllocationsOn(machine)
+        if (!isExpected || machine.isDead || machine.isLeaseExpired || machine.isStarting) return false
+        if (machine.consecutiveCommandFailures < MIN_COMMAND_FAILURES) return false
+        val silentUntil = machine.silentSince + workerSettings.reportSeconds * MAX_SILENT_REPORTS
+        return workers.receivesHeartbeatsFrom(machine.zone) && context.now > silentUntil
     }
 
-    /** The zones most of whose machines are heard from, so that the silence of one is its own. */
-    private fun zonesWithHeartbeats(): Set<String> {
-        val up = workers.machines.values.filter { it.isUp && !it.isLeaseExpired }
-        return up
+    /** The zones most of whose machines report. Elsewhere the fault is more likely this member's or the network's than a machine's. */
+    private fun reportingZones(): Set<String> =
+        workers.machines.values
+            .filter { it.isUp && !it.isLeaseExpired }
             .groupBy { it.zone }
-            .filterValues { there ->
-                there.count {
-                    it.isResponsive &&
-                        context.now < it.lastMessageAt + context.settings.workers.reportSeconds * 2
-                } >= there.size * MOST_HEARD
-            }.keys
-    }
+            .filterValues { machines -> machines.count { isReporting(it) } >= machines.size * MIN_REPORTING_SHARE }
+            .keys
+
+    private fun isReporting(machine: Machine): Boolean =
+        machine.isResponsive && context.now < machine.lastMessageAt + workerSettings.reportSeconds * 2
 
-    private fun giveBack(list: List<Machine>) {
-        if (list.isEmpty()) return
-        val drained = list.filterTo(HashSet()) { it.drainReason == DrainReason.OPERATOR }
-        list.forEach {
+    private fun returnMachines(machines: List<Machine>) {
+        if (machines.isEmpty()) return
+        val drainedByOperator = machines.filterTo(HashSet()) { it.drainReason == DrainReason.OPERATOR }
+        machines.forEach {
             it.isReturning = true
             it.drainReason = DrainReason.RETURNED
         }
-        val body = Json.obj { putArray("drovers").also { names -> list.forEach { m -> names.add(m.id) } } }
-        val mine = leadership.whileLeading(leadership.term)
-        context.info("returning ${list.joinToString { it.id }}")
-        val timeoutSeconds = Fleet.CLOUD_TIMEOUT_SECONDS * 2
-        context.call(
-            context.settings.cloud,
-            "POST",
-            "/rentals/return",
-            Json.write(body),
-            timeoutSeconds,
-            leadership.commandDeadline,
-        ) { outcome ->
-            if (!mine()) return@call
-            if ((outcome as? CallOutcome.Responded)?.status == 200) {
-                list.forEach {
-                    workers.onMachineGone(it, LossReason.RETURNED)
-                    if (it !in drained) rentals.returned(InstanceOffering(it.type, it.zone, it.spot))
-                }
+        val ids = machines.map { it.id }
+        val isStillLeading = leadership.whileLeading(leadership.term)
+        context.info("returning machines", "machines" to ids.joinToString(","))
+        cloud.returnMachines(ids) { isConfirmed ->
+            if (!isStillLeading()) return@returnMachines
+            if (isConfirmed) {
+                machines.forEach { onReturned(it, isRentedAgain = it !in drainedByOperator) }
             } else {
-                list.forEach { m -> context.schedule(RETRY_SECONDS) { m.isReturning = false } }
+                machines.forEach { machine -> context.schedule(RETRY_SECONDS) { machine.isReturning = false } }
             }
         }
     }
 
-    /**
-     * How long a machine may be idle. The more machines, the less the work on them varies against its mean, and the sooner one
-     * that is idle will not be missed.
-     */
-    private fun patienceSeconds(up: Int): Double = idleSeconds * minOf(1.0, SMOOTH_MACHINES / Math.sqrt(up.coerceAtLeast(1).toDouble()))
+    private fun onReturned(
+        machine: Machine,
+        isRentedAgain: Boolean,
+    ) {
+        workers.onMachineGone(machine, LossReason.RETURNED)
+        if (isRentedAgain) scaleOut.onReturned(machine.offering)
+    }
 
+    /** Returns idle machines that the expected tasks leave empty; [remaining] is what is free once those tasks have their capacity. */
     fun returnIdle(
-        after: List<FreeCapacity>,
-        types: Catalog,
+        remaining: List<FreeCapacity>,
+        catalog: Catalog,
     ) {
-        val up = workers.machines.values.filter { it.isUp && !it.isDraining }
-        val patience = patienceSeconds(up.size)
-        val idle =
-            up.filter { m ->
-                val dear = if (m.spot) 1.0 else PriceSelector.DEAR_FACTOR
-                m.idleSince > 0 && context.now > m.idleSince + patience / dear && registry.allocations.byMachine[m.id].isNullOrEmpty()
-            }
+        val inService = workers.machines.values.filter { it.isUp && !it.isDraining }
+        val patienceSeconds = patienceSeconds(inService.size)
+        val idle = inService.filter { isIdle(it, patienceSeconds) }
         if (idle.isEmpty()) return
-        // Only machines that the expected tasks leave wholly free are spare.
-        val spare =
-            after
-                .filter { s ->
-                    types.types[s.type]?.size == s.free
-                }.groupingBy { InstanceOffering(it.type, it.zone, it.spot) }
+        val unneeded =
+            remaining
+                .filter { catalog.types[it.offering.type]?.size == it.free }
+                .groupingBy { it.offering }
                 .eachCount()
                 .toMutableMap()
-        val back =
-            idle.sortedWith(compareBy({ it.spot }, { it.idleSince })).filter { m ->
-                val offering = InstanceOffering(m.type, m.zone, m.spot)
-                val left = spare[offering] ?: 0
-                if (left > 0) spare[offering] = left - 1
-                left > 0
+        val returned =
+            idle.sortedWith(compareBy({ it.spot }, { it.idleSince })).filter { machine ->
+                val count = unneeded[machine.offering] ?: 0
+                if (count > 0) unneeded[machine.offering] = count - 1
+                count > 0
             }
-        giveBack(back.take(MOST_PER_RETURN))
+        returnMachines(returned.take(MAX_MACHINES_PER_CALL))
+    }
+
+    private fun isIdle(
+        machine: Machine,
+        patienceSeconds: Double,
+    ): Boolean {
+        val priceFactor = if (machine.spot) 1.0 else PriceSelector.EXPENSIVE_FACTOR
+        return machine.idleSince > 0 && context.now > machine.idleSince + patienceSeconds / priceFactor &&
+            !registry.hasAllocationsOn(machine)
+    }
+
+    /**
+     * How long a machine may be idle. The more machines there are, the less the work on them varies against its mean, and the sooner an
+     * idle one is not needed.
+     */
+    private fun patienceSeconds(machineCount: Int): Double {
+        val factor = PATIENCE_SHORTENS_FROM_ROOT / Math.sqrt(machineCount.coerceAtLeast(1).toDouble())
+        return idleSeconds * minOf(1.0, factor)
     }
 
     private companion object {
         const val RETRY_SECONDS = 2.0
-        const val MOST_PER_RETURN = 100
+        const val MAX_MACHINES_PER_CALL = 100
+        const val MAX_CALLS_PER_PLAN = 4
+        const val MAX_SILENT_REPORTS = 2.2
+        const val MIN_COMMAND_FAILURES = 2
+        const val MIN_REPORTING_SHARE = 0.5
 
-        /** Calls for returns in one plan. */
-        const val MOST_RETURNS = 4
-        const val DEAD_REPORTS = 2.2
-        const val TRIES_TO_BURY = 2
-        const val MOST_HEARD = 0.5
-        const val OVERDUE_BOOTS = 3.0
+        /** A boot that takes so many times its type's figure is given up. */
+        const val OVERDUE_BOOT_FACTOR = 3.0
 
-        /** The square root of the fleet from which on patience gets shorter. */
-        const val SMOOTH_MACHINES = 5.0
+        /** The square root of the number of machines from which on the patience gets shorter. */
+        const val PATIENCE_SHORTENS_FROM_ROOT = 5.0
     }
 }
--- a/src/main/kotlin/burlridge/fleet/ScaleOut.kt
+++ b/src/main/kotlin/burlridge/fleet/ScaleOut.kt
@@ -1,237 +1,169 @@
 package burlridge.fleet
 
-import burlridge.core.CallOutcome
 import burlridge.core.StepContext
-import burlridge.json.Json
 import burlridge.leadership.Leadership
-import burlridge.store.Change
-import burlridge.store.Condition
-import burlridge.store.RequestPriority
 import burlridge.store.Row
 import burlridge.store.StoreClient
-import burlridge.store.Transaction
-import burlridge.store.TransactionResult
 import burlridge.worker.WorkerManager
 
-/** One step of the fleet plan: so many machines of a type, zone and kind. */
-internal data class InstanceOffering(
-    val type: String,
-    val zone: String,
-    val spot: Boolean,
-)
-
-internal class Rental(
-    val step: String,
-    val offering: InstanceOffering,
-    val count: Int,
-) {
-    var modRevision: Long = 0
-    var calledAt: Double = 0.0
-
-    /** Set once the cloud's answer is known, or its list has caught up with a call of unknown outcome. */
-    var settledAt: Double? = null
-    var expected: Int = count
-}
-
-/** Rentals, each claimed in a row before the cloud is called; what has an unknown outcome waits for the cloud's list. */
+/**
+ * Rents machines. Each rental is recorded in a row before the cloud is called, so that a new leader knows of it; one of unknown outcome is
+ * kept until the cloud's list must show the machines.
+ */
 internal class ScaleOut(
     private val context: StepContext,
-    private val store: StoreClient,
+    store: StoreClient,
     private val leadership: Leadership,
     private val workers: WorkerManager,
+    private val cloud: CloudApi,
 ) {
     private var nextStep = 0L
     private val rentals = LinkedHashMap<String, Rental>()
-    private val refusedUntil = HashMap<InstanceOffering, Double>()
-    private val refusals = HashMap<InstanceOffering, Int>()
+    private val rows = RentalRows(store, leadership)
+    private val backoff = OfferingBackoff(context)
 
-    /** Those on their way, or of unknown outcome. */
-    val open: Collection<Rental> get() = rentals.values
+    /** Rentals under way or of unknown outcome, and those whose rows are not deleted yet. */
+    val openRentals: Collection<Rental> get() = rentals.values
 
+    /** Whether operators want no machines in a zone. */
+    var isZoneDrained: (String) -> Boolean = { false }
+
+    /** Forgets everything, when leadership ends. */
     fun clear() {
         rentals.clear()
-        refusedUntil.clear()
-        refusals.clear()
+        backoff.clear()
         nextStep = 0
     }
 
-    /** Whether operators want no machines in a zone. */
-    var isZoneDrained: (String) -> Boolean = { false }
+    /** Whether [offering] is not to be rented now: it was refused lately, or its zone is drained. */
+    fun isRefused(offering: InstanceOffering): Boolean = backoff.isBackedOff(offering) || isZoneDrained(offering.zone)
 
-    fun refused(offering: InstanceOffering): Boolean = isHeldOff(offering) || isZoneDrained(offering.zone)
+    /** Whether more of [offering] can be requested now. A few calls at once meet a large need soon. */
+    fun canRent(offering: InstanceOffering): Boolean = !isRefused(offering) && openCallsFor(offering) < MAX_OPEN_CALLS
 
-    private fun isHeldOff(offering: InstanceOffering): Boolean = context.now < (refusedUntil[offering] ?: 0.0)
+    /** Calls for [offering] whose machines are not known yet. */
+    fun openCallsFor(offering: InstanceOffering): Int = rentals.values.count { it.offering == offering && it.expectedMachines > 0 }
 
-    /** What has been returned can be had again. */
-    fun returned(offering: InstanceOffering) {
-        refusedUntil.remove(offering)
-        refusals.remove(offering)
-    }
+    /** Requests no more of [offering] for a while. */
+    fun backOff(offering: InstanceOffering) = backoff.recordRefusal(offering)
+
+    /** Machines of [offering] were returned, so that they can be rented again. */
+    fun onReturned(offering: InstanceOffering) = backoff.reset(offering)
 
+    /** Takes over a rental of an earlier leader. */
     fun load(row: Row) {
-        val v = row.value
-        val rental =
-            Rental(
-                row.key.substringAfter('/'),
-                InstanceOffering(v.path("type").asText(), v.path("zone").asText(), v.path("spot").asBoolean()),
-                v.path("n").asInt(),
-            )
+        val rental = RentalRowCodec.decode(row.key, row.value)
         rental.modRevision = row.modRevision
-        // Called or not, by a leader that is gone: unknown, until the list must show what came of it.
+        // The earlier leader may have called the cloud or not: the outcome is unknown until the cloud's list must show it.
         rental.calledAt = context.now
         rentals[rental.step] = rental
     }
 
+    /** Settles rentals that the cloud's list must show by now, and deletes the rows of settled ones. */
     fun settle() {
         for (rental in rentals.values.toList()) {
-            if (rental.settledAt == null && rental.calledAt > 0 &&
-                context.now > rental.calledAt + Fleet.CLOUD_TIMEOUT_SECONDS +
-                context.settings.cloudLimits.listLagSeconds * Fleet.OLDEST_LIST
-            ) {
-                context.info("rental ${rental.step}: outcome unknown, and the cloud's list has caught up")
+            if (rental.settledAt == null && rental.calledAt > 0 && isListCurrent(rental)) {
+                context.info("rental of unknown outcome settled", "rental" to rental.step)
                 rental.settledAt = context.now
             }
-            val settled = rental.settledAt ?: continue
-            if (rental.modRevision > 0 && context.now >= settled) forget(rental)
+            val settledAt = rental.settledAt ?: continue
+            if (rental.modRevision > 0 && context.now >= settledAt) rows.delete(rental) { rentals.remove(rental.step) }
         }
     }
 
-    private fun forget(rental: Rental) {
-        rental.modRevision = 0
-        store.commitUntilKnown(
-            Transaction(listOf(leadership.fenceCondition()), listOf(Change.Delete("rental/${rental.step}"))),
-            RequestPriority.CLEANUP,
-            leadership.whileLeading(leadership.term),
-        ) {
-            rentals.remove(rental.step)
-        }
-    }
+    /** Whether even the oldest list that the cloud may give now is younger than the call. */
+    private fun isListCurrent(rental: Rental): Boolean =
+        context.now > rental.calledAt + CloudApi.TIMEOUT_SECONDS +
+            context.settings.cloudLimits.listLagSeconds * InventorySync.MAX_LIST_AGE_LAGS
 
+    /** Rents up to [count] machines of [offering], at most [MAX_MACHINES_PER_CALL] by one call. */
     fun rent(
         offering: InstanceOffering,
         count: Int,
-        reason: String,
+        reason: RentReason,
     ) {
-        val rental = Rental("${leadership.term}-${nextStep++}", offering, count.coerceAtMost(Fleet.MOST_PER_CALL))
+        val rental = Rental("${leadership.term}-${nextStep++}", offering, count.coerceAtMost(MAX_MACHINES_PER_CALL))
         rentals[rental.step] = rental
         context.info(
-            "rental ${rental.step}: ${rental.count} of ${offering.type} in ${offering.zone}${if (offering.spot) ", spot" else ""}: $reason",
+            "rental requested",
+            "rental" to rental.step,
+            "count" to rental.count,
+            "type" to offering.type,
+            "zone" to offering.zone,
+            "spot" to offering.spot,
+            "reason" to reason.text,
         )
-        val row =
-            Json.obj {
-                put("st", "claimed")
-                put("type", offering.type)
-                put("zone", offering.zone)
-                put("spot", offering.spot)
-                put("n", rental.count)
-                put("tok", leadership.term)
-            }
-        val mine = leadership.whileLeading(leadership.term)
-        val transaction =
-            Transaction(
-                listOf(leadership.fenceCondition(), Condition("rental/${rental.step}", 0)),
-                listOf(Change.Put("rental/${rental.step}", row)),
-            )
-        store.commitUntilKnown(transaction, RequestPriority.CLAIM, mine) { result ->
-            when {
-                result is TransactionResult.Committed -> {
-                    rental.modRevision = result.revision
-                    order(rental, mine)
-                }
-
-                result is TransactionResult.Conflict && Leadership.TERM in result.failed -> {
-                    leadership.stepDownOnPassedTerm()
-                }
-
-                // An earlier copy of this very claim was applied.
-                result is TransactionResult.Conflict -> {
-                    rental.modRevision = 1
-                    order(rental, mine)
-                }
-
-                else -> {
-                    rentals.remove(rental.step)
-                }
-            }
-        }
+        val isStillLeading = leadership.whileLeading(leadership.term)
+        rows.write(rental) { isWritten -> if (isWritten) callCloud(rental, isStillLeading) else rentals.remove(rental.step) }
     }
 
-    private fun order(
+    private fun callCloud(
         rental: Rental,
-        mine: () -> Boolean,
+        isStillLeading: () -> Boolean,
     ) {
         rental.calledAt = context.now
-        val offering = rental.offering
-        val body =
-            Json.obj {
-                put("hire", "r-${rental.step}")
-                put("breed", offering.type)
-                put("yard", offering.zone)
-                put("loaners", offering.spot)
-                put("number", rental.count)
-            }
-        context.call(
-            context.settings.cloud,
-            "POST",
-            "/rentals",
-            Json.write(body),
-            Fleet.CLOUD_TIMEOUT_SECONDS,
-            leadership.commandDeadline,
-        ) { outcome ->
-            if (!mine()) return@call
-            val answer = outcome as? CallOutcome.Responded
-            val names = answer?.takeIf { it.status == 200 }?.let { Json.parseOrNull(it.body)?.get("drovers") }?.takeIf { it.isArray }
-            when {
-                names != null -> {
-                    context.info("rental ${rental.step}: got ${names.size()} of ${rental.count}")
-                    names.forEach { name ->
-                        val machine = workers.machine(name.asText())
-                        if (!machine.isUp && !machine.isListed) {
-                            machine.type = offering.type
-                            machine.zone = offering.zone
-                            machine.spot = offering.spot
-                            machine.isStarting = true
-                            machine.rentedAt = context.now
-                        }
-                    }
-                    refusals.remove(offering)
-                    if (names.size() < rental.count) refuse(offering)
-                    rental.settledAt = context.now
-                    rental.expected = 0
-                }
-
-                outcome is CallOutcome.NotSent || answer?.status in REFUSALS -> {
-                    context.info("rental ${rental.step}: refused: ${answer?.status ?: "no connection"} ${answer?.body.orEmpty()}")
-                    refuse(offering)
-                    rental.settledAt = context.now
-                    rental.expected = 0
-                }
-
-                else -> {
-                    context.info("rental ${rental.step}: outcome unknown, waiting for the cloud's list")
-                }
-            }
+        cloud.rent(rental) { result -> if (isStillLeading()) onResult(rental, result) }
+    }
+
+    private fun onResult(
+        rental: Rental,
+        result: RentResult,
+    ) {
+        when (result) {
+            is RentResult.Granted -> onGranted(rental, result.ids)
+            is RentResult.Refused -> onRefused(rental, result)
+            RentResult.Unknown -> context.info("rental outcome unknown", "rental" to rental.step)
         }
     }
 
-    /** Nothing of [offer] is asked for until a while from now, the longer the more often that was so. */
-    fun refuse(offering: InstanceOffering) {
-        // Several steps asked at once are refused for one and the same reason.
-        if (isHeldOff(offering)) return
-        val times = refusals.merge(offering, 1, Int::plus) ?: 1
-        refusedUntil[offering] = context.now + minOf(REFUSED_SECONDS * times, REFUSED_SECONDS * 4)
+    private fun onGranted(
+        rental: Rental,
+        ids: List<String>,
+    ) {
+        context.info("rental granted", "rental" to rental.step, "granted" to ids.size, "count" to rental.count)
+        ids.forEach { register(it, rental.offering) }
+        backoff.recordGrant(rental.offering)
+        if (ids.size < rental.count) backOff(rental.offering)
+        markSettled(rental)
     }
 
-    /** A few steps of one kind may be on their way at once, so that a large need is met within a few calls. */
-    fun isOpen(offering: InstanceOffering): Boolean = !refused(offering) && stepsOf(offering) < MOST_STEPS
+    private fun register(
+        machineId: String,
+        offering: InstanceOffering,
+    ) {
+        val machine = workers.machine(machineId)
+        if (machine.isUp || machine.isListed) return
+        machine.type = offering.type
+        machine.zone = offering.zone
+        machine.spot = offering.spot
+        machine.isStarting = true
+        machine.rentedAt = context.now
+    }
+
+    private fun onRefused(
+        rental: Rental,
+        result: RentResult.Refused,
+    ) {
+        context.info(
+            "rental refused",
+            "rental" to rental.step,
+            "status" to (result.status ?: "no connection"),
+            "response" to result.body,
+        )
+        backOff(rental.offering)
+        markSettled(rental)
+    }
 
-    fun stepsOf(offering: InstanceOffering): Int = rentals.values.count { it.offering == offering && it.expected > 0 }
+    private fun markSettled(rental: Rental) {
+        rental.settledAt = context.now
+        rental.expectedMachines = 0
+    }
 
     internal companion object {
-        private val REFUSALS = setOf(400, 429, 503)
-        private const val REFUSED_SECONDS = 15.0
+        /** What the cloud rents out by one call. */
+        const val MAX_MACHINES_PER_CALL: Int = 50
 
-        /** Steps of one kind on their way at once. */
-        const val MOST_STEPS = 4
+        /** Calls for one offering that may be open at once. */
+        const val MAX_OPEN_CALLS: Int = 4
     }
 }
--- a/src/main/kotlin/burlridge/worker/GangStopper.kt
+++ b/src/main/kotlin/burlridge/worker/GangStopper.kt
@@ -40,7 +40,7 @@
         if (state != GangState.RUNNING && state != GangState.AWAITING_GANG) return
         val gangMachines =
             job.allocations.values
-                .mapNotNull { machines.machines[it.machine] }
+                .mapNotNull { machines.byId[it.machine] }
                 .distinct()
         if (state == GangState.RUNNING) {
             if (mustSave && job.spec.checkpointSeconds <= 0) return
--- a/src/main/kotlin/burlridge/worker/HeartbeatProcessor.kt
+++ b/src/main/kotlin/burlridge/worker/HeartbeatProcessor.kt
@@ -32,7 +32,7 @@
         relayedBy: String?,
     ): HttpResponse {
         context.count("worker.reports")
-        val known = LastHeartbeat.machineIdIn(body)?.let { machines.machines[it] }
+        val known = LastHeartbeat.machineIdIn(body)?.let { machines.byId[it] }
         val sequence = known?.lastHeartbeat?.sequenceIfUnchanged(body)
         if (known != null && sequence != null) return respond(known, relayedBy, acceptUnchanged(known, sequence))
         context.count("worker.reports_read")
--- a/src/main/kotlin/burlridge/worker/HeartbeatRelay.kt
+++ b/src/main/kotlin/burlridge/worker/HeartbeatRelay.kt
@@ -4,13 +4,12 @@
 import burlridge.core.HttpResponse
 import burlridge.core.HttpStatus
 import burlridge.core.StepContext
-import burlridge.json.Json
 import burlridge.peer.PeerRequests
 import burlridge.settings.Endpoint
 
 /**
- * What a member that does not lead does with heartbeats. A worker is redirected to the leader; one that comes straight back cannot reach it,
- * and would lose its lease and all its tasks between the two. Its heartbeats are forwarded to the leader over the peer link, and the
+ * What a member that does not lead does with heartbeats. A worker is redirected to the leader; one that comes straight back cannot reach
+ * it, and would lose its lease and all its tasks between the two. Its heartbeats are forwarded to the leader over the peer link, and the
  * leader's answers, with their fencing tokens, back to it.
  */
 internal class HeartbeatRelay(
@@ -37,7 +36,7 @@
         leader: String?,
         respond: (HttpResponse) -> Unit,
     ) {
-        if (leader == null) return respond(redirectTo(null))
+        if (leader == null) return respond(WorkerApi.redirectTo(null))
         val heartbeat = Heartbeat.decode(body) ?: return respond(HttpResponse.error(HttpStatus.BAD_REQUEST, "not a report"))
         val known = redirected[heartbeat.machine]?.takeIf { it.leader == leader }
         val current = known?.takeIf { cannotReachLeader(it) }
@@ -45,10 +44,10 @@
         // lease is redirected once, to see whether the way is free.
         val isZoneMissed = known?.relayedSince == null && peers.leaderMissesZone(leader, heartbeat.zone.orEmpty())
         val worker = current ?: RedirectedWorker(leader, context.now).also { redirected[heartbeat.machine] = it }
-        if (current == null && !isZoneMissed) return respond(redirectTo(leader))
+        if (current == null && !isZoneMissed) return respond(WorkerApi.redirectTo(leader))
         worker.relayedSince = worker.relayedSince ?: context.now
         peers.forward(leader, "POST", WorkerApi.HEARTBEAT_PATH, body, workerSettings.reportSeconds / 2) { response ->
-            respond(response ?: redirectTo(leader))
+            respond(response ?: WorkerApi.redirectTo(leader))
         }
     }
 
@@ -69,7 +68,4 @@
             respond(RelayedCommand.responseOf(outcome))
         }
     }
-
-    private fun redirectTo(leader: String?) =
-        HttpResponse(HttpStatus.MISDIRECTED_REQUEST, Json.write(Json.obj { leader?.let { put("herder", it) } }))
 }
--- a/src/main/kotlin/burlridge/worker/Machine.kt
+++ b/src/main/kotlin/burlridge/worker/Machine.kt
@@ -137,7 +137,8 @@
     var isLeaseExpired: Boolean = false
 
     /** Images that it should still have, with their size in GB; the most recently used last. */
-    val images: LinkedHashMap<String, Double> = LinkedHashMap()
+    val images: Map<String, Double> get() = cachedImages
+    private val cachedImages = LinkedHashMap<String, Double>()
 
     /** Since when it has sent nothing. */
     val silentSince: Double get() = maxOf(lastMessageAt, knownSince)
@@ -167,6 +168,17 @@
         reportedTasks = heartbeat.tasks
     }
 
+    /** A task has used [image], of [sizeGb]; the least recently used ones that a cache of [cacheGb] cannot hold beside it are forgotten. */
+    fun recordImage(
+        image: String,
+        sizeGb: Double,
+        cacheGb: Double,
+    ) {
+        cachedImages.remove(image)
+        cachedImages[image] = sizeGb
+        while (cachedImages.size > 1 && cachedImages.values.sum() > cacheGb) cachedImages.remove(cachedImages.keys.first())
+    }
+
     internal companion object {
         /** A time before all others, for what has not happened yet. */
         const val NEVER: Double = -1e9
--- a/src/main/kotlin/burlridge/worker/MachineRegistry.kt
+++ b/src/main/kotlin/burlridge/worker/MachineRegistry.kt
@@ -10,7 +10,7 @@
     private val leadership: Leadership,
 ) {
     /** By id, in the order in which this leader came to know them. */
-    val machines: LinkedHashMap<String, Machine> = LinkedHashMap()
+    val byId: LinkedHashMap<String, Machine> = LinkedHashMap()
 
     /**
      * Whether the stored allocations of this term have been read. Until then heartbeats are recorded, and nothing is concluded from what
@@ -27,7 +27,7 @@
 
     /** Forgets everything, when leadership ends. */
     fun clear() {
-        machines.clear()
+        byId.clear()
         removed.clear()
         orphanCount.clear()
         allocationsLoaded = false
@@ -38,7 +38,7 @@
     fun nextToken(): Long = FencingToken.first(leadership.term) + ++tokensGiven
 
     /** The machine [id], which is registered if it is not known yet. */
-    fun getOrRegister(id: String): Machine = machines.getOrPut(id) { register(id) }
+    fun getOrRegister(id: String): Machine = byId.getOrPut(id) { register(id) }
 
     private fun register(id: String): Machine {
         val machine = Machine(id, context.now)
@@ -52,7 +52,7 @@
     }
 
     /** Whether [machine] is still registered; it may have gone while a command to it was under way. */
-    fun isRegistered(machine: Machine): Boolean = machines[machine.id] === machine
+    fun isRegistered(machine: Machine): Boolean = byId[machine.id] === machine
 
     /** Whether the machine [id] is gone for good. */
     fun isRemoved(id: String): Boolean = id in removed
@@ -60,7 +60,7 @@
     /** Takes out [machine], which is gone for good. */
     fun remove(machine: Machine) {
         removed += machine.id
-        machines.remove(machine.id)
+        byId.remove(machine.id)
         setOrphans(machine, emptySet())
     }
 
@@ -83,7 +83,7 @@
 
     /** Of the machines that may run something, how many are up and have seen a token of this term. */
     fun responseCount(): WorkerResponseCount {
-        val known = machines.values.filter { !it.isStarting && !it.isDead && !it.isLeaseExpired }
+        val known = byId.values.filter { !it.isStarting && !it.isDead && !it.isLeaseExpired }
         return WorkerResponseCount(known.count { it.isUp && it.isResponsive }, known.size)
     }
 }
--- a/src/main/kotlin/burlridge/worker/RelayedCommand.kt
+++ b/src/main/kotlin/burlridge/worker/RelayedCommand.kt
@@ -33,12 +33,3 @@
             else -> CallOutcome.Responded(response.status, response.body)
         }
 }
-
-/** The HTTP paths of the protocol between workers and members. */
-internal object WorkerApi {
-    /** Of a member: takes heartbeats. */
-    const val HEARTBEAT_PATH: String = "/agent/beat"
-
-    /** Of a worker: takes commands. */
-    const val COMMAND_PATH: String = "/do"
-}
--- a/src/main/kotlin/burlridge/worker/TaskOutcomes.kt
+++ b/src/main/kotlin/burlridge/worker/TaskOutcomes.kt
@@ -32,7 +32,7 @@
             recordStart(allocation)
         }
         if (allocation.phase >= AllocationPhase.AWAITING_GANG && before < AllocationPhase.AWAITING_GANG) {
-            registry.jobs[allocation.job]?.let { cacheImage(machine, it.spec) }
+            registry.jobs[allocation.job]?.let { recordImage(machine, it.spec) }
         }
     }
 
@@ -78,16 +78,10 @@
         }
     }
 
-    /** Marks the image of [spec] as the most recently used on [machine], and forgets those that its cache has no space left for. */
-    private fun cacheImage(
+    private fun recordImage(
         machine: Machine,
         spec: JobSpec,
-    ) {
-        machine.images.remove(spec.image)
-        machine.images[spec.image] = spec.imageGb
-        val cacheGb = cacheGbOfType(machine.type)
-        while (machine.images.size > 1 && machine.images.values.sum() > cacheGb) machine.images.remove(machine.images.keys.first())
-    }
+    ) = machine.recordImage(spec.image, spec.imageGb, cacheGbOfType(machine.type))
 
     /** The task has ended on [machine]; its allocation is released. */
     fun recordExit(
@@ -105,7 +99,7 @@
             }
 
             ExitReason.Known.STOPPED -> {
-                logStopped(machine, allocation, status.saved)
+                logStopped(machine, allocation, status)
             }
 
             ExitReason.Known.ERROR -> {
@@ -133,16 +127,10 @@
             job.finishedRunCount++
             onTaskCompleted(machine, job, context.now - it)
         }
-        cacheImage(machine, job.spec)
+        recordImage(machine, job.spec)
         registry.markDone(job, allocation.task)
     }
 
-    private fun logStopped(
-        machine: Machine,
-        allocation: Allocation,
-        isSaved: Boolean,
-    ) = context.infoLimited("task stopped", "task" to allocation.taskName, "machine" to machine.id, "saved" to isSaved)
-
     private fun recordFailure(
         machine: Machine,
         allocation: Allocation,
@@ -168,19 +156,6 @@
         }
     }
 
-    /** Neither the machine nor the job is at fault: another task of the gang was lost, or late. */
-    private fun logGangIncomplete(
-        machine: Machine,
-        allocation: Allocation,
-        reason: ExitReason,
-    ) = context.infoLimited(
-        "gang task ended without its gang",
-        "task" to allocation.taskName,
-        "attempt" to allocation.attempt,
-        "machine" to machine.id,
-        "reason" to reason.text,
-    )
-
     private fun recordRefusal(
         machine: Machine,
         allocation: Allocation,
@@ -199,6 +174,25 @@
         if (reason == ExitReason.Known.FULL) machine.noPlacementBefore = retryAt
     }
 
+    private fun logStopped(
+        machine: Machine,
+        allocation: Allocation,
+        status: TaskStatus,
+    ) = context.infoLimited("task stopped", "task" to allocation.taskName, "machine" to machine.id, "saved" to status.saved)
+
+    /** Neither the machine nor the job is at fault: another task of the gang was lost, or late. */
+    private fun logGangIncomplete(
+        machine: Machine,
+        allocation: Allocation,
+        reason: ExitReason,
+    ) = context.infoLimited(
+        "gang task ended without its gang",
+        "task" to allocation.taskName,
+        "attempt" to allocation.attempt,
+        "machine" to machine.id,
+        "reason" to reason.text,
+    )
+
     private companion object {
         /** Counts states and reasons that this version does not know. */
         const val UNRECOGNIZED_WORDS = "worker.unknown_words"
--- a/src/main/kotlin/burlridge/worker/WorkerManager.kt
+++ b/src/main/kotlin/burlridge/worker/WorkerManager.kt
@@ -57,7 +57,7 @@
     var loaded: Boolean by machineRegistry::allocationsLoaded
 
     /** The machines that this leader knows, by id. */
-    val machines: Map<String, Machine> get() = machineRegistry.machines
+    val machines: Map<String, Machine> get() = machineRegistry.byId
 
     /** Forgets everything, when leadership ends. */
     fun clear() {
@@ -92,6 +92,12 @@
 
     fun isNotReporting(machine: Machine): Boolean = leases.isNotReporting(machine)
 
+    /** Whether [machine] takes tasks, or will once it is up. */
+    fun mayTakeTasks(machine: Machine): Boolean {
+        if (machine.isDraining || machine.reclaimAt != null) return false
+        return !machine.isUp || (!machine.isLeaseExpired && machine.isResponsive && !isSilent(machine))
+    }
+
     /** Answers the heartbeat [body], which came straight from its worker or through the member [relayedBy]. */
     fun heartbeat(
         body: String,
--- a/src/test/kotlin/burlridge/fleet/CloudInventoryTest.kt
+++ b/src/test/kotlin/burlridge/fleet/MachinePageTest.kt
@@ -6,7 +6,7 @@
 import org.junit.jupiter.api.Test
 
 /** The cloud's list comes from outside: a page that is not one is no page at all, and odd fields have their default. */
-internal class CloudInventoryTest {
+internal class MachinePageTest {
     @Test
     fun `a page is read, and unknown fields are ignored`() {
         val page =
@@ -14,8 +14,8 @@
             "later":[{}]},{"id":"m-000232"}],"truncated":true}"""
         val machines =
             listOf(ListedMachine("m-000231", Endpoint("10.1.0.232", 9000), "g8", "a", true, "running", 61.5), ListedMachine("m-000232"))
-        assertEquals(MachinePage(machines, truncated = true), MachinePage.decode(page))
-        assertEquals(MachinePage(emptyList(), truncated = false), MachinePage.decode("""{"drovers":[]}"""))
+        assertEquals(MachinePage(machines, isTruncated = true), MachinePage.decode(page))
+        assertEquals(MachinePage(emptyList(), isTruncated = false), MachinePage.decode("""{"drovers":[]}"""))
     }
 
     @Test
@@ -28,6 +28,6 @@
     @Test
     fun `fields of another type have their default`() {
         val odd = """{"drovers":[7,{"id":5,"addr":"x","breed":null,"yard":[],"loaners":1,"standing":{},"ageS":"old"}],"truncated":"yes"}"""
-        assertEquals(MachinePage(listOf(ListedMachine("")), truncated = false), MachinePage.decode(odd))
+        assertEquals(MachinePage(listOf(ListedMachine("")), isTruncated = false), MachinePage.decode(odd))
     }
 }
--- a/src/test/kotlin/burlridge/simulation/FailureTest.kt
+++ b/src/test/kotlin/burlridge/simulation/FailureTest.kt
@@ -185,7 +185,7 @@
         verdict("j-000001")
         val returned =
             cluster.log
-                .first { "cannot be reached; returning" in it }
+                .first { "machine silent and unreachable, returning it" in it }
                 .take(8)
                 .trim()
                 .toDouble()
