--- a/src/test/kotlin/burlridge/balance/BalanceInputTest.kt
+++ b/src/test/kotlin/burlridge/balance/BalanceInputTest.kt
@@ -183,7 +183,7 @@
                 listOf("undrain"),
                 listOf("drain", "--force"),
             )
-        wrong.forEach { assertTrue(CommandLine.parse(it + args) is CommandLine.Mistaken, "$it") }
+        wrong.forEach { assertTrue(CommandLine.parse(it + args) is CommandLine.Invalid, "$it") }
         val cluster = balancedCluster(2)
         val jobs = cluster.submitAll((0 until 6).map { cluster.savingJob(it, 4) }, 20.0)
         cluster.clock.after(40.0) { cluster.drainZone("a") }
--- a/src/test/kotlin/burlridge/failover/FailoverInputTest.kt
+++ b/src/test/kotlin/burlridge/failover/FailoverInputTest.kt
@@ -165,7 +165,7 @@
         assertEquals(CommandLine.Status(files), CommandLine.parse(listOf("status") + both))
         assertEquals(CommandLine.Drain(files, null, 30), CommandLine.parse(listOf("drain") + both))
         assertEquals(CommandLine.Drain(files, "m", 5), CommandLine.parse(listOf("drain", "--member", "m", "--wait", "5") + both))
-        assertTrue(CommandLine.parse(listOf("drain", "--wait", "soon") + both) is CommandLine.Mistaken)
-        assertTrue(CommandLine.parse(listOf("status", "--wait", "5") + both) is CommandLine.Mistaken)
+        assertTrue(CommandLine.parse(listOf("drain", "--wait", "soon") + both) is CommandLine.Invalid)
+        assertTrue(CommandLine.parse(listOf("status", "--wait", "5") + both) is CommandLine.Invalid)
     }
 }
