--- a/src/main/kotlin/burlridge/allocation/AllocationBatch.kt
+++ b/src/main/kotlin/burlridge/allocation/AllocationBatch.kt
@@ -1,8 +1,8 @@
 package burlridge.allocation
 
 /**
- * The allocations that are stored in one row. A row whose allocations are all settled is overwritten by a later batch: [slot] names the row,
- * [number] this use of it. Both have the form `<term>-<n>`.
+ * The allocations that are stored in one row. A row whose allocations are all settled is overwritten by a later batch: [slot] names the
+ * row, [number] this use of it. Both have the form `<term>-<n>`.
  */
 internal class AllocationBatch(
     val slot: String,
--- a/src/main/kotlin/burlridge/allocation/AllocationBatchWriter.kt
+++ b/src/main/kotlin/burlridge/allocation/AllocationBatchWriter.kt
@@ -44,8 +44,8 @@
     }
 
     /**
-     * Takes the resources of [allocations] and writes their row. [onCommitted] receives those that may be started: the allocations of a gang
-     * only once all of its attempt are written, in however many rows.
+     * Takes the resources of [allocations] and writes their row. [onCommitted] receives those that may be started: the allocations of a
+     * gang only once all of its attempt are written, in however many rows.
      */
     fun write(
         allocations: List<Allocation>,
--- a/src/main/kotlin/burlridge/allocation/AllocationReconciler.kt
+++ b/src/main/kotlin/burlridge/allocation/AllocationReconciler.kt
@@ -33,7 +33,7 @@
         for (batch in batches.all) {
             batch.allocations.forEach { releaseIfSuperseded(it) }
         }
-        // Rows are loaded in no order of time: where an earlier attempt on the same machine was loaded last, it stood in the later one's place.
+        // Rows are loaded in no order of time: an earlier attempt on the same machine that was loaded last has displaced the later one.
         for (batch in batches.all) {
             batch.allocations.filter { !it.hasEnded }.forEach { index.restore(it) }
         }
--- a/src/main/kotlin/burlridge/placement/ArrayPlacement.kt
+++ b/src/main/kotlin/burlridge/placement/ArrayPlacement.kt
@@ -20,7 +20,7 @@
 ) {
     private val policy: PlacementPolicy? get() = fit.policy
 
-    /** Places a task that is gone from its former machine where capacity is reserved for it; it queues like any other if that is too little. */
+    /** Places a task that is gone from its former machine where capacity is reserved for it. Where that is too little it stays queued. */
     fun placeReserved(
         reservation: CapacityReservation,
         plan: PlacementPlan,
@@ -68,7 +68,7 @@
 
     private fun isBatchFull(plan: PlacementPlan): Boolean = plan.allocations.size >= registry.allocations.maxStartsPerBatch
 
-    /** Whether a job that asks for as much would find nothing either: capacity that a policy withholds may go to one that has waited longer. */
+    /** Whether another job that asks for as much would find nothing either: withheld capacity may go to one that has waited longer. */
     private fun isCapacityExhausted(
         job: Job,
         pools: List<MachinePool>,
--- a/src/main/kotlin/burlridge/placement/GangPlacement.kt
+++ b/src/main/kotlin/burlridge/placement/GangPlacement.kt
@@ -52,7 +52,7 @@
         holdBackLargestGroup(spec, groups, plan)
     }
 
-    /** Not where even idle machines would not suffice: what is held back for a gang that can never run there would be lost to all others. */
+    /** Not where even idle machines would not suffice: capacity held back for a gang that can never run there would only be wasted. */
     private fun holdBackLargestGroup(
         spec: JobSpec,
         groups: List<List<MachineCapacity>>,
--- a/src/main/kotlin/burlridge/placement/MoveTargetFinder.kt
+++ b/src/main/kotlin/burlridge/placement/MoveTargetFinder.kt
@@ -17,8 +17,8 @@
     )
 
     /**
-     * Reserves capacity for the task of [allocation] on another machine that [isSuitable], trying the smallest types first. Null where there
-     * is none, or the team's quota does not allow it.
+     * Reserves capacity for the task of [allocation] on another machine that [isSuitable], trying the smallest types first. Null where
+     * there is none, or the team's quota does not allow it.
      */
     fun reserveTarget(
         job: Job,
--- a/src/main/kotlin/burlridge/placement/TeamQuotas.kt
+++ b/src/main/kotlin/burlridge/placement/TeamQuotas.kt
@@ -16,7 +16,7 @@
         return (quota.cpusMax > 0 && usage.cpus > quota.cpusMax) || (quota.gpusMax > 0 && usage.gpus > quota.gpusMax)
     }
 
-    /** The part of its guaranteed share that [team] uses with [usage], of CPUs or GPUs, whichever is larger; 0 where nothing is guaranteed. */
+    /** The part of its guaranteed share that [team] uses with [usage], the larger of CPUs and GPUs; 0 where nothing is guaranteed. */
     fun shareUsed(
         team: String,
         usage: Resources,
