--- /dev/null
+++ b/src/test/kotlin/burlridge/architecture/LogReferenceTest.kt
@@ -0,0 +1,40 @@
+package burlridge.architecture
+
+import org.junit.jupiter.api.Assertions.assertEquals
+import org.junit.jupiter.api.Assertions.assertTrue
+import org.junit.jupiter.api.Test
+import java.nio.file.Files
+import java.nio.file.Path
+import kotlin.io.path.extension
+import kotlin.io.path.readText
+
+/** Holds the log lines of the core to `docs/operating.md`, where operators find what each event means and what to do. */
+internal class LogReferenceTest {
+    private val logged: Set<String> =
+        Files.walk(Path.of("src", "main", "kotlin")).use { files ->
+            files
+                .filter { it.extension == "kt" }
+                .toList()
+                .flatMap { file -> LOG_CALL.findAll(file.readText()).map { it.groupValues[1] } }
+                .toSet()
+        }
+
+    private val documented: Set<String> =
+        EVENT_ROW
+            .findAll(Path.of("docs", "operating.md").readText())
+            .map { it.groupValues[1] }
+            .toSet()
+
+    @Test
+    fun `every event of level info and above is documented, and no other`() {
+        assertTrue(logged.size > 40, "found only ${logged.size} events")
+        assertEquals(emptySet<String>(), logged - documented, "logged, not documented")
+        assertEquals(emptySet<String>(), documented - logged, "documented, not logged")
+    }
+
+    private companion object {
+        /** The event of a line of the core or of the shells around it. */
+        val LOG_CALL = Regex("""\b(?:context|log)\.(?:info|infoLimited|error)\(\s*"([a-z][^"={]*?)(?: \w+=\{[^"]*)?"""")
+        val EVENT_ROW = Regex("""(?m)^\| `([a-z][^`]*)` \| (?:info|error) \|""")
+    }
+}
