--- a/src/main/kotlin/burlridge/core/StepContext.kt
+++ b/src/main/kotlin/burlridge/core/StepContext.kt
@@ -136,14 +136,6 @@
         if (logRateLimiter.admits(event, now)) info(event, *details)
     }
 
-    /** A line of which hundreds may come at once: of each [kind] the first of a second are logged, and the others summed up. */
-    fun infoRateLimited(
-        kind: String,
-        text: String,
-    ) {
-        if (logRateLimiter.admits(kind, now)) info(text)
-    }
-
     /** Logs [event], a fixed phrase, with its [details] as `key=value`. */
     fun debug(
         event: String,
--- a/src/test/kotlin/burlridge/architecture/LogReferenceTest.kt
+++ b/src/test/kotlin/burlridge/architecture/LogReferenceTest.kt
@@ -15,7 +15,7 @@
             files
                 .filter { it.extension == "kt" }
                 .toList()
-                .flatMap { file -> LOG_CALL.findAll(file.readText()).map { it.groupValues[1] } }
+                .flatMap { file -> eventsIn(file.readText()) }
                 .toSet()
         }
 
@@ -25,6 +25,9 @@
             .map { it.groupValues[1] }
             .toSet()
 
+    private fun eventsIn(source: String): List<String> =
+        listOf(LOG_CALL, LOG_CONSTANT).flatMap { pattern -> pattern.findAll(source).map { it.groupValues[1] } }
+
     @Test
     fun `every event of level info and above is documented, and no other`() {
         assertTrue(logged.size > 40, "found only ${logged.size} events")
@@ -34,7 +37,10 @@
 
     private companion object {
         /** The event of a line of the core or of the shells around it. */
-        val LOG_CALL = Regex("""\b(?:context|log)\.(?:info|infoLimited|error)\(\s*"([a-z][^"={]*?)(?: \w+=\{[^"]*)?"""")
+        val LOG_CALL = Regex("""\b(?:context|log)\.(?:info|infoLimited|error)\(\s*(?:logLine\()?"([a-z][^"={]*?)(?: \w+=\{[^"]*)?"""")
+
+        /** Events that are constants of an enum. */
+        val LOG_CONSTANT = Regex(""""(failover [a-z]+ refused)"""")
         val EVENT_ROW = Regex("""(?m)^\| `([a-z][^`]*)` \| (?:info|error) \|""")
     }
 }
