--- a/src/main/kotlin/burlridge/app/LeaderActivity.kt
+++ b/src/main/kotlin/burlridge/app/LeaderActivity.kt
@@ -22,5 +22,5 @@
         registry.allocations.byMachine.values
             .any { allocations -> allocations.values.any { it.phase == AllocationPhase.COMMITTED } }
 
-    override fun workerResponseCount(): WorkerResponseCount = if (workers.loaded) workers.responseCount() else WorkerResponseCount(0, 0)
+    override fun workerResponseCount(): WorkerResponseCount = if (workers.isLoaded) workers.responseCount() else WorkerResponseCount(0, 0)
 }
--- a/src/main/kotlin/burlridge/app/LeaderLifecycle.kt
+++ b/src/main/kotlin/burlridge/app/LeaderLifecycle.kt
@@ -49,7 +49,7 @@
     }
 
     private fun onStateLoaded(term: Long) {
-        workers.loaded = true
+        workers.isLoaded = true
         jobApi.isLoaded = true
         val machinesWithAllocations =
             registry.allocations.byMachine.keys
--- a/src/main/kotlin/burlridge/app/RequestRouter.kt
+++ b/src/main/kotlin/burlridge/app/RequestRouter.kt
@@ -86,7 +86,7 @@
     ) {
         when {
             // Before it has read the rows a leader does not know what was cancelled: an answer without a stop would keep it alive.
-            leadership.mayAnswerWorkers && workers.loaded -> onResult(workers.heartbeat(body, forwardedBy))
+            leadership.mayAnswerWorkers && workers.isLoaded -> onResult(workers.heartbeat(body, forwardedBy))
 
             leadership.isLeader || forwardedBy != null -> onResult(HttpResponse.unavailable("leadership in doubt"))
 
--- a/src/main/kotlin/burlridge/worker/HeartbeatProcessor.kt
+++ b/src/main/kotlin/burlridge/worker/HeartbeatProcessor.kt
@@ -52,7 +52,7 @@
         if (!accept(machine, heartbeat)) return
         // The next heartbeat may equal the one before this, so it has to be read in full.
         machine.lastHeartbeat = null
-        if (machines.allocationsLoaded) handlers.reconciler.reconcile(machine)
+        if (machines.areAllocationsLoaded) handlers.reconciler.reconcile(machine)
     }
 
     /** A heartbeat that differs from the one before in its [sequence] alone; false when it is not newer. */
@@ -90,7 +90,7 @@
             machine.heartbeatAt = context.now
             machine.isLeaseExpired = false
         }
-        val commands = if (isNew && machines.allocationsLoaded) reconcile(machine) else emptyList()
+        val commands = if (isNew && machines.areAllocationsLoaded) reconcile(machine) else emptyList()
         return HttpResponse(
             HttpStatus.OK,
             WorkerCommandCodec.answer(machine.token, commands),
@@ -114,7 +114,7 @@
     ): Boolean {
         val isNewEpoch = heartbeat.agentEpoch != machine.agentEpoch
         if (heartbeat.agentEpoch < machine.agentEpoch || (!isNewEpoch && heartbeat.sequence <= machine.sequence)) return false
-        if (isNewEpoch && machine.isUp && machines.allocationsLoaded) {
+        if (isNewEpoch && machine.isUp && machines.areAllocationsLoaded) {
             handlers.losses.loseAll(machine, LossReason.EPOCH_ENDED, beforeEpoch = heartbeat.agentEpoch)
         }
         val isFirst = machine.sequence < 0
--- a/src/main/kotlin/burlridge/worker/LeaseMonitor.kt
+++ b/src/main/kotlin/burlridge/worker/LeaseMonitor.kt
@@ -30,7 +30,7 @@
 
     /** Records that the lease has expired, and loses the allocations of [machine]. */
     fun expire(machine: Machine) {
-        if (!machines.allocationsLoaded) return
+        if (!machines.areAllocationsLoaded) return
         machine.isLeaseExpired = true
         machines.setOrphans(machine, emptySet())
         losses.loseAll(machine, LossReason.LEASE_EXPIRED)
--- a/src/main/kotlin/burlridge/worker/MachineRegistry.kt
+++ b/src/main/kotlin/burlridge/worker/MachineRegistry.kt
@@ -16,7 +16,7 @@
      * Whether the stored allocations of this term have been read. Until then heartbeats are recorded, and nothing is concluded from what
      * they lack.
      */
-    var allocationsLoaded: Boolean = false
+    var areAllocationsLoaded: Boolean = false
 
     /** How many machines run each task without an allocation; until it is stopped, such a task blocks any other start of it. */
     private val orphanCount = Object2IntOpenHashMap<String>()
@@ -30,7 +30,7 @@
         byId.clear()
         removed.clear()
         orphanCount.clear()
-        allocationsLoaded = false
+        areAllocationsLoaded = false
         tokensGiven = 0
     }
 
--- a/src/main/kotlin/burlridge/worker/WorkerManager.kt
+++ b/src/main/kotlin/burlridge/worker/WorkerManager.kt
@@ -54,7 +54,7 @@
     var onHeartbeatReconciled: (Machine) -> Unit by heartbeats::onReconciled
 
     /** Whether the stored allocations of this term have been read, so that heartbeats can be reconciled with them. */
-    var loaded: Boolean by machineRegistry::allocationsLoaded
+    var isLoaded: Boolean by machineRegistry::areAllocationsLoaded
 
     /** The machines that this leader knows, by id. */
     val machines: Map<String, Machine> get() = machineRegistry.byId
@@ -147,19 +147,19 @@
         if (context.now < sweepAt) return
         sweepAt = context.now + context.settings.workers.reportSeconds / SWEEPS_PER_REPORT
         probes.probeCutOffZones(machines.values)
-        if (loaded) eviction.evictStragglers(machines.values)
+        if (isLoaded) eviction.evictStragglers(machines.values)
         machines.values.toList().forEach { sweep(it) }
     }
 
     private fun sweep(machine: Machine) {
         if (leases.isNewlyExpired(machine)) leases.expire(machine)
-        if (loaded && (isSilent(machine) || isNotReporting(machine))) {
+        if (isLoaded && (isSilent(machine) || isNotReporting(machine))) {
             losses.releaseUndispatched(machine, LossReason.MACHINE_SILENT)
         }
-        if (loaded && !machine.isResponsive) losses.releaseUndispatched(machine, LossReason.MACHINE_UNRESPONSIVE)
+        if (isLoaded && !machine.isResponsive) losses.releaseUndispatched(machine, LossReason.MACHINE_UNRESPONSIVE)
         if (machine.reclaimAt != null) eviction.evictReclaimed(machine)
         sendPendingCommands(machine)
-        if (loaded && !machine.isLeaseExpired) probes.queryIfOverdue(machine)
+        if (isLoaded && !machine.isLeaseExpired) probes.queryIfOverdue(machine)
     }
 
     private companion object {
--- a/src/test/kotlin/burlridge/worker/HeartbeatTest.kt
+++ b/src/test/kotlin/burlridge/worker/HeartbeatTest.kt
@@ -67,4 +67,14 @@
     fun `of a field that stands twice the last one counts`() {
         assertEquals(Heartbeat("m-2", sequence = 9), Heartbeat.decode("""{"drover":"m-1","tally":8,"drover":"m-2","tally":9}"""))
     }
+
+    @Test
+    fun `states and exit reasons keep their text, known or not`() {
+        val states = listOf("fetching", "gathering", "running", "saving", "exited", "assembling", "")
+        assertEquals(states, states.map { TaskState.of(it).text })
+        assertEquals(TaskState.Unrecognized("assembling"), TaskState.of("assembling"))
+        val reasons = listOf("done", "stopped", "error", "peers", "incomplete", "full", "in_use", "unknown", "bereft")
+        assertEquals(reasons, reasons.map { ExitReason.of(it).text })
+        assertEquals(ExitReason.Unrecognized("bereft"), ExitReason.of("bereft"))
+    }
 }
