--- a/src/main/kotlin/burlridge/job/JobSpec.kt
+++ b/src/main/kotlin/burlridge/job/JobSpec.kt
@@ -6,7 +6,7 @@
 /** A job as its owner described it. */
 internal data class JobSpec(
     val id: String,
-    /** The kind of work, such as training or inference, as the platform names it. */
+    /** The class of jobs that it belongs to; the settings give the objectives of each. */
     val jobClass: String,
     /** The team whose quota the job counts against. */
     val team: String,
@@ -23,15 +23,15 @@
     val zone: String?,
     /** All tasks run in the same zone, whichever it is. */
     val oneZone: Boolean,
-    /** The tasks run in different zones. */
+    /** At most half of the tasks, rounded up, run in one zone. */
     val spread: Boolean,
     /** Tasks may run on spot machines. */
     val spot: Boolean,
     /** How long a task runs, as its owner estimates. */
     val estimateSeconds: Double,
-    /** The time between two checkpoints of a task; 0 where it makes none. */
+    /** The progress after which a running task saves a checkpoint by itself; 0 for a task that never saves. */
     val checkpointSeconds: Double,
-    /** How long a checkpoint takes. */
+    /** How long a task needs to save when it is stopped. */
     val saveSeconds: Double,
     /** Within which the job should be done after its submission; null for no deadline. */
     val deadlineSeconds: Double?,
--- a/src/main/kotlin/burlridge/job/Resources.kt
+++ b/src/main/kotlin/burlridge/job/Resources.kt
@@ -1,6 +1,6 @@
 package burlridge.job
 
-/** An amount of what machines offer and tasks take; GPUs may be shared, so that all are fractions. */
+/** An amount of what machines offer and tasks take. */
 internal data class Resources(
     val cpus: Double,
     val gpus: Double,
@@ -31,7 +31,7 @@
     internal companion object {
         val NONE: Resources = Resources(0.0, 0.0, 0.0)
 
-        /** Sums and differences of fractions are this far from exact at most. */
+        /** Tolerates the errors of rounding in sums and differences. */
         private const val SLACK = 1e-9
 
         /** How many tasks fit as far as a resource is concerned that they do not take. */
--- /dev/null
+++ b/src/test/kotlin/burlridge/store/RequestQueueTest.kt
@@ -0,0 +1,66 @@
+package burlridge.store
+
+import burlridge.app.ClassArchiveTraining
+import burlridge.core.StepContext
+import burlridge.settings.Settings
+import org.junit.jupiter.api.Assertions.assertEquals
+import org.junit.jupiter.api.Assertions.assertTrue
+import org.junit.jupiter.api.Test
+
+/** What goes first, and what waits, while the rate limits bind. */
+internal class RequestQueueTest {
+    private val context = StepContext(Settings.parse(ClassArchiveTraining.settings()), 1)
+    private val queue = RequestQueue(context)
+    private val sent = ArrayList<String>()
+    private val dropped = ArrayList<String>()
+
+    private fun at(seconds: Double) = context.beginStep(seconds, 0)
+
+    private fun add(
+        name: String,
+        priority: RequestPriority,
+        changeCount: Int = 0,
+        maxWaitSeconds: Double = 100.0,
+    ) = queue.enqueue(priority, changeCount, maxWaitSeconds, { dropped += name }) { sent += name }
+
+    /** No token is left and nothing is sent, until the pause is over. */
+    private fun pause() {
+        at(1.0)
+        queue.pause()
+    }
+
+    @Test
+    fun `after a pause requests go by priority, whatever the order of their arrival`() {
+        pause()
+        RequestPriority.entries.reversed().forEach { add(it.name, it) }
+        queue.pump()
+        assertEquals(emptyList<String>(), sent)
+        at(60.0)
+        queue.pump()
+        assertEquals(RequestPriority.entries.map { it.name }, sent)
+        assertEquals(1, context.counters.getLong("store.requests.cleanup"))
+    }
+
+    /** Polls went unanswered behind a burst of submissions. */
+    @Test
+    fun `reads are not held up by writes that wait for tokens, and no write overtakes a more urgent one`() {
+        at(0.0)
+        repeat(1000) { add("submission $it", RequestPriority.USER, changeCount = 8) }
+        val submissions = sent.size
+        assertTrue(submissions in 1..999, "$submissions were sent")
+        add("clean-up", RequestPriority.CLEANUP, changeCount = 1)
+        add("poll", RequestPriority.CLEANUP)
+        assertEquals(listOf("poll"), sent.drop(submissions))
+    }
+
+    @Test
+    fun `a request that has waited too long is dropped and never sent`() {
+        pause()
+        add("short", RequestPriority.USER, maxWaitSeconds = 0.1)
+        add("long", RequestPriority.USER, maxWaitSeconds = 100.0)
+        at(60.0)
+        queue.pump()
+        assertEquals(listOf("short"), dropped)
+        assertEquals(listOf("long"), sent)
+    }
+}
