--- a/src/main/kotlin/burlridge/allocation/AllocationBatchCodec.kt
+++ b/src/main/kotlin/burlridge/allocation/AllocationBatchCodec.kt
@@ -12,6 +12,21 @@
  * row holds as many allocations as it can.
  */
 internal object AllocationBatchCodec {
+    // Places of the fields in a job's array, in the order in which they are written.
+    private const val TEAM = 0
+    private const val CPUS = 1
+    private const val GPUS = 2
+    private const val MEMORY_GB = 3
+    private const val STARTS = 4
+
+    // Places of the fields in a start's array, in the order in which they are written.
+    private const val TASK = 0
+    private const val ATTEMPT = 1
+    private const val MACHINE = 2
+    private const val AGENT_EPOCH = 3
+    private const val ZONE_INDEX = 4
+    private const val LOST = 5
+
     /** The prefix of the rows of all batches. */
     const val KEY_PREFIX: String = "round/"
     private const val STATUS = "claimed"
@@ -75,7 +90,7 @@
         val allocations =
             row.value.path("jobs").properties().flatMap { (id, entry) ->
                 val charge = decodeCharge(entry)
-                entry.path(4).map { decodeAllocation(id, it, zones, charge) }
+                entry.path(STARTS).map { decodeAllocation(id, it, zones, charge) }
             }
         return AllocationBatch(row.key.substringAfter('/'), numberOf(row), allocations)
     }
@@ -84,8 +99,8 @@
     fun numberOf(row: Row): String = row.value.path("n").asText()
 
     private fun decodeCharge(entry: JsonNode): QuotaCharge {
-        val size = Resources(entry.path(1).asDouble(), entry.path(2).asDouble(), entry.path(3).asDouble())
-        return QuotaCharge(entry.path(0).asText(), size)
+        val size = Resources(entry.path(CPUS).asDouble(), entry.path(GPUS).asDouble(), entry.path(MEMORY_GB).asDouble())
+        return QuotaCharge(entry.path(TEAM).asText(), size)
     }
 
     private fun decodeAllocation(
@@ -96,15 +111,15 @@
     ): Allocation =
         Allocation(
             job,
-            task = start.path(0).asInt(),
-            attempt = start.path(1).asInt(),
-            machine = start.path(2).asText(),
-            agentEpoch = start.path(3).asLong(),
-            zone = zones.getOrElse(start.path(4).asInt()) { "" },
+            task = start.path(TASK).asInt(),
+            attempt = start.path(ATTEMPT).asInt(),
+            machine = start.path(MACHINE).asText(),
+            agentEpoch = start.path(AGENT_EPOCH).asLong(),
+            zone = zones.getOrElse(start.path(ZONE_INDEX).asInt()) { "" },
             charge,
             AllocationPhase.DISPATCHED,
         ).also {
-            it.isLost = start.path(5).asInt() == 1
+            it.isLost = start.path(LOST).asInt() == 1
             it.isInherited = true
         }
 }
--- a/src/main/kotlin/burlridge/app/Metrics.kt
+++ b/src/main/kotlin/burlridge/app/Metrics.kt
@@ -2,7 +2,6 @@
 
 import burlridge.core.CallOutcome
 import burlridge.core.Effect
-import burlridge.core.HttpResponse
 import burlridge.core.Input
 import io.micrometer.core.instrument.simple.SimpleMeterRegistry
 import it.unimi.dsi.fastutil.objects.Object2LongOpenHashMap
--- a/src/main/kotlin/burlridge/app/Service.kt
+++ b/src/main/kotlin/burlridge/app/Service.kt
@@ -1,7 +1,6 @@
 package burlridge.app
 
 import burlridge.core.Effect
-import burlridge.core.HttpResponse
 import burlridge.core.Input
 import burlridge.core.LogLevel
 import burlridge.message.PeerMessage
--- a/src/main/kotlin/burlridge/balance/Balance.kt
+++ b/src/main/kotlin/burlridge/balance/Balance.kt
@@ -1,20 +1,14 @@
 package burlridge.balance
 
-import burlridge.allocation.JobRegistry
 import burlridge.core.StepContext
-import burlridge.fleet.Fleet
 import burlridge.job.JobSpec
-import burlridge.leadership.Leadership
 import burlridge.placement.CapacityReservation
-import burlridge.placement.Placement
 import burlridge.placement.PlacementPolicy
 import burlridge.placement.PlacementReason
 import burlridge.settings.BalanceSettings
 import burlridge.store.Listing
-import burlridge.store.StoreClient
 import burlridge.worker.DrainReason
 import burlridge.worker.Machine
-import burlridge.worker.WorkerManager
 import com.fasterxml.jackson.databind.JsonNode
 
 /**
--- a/src/main/kotlin/burlridge/balance/GracefulEviction.kt
+++ b/src/main/kotlin/burlridge/balance/GracefulEviction.kt
@@ -4,7 +4,6 @@
 import burlridge.allocation.AllocationPhase
 import burlridge.allocation.Job
 import burlridge.allocation.JobRegistry
-import burlridge.allocation.JobState
 import burlridge.core.StepContext
 import burlridge.placement.MoveTargetFinder
 import burlridge.settings.BalanceSettings
--- a/src/main/kotlin/burlridge/balance/HotspotMitigation.kt
+++ b/src/main/kotlin/burlridge/balance/HotspotMitigation.kt
@@ -81,25 +81,32 @@
     }
 
     private fun moveTasksOffHotMachines() {
-        val targetFinder by lazy(LazyThreadSafetyMode.NONE) { targets() }
+        val targetFinder = lazy(LazyThreadSafetyMode.NONE) { targets() }
         val planned = ArrayList<Move>()
         for (id in hot) {
             if (planned.size >= moves.maxMovesPerRow) break
-            val machine = workers.machines[id] ?: continue
-            val (job, allocation) = mostBeneficialMove(machine) ?: continue
-            val spec = job.spec
-            val count = moves.countOf(allocation.taskName) + 1
-            val move =
-                Move(allocation.job, allocation.task, allocation.attempt, spec.team, spec.jobClass, id, null, count, 1, MoveReason.HOT)
-            if (count > settings.movesPerTask || !moves.permits(move)) continue
-            val target =
-                targetFinder.reserveTarget(job, allocation) { candidate -> isWorthwhile(job, allocation, machine, candidate) } ?: continue
-            moves.spend(move)
-            planned += move.copy(to = target.id)
+            planMove(id, targetFinder)?.let { planned += it }
         }
         if (planned.isNotEmpty()) moves.plan(planned)
     }
 
+    /** The move of one task off the hot machine [id], with capacity reserved and its budget spent; null if none pays or is permitted. */
+    private fun planMove(
+        id: String,
+        targetFinder: Lazy<MoveTargetFinder>,
+    ): Move? {
+        val machine = workers.machines[id] ?: return null
+        val (job, allocation) = mostBeneficialMove(machine) ?: return null
+        val spec = job.spec
+        val count = moves.countOf(allocation.taskName) + 1
+        val move =
+            Move(allocation.job, allocation.task, allocation.attempt, spec.team, spec.jobClass, id, null, count, 1, MoveReason.HOT)
+        if (count > settings.movesPerTask || !moves.permits(move)) return null
+        val target = targetFinder.value.reserveTarget(job, allocation) { isWorthwhile(job, allocation, machine, it) } ?: return null
+        moves.spend(move)
+        return move.copy(to = target.id)
+    }
+
     private fun mostBeneficialMove(machine: Machine): Pair<Job, Allocation>? =
         registry.allocations.byMachine[machine.id]
             ?.values
--- a/src/main/kotlin/burlridge/balance/LoadTracker.kt
+++ b/src/main/kotlin/burlridge/balance/LoadTracker.kt
@@ -114,7 +114,7 @@
     private fun decayedSlowdown(
         load: MachineRecord,
         now: Double,
-    ): Double = 1.0 + (load.slowdown - 1.0) * Math.pow(0.5, (now - load.sampledAt) / halfLifeSeconds)
+    ): Double = 1.0 + (load.slowdown - 1.0) * Math.pow(HALF, (now - load.sampledAt) / halfLifeSeconds)
 
     /** How many times as long as elsewhere tasks take on [machine]; 1 where nothing is known. */
     fun slowdown(
@@ -141,6 +141,7 @@
     internal companion object {
         /** Fewer samples than this are not judged. */
         const val MIN_SAMPLES: Int = 3
+        private const val HALF = 0.5
         private const val COMPLETION_WEIGHT = 0.3
         private const val OVERDUE_WEIGHT = 0.15
 
--- a/src/main/kotlin/burlridge/balance/Move.kt
+++ b/src/main/kotlin/burlridge/balance/Move.kt
@@ -90,6 +90,15 @@
         /** Upper bound of what a move and its job's entry take of a row, in bytes. */
         const val BYTES_PER_MOVE: Int = 330
 
+        // Places of a move's fields in its array, in the order in which encode adds them.
+        private const val TASK = 0
+        private const val ATTEMPT = 1
+        private const val FROM = 2
+        private const val TO = 3
+        private const val COUNT = 4
+        private const val TASKS = 5
+        private const val REASON = 6
+
         /** Null for a row that is damaged or of an unknown version. */
         fun decode(row: Row): MoveBatch? {
             val value = row.value
@@ -109,14 +118,23 @@
             jobClass: String,
             entry: JsonNode,
         ): Move? {
-            val numbers = listOf(entry.path(0), entry.path(1), entry.path(4), entry.path(5))
-            if (numbers.any { !it.isInt } || !entry.path(2).isTextual) return null
-            val (task, attempt, count) = numbers.map { it.asInt() }
-            val tasks = numbers.last().asInt()
-            val reason = MoveReason.of(entry.path(6).asText()) ?: return null
-            val to = entry.path(3).takeIf { it.isTextual }?.asText()
-            return Move(job, task, attempt, team, jobClass, entry.path(2).asText(), to, count, tasks, reason)
-                .takeIf { task >= Move.WHOLE_GANG && attempt > 0 && count > 0 && tasks > 0 }
+            val numbers = listOf(TASK, ATTEMPT, COUNT, TASKS).associateWith { entry.path(it) }
+            if (numbers.values.any { !it.isInt } || !entry.path(FROM).isTextual) return null
+            val reason = MoveReason.of(entry.path(REASON).asText()) ?: return null
+            val move =
+                Move(
+                    job = job,
+                    task = numbers.getValue(TASK).asInt(),
+                    attempt = numbers.getValue(ATTEMPT).asInt(),
+                    team = team,
+                    jobClass = jobClass,
+                    from = entry.path(FROM).asText(),
+                    to = entry.path(TO).takeIf { it.isTextual }?.asText(),
+                    count = numbers.getValue(COUNT).asInt(),
+                    tasks = numbers.getValue(TASKS).asInt(),
+                    reason = reason,
+                )
+            return move.takeIf { it.task >= Move.WHOLE_GANG && it.attempt > 0 && it.count > 0 && it.tasks > 0 }
         }
     }
 }
--- a/src/main/kotlin/burlridge/balance/MoveExecutor.kt
+++ b/src/main/kotlin/burlridge/balance/MoveExecutor.kt
@@ -5,7 +5,6 @@
 import burlridge.allocation.GangState
 import burlridge.allocation.Job
 import burlridge.allocation.JobRegistry
-import burlridge.allocation.JobState
 import burlridge.core.StepContext
 import burlridge.leadership.Leadership
 import burlridge.placement.CapacityReservation
--- a/src/main/kotlin/burlridge/placement/ArrayPlacement.kt
+++ b/src/main/kotlin/burlridge/placement/ArrayPlacement.kt
@@ -53,17 +53,31 @@
             val imageHolders = pools.flatMap { pool -> pool.candidates.filter { spec.image in it.machine.images && canUse(job, it) } }
             task = fill(job, task, imageHolders, zones, plan)
         }
+        task = fillByType(job, task, pools, zones, plan)
+        if (task == NO_TASK) return
+        val isLimited = isBatchFull(plan) || quotas.isExceeded(spec.team, plan.usageOf(spec.team) + spec.size)
+        if (policy != null && objectives.hasStartObjective(spec.jobClass)) {
+            task = fillSlowStarting(job, task, pools, zones, plan)
+        }
+        if (task != NO_TASK && !isLimited && !spec.oneZone && !spec.spread && isCapacityExhausted(job, pools)) plan.markUnplaceable(spec)
+    }
+
+    /** Fills one machine type after the other; returns the next task, or [NO_TASK] if all are placed. */
+    private fun fillByType(
+        job: Job,
+        first: Int,
+        pools: List<MachinePool>,
+        zones: HashMap<String, Int>,
+        plan: PlacementPlan,
+    ): Int {
+        var task = first
         // Where idle machines are returned, the expensive ones of a type are filled last, so that they are the ones to fall idle.
         for (group in pools.groupBy { it.first.type to (fleet.returnsIdleMachines && it.first.spot) }.values) {
-            if (task == NO_TASK) return
+            if (task == NO_TASK) return task
             context.count("placement.candidates", group.sumOf { it.candidates.size })
             task = fill(job, task, group.flatMap { pool -> pool.candidates.filter { canUse(job, it) } }, zones, plan)
         }
-        val isLimited = isBatchFull(plan) || quotas.isExceeded(spec.team, plan.usageOf(spec.team) + spec.size)
-        if (task != NO_TASK && policy != null && objectives.hasStartObjective(spec.jobClass)) {
-            task = fillSlowStarting(job, task, pools, zones, plan)
-        }
-        if (task != NO_TASK && !isLimited && !spec.oneZone && !spec.spread && isCapacityExhausted(job, pools)) plan.markUnplaceable(spec)
+        return task
     }
 
     private fun isBatchFull(plan: PlacementPlan): Boolean = plan.allocations.size >= registry.allocations.maxStartsPerBatch
--- a/src/test/kotlin/burlridge/app/LeaderChangeTracerTest.kt
+++ b/src/test/kotlin/burlridge/app/LeaderChangeTracerTest.kt
@@ -37,7 +37,8 @@
             listOf("read rows" to 30L, "first start" to 500L, "leader change" to 4_000L, "handover" to 40L),
             spans.map { it.path("name").asText() to it.path("ms").asLong() },
         )
-        val (rows, start, change, handover) = spans
+        val (rows, start, change) = spans
+        val handover = spans.last()
         assertEquals(setOf(change.path("span").asText()), listOf(rows, start).map { it.path("parent").asText() }.toSet())
         assertEquals(change.path("trace"), rows.path("trace"))
         assertTrue(change.path("trace") != handover.path("trace"))
--- a/src/test/kotlin/burlridge/net/ClientConnectionsTest.kt
+++ b/src/test/kotlin/burlridge/net/ClientConnectionsTest.kt
@@ -2,7 +2,6 @@
 
 import burlridge.core.CallOutcome
 import burlridge.core.Effect
-import burlridge.core.HttpResponse
 import burlridge.settings.Endpoint
 import kotlinx.coroutines.CoroutineScope
 import kotlinx.coroutines.SupervisorJob
--- a/src/test/kotlin/burlridge/net/ConnectionTest.kt
+++ b/src/test/kotlin/burlridge/net/ConnectionTest.kt
@@ -1,7 +1,6 @@
 package burlridge.net
 
 import burlridge.core.Effect
-import burlridge.core.HttpResponse
 import burlridge.core.Input
 import burlridge.settings.Endpoint
 import kotlinx.coroutines.CoroutineScope
--- a/src/test/kotlin/burlridge/simulation/SimulatedCluster.kt
+++ b/src/test/kotlin/burlridge/simulation/SimulatedCluster.kt
@@ -3,7 +3,6 @@
 import burlridge.app.Controller
 import burlridge.core.CallOutcome
 import burlridge.core.Effect
-import burlridge.core.HttpResponse
 import burlridge.core.Input
 import burlridge.job.JobSpec
 import burlridge.json.Json
