--- a/src/main/kotlin/burlridge/failover/ReplicaTable.kt
+++ b/src/main/kotlin/burlridge/failover/ReplicaTable.kt
@@ -91,20 +91,30 @@
         val events = changes.events ?: return BatchFault.NoChanges
         var previous = revision
         for (event in events) {
-            val modRevision = event.modRevision
-            val key = event.key
-            when {
-                !key.startsWith(prefix) -> return BatchFault.KeyOutsidePrefix(key, prefix)
-                event is WatchEvent.Put && event.value.isMissingNode -> return BatchFault.MissingValue(key)
-                modRevision <= revision -> return BatchFault.ChangeTooOld(key, modRevision, revision)
-                modRevision < previous -> return BatchFault.ChangeOutOfOrder(key, modRevision, previous)
-                modRevision > batchRevision -> return BatchFault.ChangeTooNew(key, modRevision, batchRevision)
-            }
-            previous = modRevision
+            faultOf(event, previous, batchRevision)?.let { return it }
+            previous = event.modRevision
         }
         return null
     }
 
+    /** What is wrong with [event], which comes after one at [previous] in a batch up to [batchRevision]; null if nothing is. */
+    private fun faultOf(
+        event: WatchEvent,
+        previous: Long,
+        batchRevision: Long,
+    ): BatchFault? {
+        val modRevision = event.modRevision
+        val key = event.key
+        return when {
+            !key.startsWith(prefix) -> BatchFault.KeyOutsidePrefix(key, prefix)
+            event is WatchEvent.Put && event.value.isMissingNode -> BatchFault.MissingValue(key)
+            modRevision <= revision -> BatchFault.ChangeTooOld(key, modRevision, revision)
+            modRevision < previous -> BatchFault.ChangeOutOfOrder(key, modRevision, previous)
+            modRevision > batchRevision -> BatchFault.ChangeTooNew(key, modRevision, batchRevision)
+            else -> null
+        }
+    }
+
     /** Adds a row to [size] and [digest], or with a [sign] of -1 takes it away. */
     private fun updateTotals(
         key: String,
