--- a/src/main/kotlin/burlridge/admin/AdminRequests.kt
+++ b/src/main/kotlin/burlridge/admin/AdminRequests.kt
@@ -12,6 +12,7 @@
     /** Null where balance is switched off. */
     private val machines: MachineRequests?,
 ) {
+    /** Routes a request to the part that serves its path; 404 if that is switched off. */
     fun handle(
         method: String,
         path: String,
--- a/src/main/kotlin/burlridge/allocation/AllocationBatchCleaner.kt
+++ b/src/main/kotlin/burlridge/allocation/AllocationBatchCleaner.kt
@@ -19,6 +19,7 @@
 ) {
     private val fenced = FencedStore(store, leadership)
 
+    /** One pass: reuses, rewrites and removes batch rows where that is due. */
     fun run() {
         batches.all.filter { isNewlySettled(it) }.forEach {
             it.settledAt = context.now
--- a/src/main/kotlin/burlridge/allocation/AllocationBatchCodec.kt
+++ b/src/main/kotlin/burlridge/allocation/AllocationBatchCodec.kt
@@ -32,6 +32,7 @@
     private const val STATUS = "claimed"
     private const val FINGERPRINT_LENGTH = 16
 
+    /** Key of the row in [slot]. */
     fun rowKey(slot: String): String = KEY_PREFIX + slot
 
     /** The row of [batch] under fencing token [token], with [allocations] in it; it counts as live until [untilMillis]. */
--- a/src/main/kotlin/burlridge/allocation/AllocationBatchSet.kt
+++ b/src/main/kotlin/burlridge/allocation/AllocationBatchSet.kt
@@ -9,14 +9,17 @@
 
     val all: Collection<AllocationBatch> get() = bySlot.values
 
+    /** Adds [batch], or replaces the one in its slot. */
     fun put(batch: AllocationBatch) {
         bySlot[batch.slot] = batch
     }
 
+    /** Forgets [batch]. */
     fun remove(batch: AllocationBatch) {
         bySlot.remove(batch.slot)
     }
 
+    /** Forgets all batches: a new term begins, or this one has ended. */
     fun clear() {
         bySlot.clear()
         reusable.clear()
--- a/src/main/kotlin/burlridge/allocation/AllocationBatchWriter.kt
+++ b/src/main/kotlin/burlridge/allocation/AllocationBatchWriter.kt
@@ -34,6 +34,7 @@
     var maxJobsPerBatch: Int = 1
         private set
 
+    /** Forgets this term's numbering and open writes. */
     fun clear() {
         nextNumber = 0
         pendingBatches = 0
--- a/src/main/kotlin/burlridge/allocation/AllocationIndex.kt
+++ b/src/main/kotlin/burlridge/allocation/AllocationIndex.kt
@@ -15,8 +15,10 @@
     val usageByTeam: HashMap<String, Resources> = HashMap()
     private val usageByMachine = HashMap<String, Resources>()
 
+    /** What the open allocations on [machine] take. */
     fun usageOn(machine: String): Resources = usageByMachine[machine] ?: Resources.NONE
 
+    /** Forgets all allocations: a new term begins, or this one has ended. */
     fun clear() {
         byMachine.clear()
         usageByTeam.clear()
--- a/src/main/kotlin/burlridge/allocation/AllocationTable.kt
+++ b/src/main/kotlin/burlridge/allocation/AllocationTable.kt
@@ -41,6 +41,7 @@
     /** What the open allocations on [machine] take. */
     fun usageOn(machine: String): Resources = index.usageOn(machine)
 
+    /** Forgets everything: a new term begins, or this one has ended. */
     fun clear() {
         index.clear()
         batches.clear()
--- a/src/main/kotlin/burlridge/allocation/GangRules.kt
+++ b/src/main/kotlin/burlridge/allocation/GangRules.kt
@@ -28,6 +28,7 @@
  * has started is known only after the fact, and a new attempt on the same machines finds the image there.
  */
 internal object GangRules {
+    /** How far the present attempt of the gang [job] has come. */
     fun state(job: Job): GangState {
         val allocations = job.allocations.values
         return when {
--- a/src/main/kotlin/burlridge/allocation/JobRegistry.kt
+++ b/src/main/kotlin/burlridge/allocation/JobRegistry.kt
@@ -43,6 +43,7 @@
         progress.clear()
     }
 
+    /** The condition that fences every write of this leader's term. */
     fun fenceCondition(): Condition = leadership.fenceCondition()
 
     /** Settles what the loaded rows amount to, once all of them are loaded. */
--- a/src/main/kotlin/burlridge/allocation/JobRowCodec.kt
+++ b/src/main/kotlin/burlridge/allocation/JobRowCodec.kt
@@ -8,6 +8,7 @@
 
 /** Reads and writes the rows of active and finished jobs. */
 internal object JobRowCodec {
+    /** The value of the row of an unfinished job. */
     fun encodeActive(row: ActiveJobRow): JsonNode =
         Json.obj {
             set<JsonNode>("job", JobSpecCodec.encode(row.spec))
@@ -21,6 +22,7 @@
     /** The fingerprint in the active job's [row], which can be read even where the job cannot. */
     fun activeFingerprint(row: Row): String = row.value.path("fp").asText()
 
+    /** The value of the row of a finished job. */
     fun encodeFinished(row: FinishedJobRow): JsonNode =
         Json.obj {
             put("st", row.jobState.wire)
--- a/src/main/kotlin/burlridge/allocation/ProgressWriter.kt
+++ b/src/main/kotlin/burlridge/allocation/ProgressWriter.kt
@@ -27,6 +27,7 @@
     private val orphanedKeys = LinkedHashSet<String>()
     private var pendingWrites = 0
 
+    /** Forgets everything: a new term begins, or this one has ended. */
     fun clear() {
         pendingWrites = 0
         orphanedKeys.clear()
--- a/src/main/kotlin/burlridge/api/JobCreator.kt
+++ b/src/main/kotlin/burlridge/api/JobCreator.kt
@@ -28,6 +28,7 @@
     private val onStored: (String) -> Unit,
     private val onAdmitted: () -> Unit,
 ) {
+    /** Writes the row of a new job, and answers once that is durable or known to fail. */
     fun create(
         spec: JobSpec,
         respond: (HttpResponse) -> Unit,
--- a/src/main/kotlin/burlridge/api/JobResponses.kt
+++ b/src/main/kotlin/burlridge/api/JobResponses.kt
@@ -33,6 +33,7 @@
     /** The id is taken by a job with another specification. */
     fun idTaken(id: String): HttpResponse = HttpResponse.error(HttpStatus.CONFLICT, "$id has been submitted with another description")
 
+    /** No job of that id was ever accepted. */
     fun notFound(): HttpResponse = HttpResponse.error(HttpStatus.NOT_FOUND, "no such job")
 
     /** The rows cannot be read. */
--- a/src/main/kotlin/burlridge/api/JobValidation.kt
+++ b/src/main/kotlin/burlridge/api/JobValidation.kt
@@ -11,6 +11,7 @@
 
 /** Whether a job could ever run. */
 internal sealed interface JobVerdict {
+    /** Some machine type can run it, and its team may. */
     data object Runnable : JobVerdict
 
     /** No state of the cluster would let it run; [reason] is for its owner. */
--- a/src/main/kotlin/burlridge/app/FailoverReportFormatter.kt
+++ b/src/main/kotlin/burlridge/app/FailoverReportFormatter.kt
@@ -8,6 +8,7 @@
  * the controller may be of another version than the command line, and a field that is missing is shown as empty.
  */
 internal object FailoverReportFormatter {
+    /** The members, the standby replica, handovers and changes of leader, a line each. */
     fun describe(report: JsonNode): String =
         buildString {
             val isRecovering = report.path("doubts_itself").asBoolean()
--- a/src/main/kotlin/burlridge/app/LeaderLifecycle.kt
+++ b/src/main/kotlin/burlridge/app/LeaderLifecycle.kt
@@ -32,6 +32,7 @@
         loader.load(leadership.term) { onStateLoaded(leadership.term) }
     }
 
+    /** This member leads no more: forgets everything that only a leader knows. */
     fun onDeposed(
         term: Long,
         reason: StepDownReason,
--- a/src/main/kotlin/burlridge/app/OrderlyShutdown.kt
+++ b/src/main/kotlin/burlridge/app/OrderlyShutdown.kt
@@ -16,6 +16,7 @@
     var isRequested: Boolean = false
         private set
 
+    /** Registers the shutdown hook. */
     fun install() {
         Runtime.getRuntime().addShutdownHook(Thread(::await, "orderly-shutdown"))
     }
--- a/src/main/kotlin/burlridge/app/PeerMessageHandler.kt
+++ b/src/main/kotlin/burlridge/app/PeerMessageHandler.kt
@@ -29,6 +29,7 @@
     /** Called when a job that another member has accepted is known here. */
     private val onJobAdmitted: () -> Unit,
 ) {
+    /** Passes [message] to the part that it is for. */
     fun handle(message: PeerMessage) {
         peers.onMessage(message)
         when (message) {
--- a/src/main/kotlin/burlridge/failover/DeclineReason.kt
+++ b/src/main/kotlin/burlridge/failover/DeclineReason.kt
@@ -4,6 +4,7 @@
 internal sealed interface DeclineReason {
     val text: String
 
+    /** It leads a term of its own. */
     data object LeadsItself : DeclineReason {
         override val text: String = "it leads itself"
     }
@@ -15,22 +16,27 @@
         override val text: String get() = "it follows ${leader ?: "nobody"}"
     }
 
+    /** The key-value store refuses it. */
     data object StoreUnavailable : DeclineReason {
         override val text: String = "the state service refuses it"
     }
 
+    /** The store grants it no lease. */
     data object LeaseNotGranted : DeclineReason {
         override val text: String = "it gets no lease"
     }
 
+    /** It was asked to leave. */
     data object Draining : DeclineReason {
         override val text: String = "it is draining"
     }
 
+    /** It was paused several times lately. */
     data object Stalled : DeclineReason {
         override val text: String = "it stood still lately"
     }
 
+    /** It was paused a moment ago. */
     data object RecoveringFromPause : DeclineReason {
         override val text: String = "it was paused a moment ago"
     }
--- a/src/main/kotlin/burlridge/failover/DrainResult.kt
+++ b/src/main/kotlin/burlridge/failover/DrainResult.kt
@@ -5,6 +5,7 @@
     /** The member is draining, or may be asked to. */
     data object Accepted : DrainResult
 
+    /** Nothing was begun. */
     data class Refused(
         val refusal: DrainRefusal,
     ) : DrainResult
@@ -19,6 +20,7 @@
         override val text: String = "no other member is alive to take over"
     }
 
+    /** The settings name no such member. */
     data class UnknownMember(
         val member: String,
     ) : DrainRefusal {
@@ -33,6 +35,7 @@
         override val text: String get() = "$member has not been heard since $observer started, or has no failover switched on"
     }
 
+    /** The member is suspected or failed. */
     data class NotAlive(
         val view: MemberView,
     ) : DrainRefusal {
--- a/src/main/kotlin/burlridge/failover/FailoverReportBuilder.kt
+++ b/src/main/kotlin/burlridge/failover/FailoverReportBuilder.kt
@@ -12,6 +12,7 @@
     private val handovers: HandoverCoordinator,
     private val history: LeaderHistory,
 ) {
+    /** This member's view at present. */
     fun build(): FailoverReport =
         FailoverReport(
             member = context.settings.member,
--- a/src/main/kotlin/burlridge/failover/FailoverReportCodec.kt
+++ b/src/main/kotlin/burlridge/failover/FailoverReportCodec.kt
@@ -5,6 +5,7 @@
 
 /** Writes [FailoverReport] and the answer to a drain as the JSON that the admin API serves. */
 internal object FailoverReportCodec {
+    /** [report] as JSON text. */
     fun encode(report: FailoverReport): String =
         Json.write(
             Json.obj {
--- a/src/main/kotlin/burlridge/failover/HandoverReason.kt
+++ b/src/main/kotlin/burlridge/failover/HandoverReason.kt
@@ -4,6 +4,7 @@
 internal sealed interface HandoverReason {
     val text: String
 
+    /** The leader was asked to leave. */
     data object Draining : HandoverReason {
         override val text: String = "it is draining"
     }
--- a/src/main/kotlin/burlridge/failover/LeaderChangeEvent.kt
+++ b/src/main/kotlin/burlridge/failover/LeaderChangeEvent.kt
@@ -4,25 +4,30 @@
 
 /** What happens around a change of leader; recorded in traces where an operator switched them on. */
 internal sealed interface LeaderChangeEvent : TraceEvent {
+    /** The failure detector changed its mind about a member. */
     data class LivenessChanged(
         val change: LivenessChange,
     ) : LeaderChangeEvent
 
+    /** The leader has offered its term. */
     data class HandoverBegan(
         val successor: String,
         val reason: String,
     ) : LeaderChangeEvent
 
+    /** A handover has ended, however it did. */
     data class HandoverEnded(
         val successor: String,
         val outcome: String,
     ) : LeaderChangeEvent
 
+    /** This member leads [term]. */
     data class Elected(
         val term: Long,
         val cause: String,
     ) : LeaderChangeEvent
 
+    /** The new leader has its rows. */
     data class RowsRead(
         val term: Long,
         val rows: Int,
@@ -41,6 +46,7 @@
         val machines: Int,
     ) : LeaderChangeEvent
 
+    /** This member leads [term] no more. */
     data class Deposed(
         val term: Long,
         val cause: String,
--- a/src/main/kotlin/burlridge/failover/LeaderHistory.kt
+++ b/src/main/kotlin/burlridge/failover/LeaderHistory.kt
@@ -28,6 +28,7 @@
         changes.addLast(LeaderChange(context.wallMillis, term, leader, cause))
     }
 
+    /** The kept changes, oldest first. */
     fun toList(): List<LeaderChange> = changes.toList()
 
     private companion object {
--- a/src/main/kotlin/burlridge/failover/OutgoingHandoverState.kt
+++ b/src/main/kotlin/burlridge/failover/OutgoingHandoverState.kt
@@ -5,6 +5,7 @@
     /** For an operator; [reason] is why the leader hands over. */
     fun describe(reason: String): String
 
+    /** No handover is under way. */
     data object Idle : OutgoingHandoverState {
         override fun describe(reason: String): String = "none"
     }
--- a/src/main/kotlin/burlridge/failover/ReplicaFault.kt
+++ b/src/main/kotlin/burlridge/failover/ReplicaFault.kt
@@ -24,6 +24,7 @@
         override val text: String get() = "$prefix: its changes cannot be read"
     }
 
+    /** A batch of changes contradicts itself or the replica. */
     data class InconsistentChanges(
         val prefix: String,
         val fault: BatchFault,
@@ -31,6 +32,7 @@
         override val text: String get() = "$prefix: ${fault.text}"
     }
 
+    /** A page of the store differs from the replica. */
     data class AuditFailed(
         val prefix: String,
         val difference: AuditDifference,
@@ -55,12 +57,14 @@
         override val text: String get() = "$prefix is known up to $revision, below the fence $fence"
     }
 
+    /** The rows are not those that were written. */
     data class DigestMismatch(
         val prefix: String,
     ) : ReplicaFault {
         override val text: String get() = "$prefix does not match its digest"
     }
 
+    /** A row is not JSON. */
     data class UnreadableRow(
         val prefix: String,
     ) : ReplicaFault {
@@ -70,6 +74,7 @@
 
 /** Why a batch of changes cannot be what the state service says it is. */
 internal sealed interface BatchFault : ReplicaFault {
+    /** The batch ends before the replica. */
     data class RevisionWentBack(
         val batchRevision: Long,
         val tableRevision: Long,
@@ -77,10 +82,12 @@
         override val text: String get() = "revision $batchRevision after $tableRevision"
     }
 
+    /** The answer holds no list of changes. */
     data object NoChanges : BatchFault {
         override val text: String = "no list of changes"
     }
 
+    /** A change of a key that was not asked for. */
     data class KeyOutsidePrefix(
         val key: String,
         val prefix: String,
@@ -88,12 +95,14 @@
         override val text: String get() = "a change of \"${key.take(MAX_KEY_LENGTH)}\" under $prefix"
     }
 
+    /** A change without a value. */
     data class MissingValue(
         val key: String,
     ) : BatchFault {
         override val text: String get() = "$key has no value"
     }
 
+    /** A change that the replica must know already. */
     data class ChangeTooOld(
         val key: String,
         val modRevision: Long,
@@ -102,6 +111,7 @@
         override val text: String get() = "$key changed at $modRevision, before $tableRevision"
     }
 
+    /** A change that is listed after a later one. */
     data class ChangeOutOfOrder(
         val key: String,
         val modRevision: Long,
@@ -110,6 +120,7 @@
         override val text: String get() = "$key changed at $modRevision, listed after $previousRevision"
     }
 
+    /** A change after the end of the batch. */
     data class ChangeTooNew(
         val key: String,
         val modRevision: Long,
@@ -127,6 +138,7 @@
 internal sealed interface AuditDifference {
     val text: String
 
+    /** The replica has another revision of a row than the store. */
     data class StaleRow(
         val key: String,
         /** Null where the replica has no such row. */
--- a/src/main/kotlin/burlridge/failover/ReplicaTable.kt
+++ b/src/main/kotlin/burlridge/failover/ReplicaTable.kt
@@ -16,6 +16,7 @@
 
 /** Whether a batch of changes was applied. */
 internal sealed interface Applied {
+    /** All changes of the batch were applied. */
     data object Complete : Applied
 
     /** The batch cannot be what the state service says it is; the replica must be discarded. */
@@ -56,6 +57,7 @@
         revision = listing.revision
     }
 
+    /** Drops all rows. */
     fun clear() {
         rows = persistentHashMapOf()
         revision = 0
--- a/src/main/kotlin/burlridge/leadership/ElectionCampaign.kt
+++ b/src/main/kotlin/burlridge/leadership/ElectionCampaign.kt
@@ -42,6 +42,7 @@
     /** Since when this member has found no leader row; null while there is one. */
     private var absentSince: Double? = null
 
+    /** Polls the leader's row when that is due. */
     fun tick() {
         if (!isCampaigning && context.now >= nextPollAt) poll()
     }
--- a/src/main/kotlin/burlridge/leadership/GangFeatureGate.kt
+++ b/src/main/kotlin/burlridge/leadership/GangFeatureGate.kt
@@ -35,6 +35,7 @@
     private var nextReadAt = 0.0
     private var isReading = false
 
+    /** Reads the rows of the members again when that is due. */
     fun tick() {
         if (!isGangEnabled || allMembersSupportGangs || isReading || context.now < nextReadAt) return
         readVersions(RequestPriority.CLEANUP) {}
--- a/src/main/kotlin/burlridge/leadership/LeaderLease.kt
+++ b/src/main/kotlin/burlridge/leadership/LeaderLease.kt
@@ -84,6 +84,7 @@
         lastTickAt = context.now
     }
 
+    /** Renews the lease a few times within its time to live. */
     fun renewIfDue() {
         val id = leaseId ?: return
         if (!isRenewing && context.now >= nextRenewAt) renew(id)
--- a/src/main/kotlin/burlridge/leadership/LeaderRow.kt
+++ b/src/main/kotlin/burlridge/leadership/LeaderRow.kt
@@ -8,6 +8,7 @@
     val member: String,
     val term: Long,
 ) {
+    /** The value of the row. */
     fun encode(): JsonNode =
         Json.obj {
             put("member", member)
--- a/src/main/kotlin/burlridge/leadership/Leadership.kt
+++ b/src/main/kotlin/burlridge/leadership/Leadership.kt
@@ -80,6 +80,7 @@
     /** Whether this member still leads [term], to be asked later. */
     fun whileLeading(term: Long): () -> Boolean = { isLeader && this.term == term }
 
+    /** Renews the lease of a leader; lets a follower look for a leader. */
     fun tick() {
         lease.tick()
         if (!isLeader) {
@@ -187,6 +188,7 @@
         knownLeader = leader
     }
 
+    /** Takes a status of another member into account. */
     fun onPeerStatus(status: PeerMessage.Status) {
         statuses.onReceived(status)
         if (isLeader && !status.mayAnswerWorkers && status.term >= term) formerLeaders.onConfirmed(status.from)
--- a/src/main/kotlin/burlridge/leadership/MemberVersionRow.kt
+++ b/src/main/kotlin/burlridge/leadership/MemberVersionRow.kt
@@ -7,6 +7,7 @@
 internal data class MemberVersionRow(
     val version: Int,
 ) {
+    /** The value of the row. */
     fun encode(): JsonNode = Json.obj { put("v", version) }
 
     internal companion object {
--- a/src/main/kotlin/burlridge/leadership/StatusExchange.kt
+++ b/src/main/kotlin/burlridge/leadership/StatusExchange.kt
@@ -17,6 +17,7 @@
     var lastReceivedAt: Double = 0.0
         private set
 
+    /** Takes a status of another member into account. */
     fun onReceived(status: PeerMessage.Status) {
         lastReceivedAt = context.now
         // A member that follows a later leader reports it as well: that leader itself may be out of reach.
--- a/src/main/kotlin/burlridge/leadership/TermRow.kt
+++ b/src/main/kotlin/burlridge/leadership/TermRow.kt
@@ -13,6 +13,7 @@
     /** Who led before [term], with the wall-clock time in milliseconds at which each one's term ended; null where the row does not say. */
     val formerLeaders: Map<String, Long>?,
 ) {
+    /** The value of the row. */
     fun encode(): JsonNode =
         Json.obj {
             put("n", term)
--- a/src/main/kotlin/burlridge/net/EventLoop.kt
+++ b/src/main/kotlin/burlridge/net/EventLoop.kt
@@ -4,6 +4,7 @@
 import kotlinx.coroutines.CoroutineDispatcher
 import kotlinx.coroutines.Delay
 import kotlinx.coroutines.DisposableHandle
+import kotlinx.coroutines.ExperimentalCoroutinesApi
 import kotlinx.coroutines.InternalCoroutinesApi
 import java.nio.ByteBuffer
 import java.nio.channels.SelectionKey
@@ -15,7 +16,7 @@
  * One thread for everything: a coroutine dispatcher whose idle wait is the selector's wait for sockets and timers. On a fifth of a core each
  * switch between threads costs more than parsing a heartbeat, and `ktor-network` makes three for every message.
  */
-@OptIn(InternalCoroutinesApi::class)
+@OptIn(InternalCoroutinesApi::class, ExperimentalCoroutinesApi::class)
 internal class EventLoop :
     CoroutineDispatcher(),
     Delay {
--- a/src/main/kotlin/burlridge/peer/PeerRequests.kt
+++ b/src/main/kotlin/burlridge/peer/PeerRequests.kt
@@ -58,6 +58,7 @@
         pendingRequests.remove(response.requestId)?.invoke(HttpResponse(response.status, response.body, retryAfterSeconds))
     }
 
+    /** Tells all other members that this one has accepted [job]. */
     fun broadcastAccepted(job: String) {
         context.settings.others.forEach { context.send(it.member, PeerMessage.JobAccepted(context.settings.member, job)) }
     }
--- a/src/main/kotlin/burlridge/peer/PeerTransport.kt
+++ b/src/main/kotlin/burlridge/peer/PeerTransport.kt
@@ -48,6 +48,7 @@
         queues[member]?.trySend(QueuedMessage(message, sendDeadline))
     }
 
+    /** Connects to all other members and accepts their connections, for as long as [scope] is active. */
     fun start(scope: CoroutineScope) {
         settings.others.forEach { peer ->
             scope.launch { keepConnected(scope, peer.endpoint, queues.getValue(peer.member)) }
--- a/src/main/kotlin/burlridge/placement/PlacementPlan.kt
+++ b/src/main/kotlin/burlridge/placement/PlacementPlan.kt
@@ -33,6 +33,7 @@
     /** What the allocations and reservations of [team] take, those of this plan included. */
     fun usageOf(team: String): Resources = usageByTeam[team] ?: Resources.NONE
 
+    /** Replaces what a team uses in this plan. */
     fun setUsage(
         team: String,
         usage: Resources,
@@ -77,6 +78,7 @@
         reservations -= reservation
     }
 
+    /** The task was placed on the capacity reserved for it. */
     fun markPlacedFromReservation(taskName: String) {
         placedFromReservation += taskName
     }
--- a/src/main/kotlin/burlridge/store/CommitRetry.kt
+++ b/src/main/kotlin/burlridge/store/CommitRetry.kt
@@ -15,6 +15,7 @@
     /** Whether the outcome of any copy sent so far is unknown. */
     private var hasUnknownCopy = false
 
+    /** Sends the transaction, and again until its outcome is known. */
     fun run() {
         store.commit(transaction, priority, NO_MAX_WAIT_SECONDS, { onDoubt(true) }, ::onOutcome)
     }
--- a/src/main/kotlin/burlridge/store/ReadResults.kt
+++ b/src/main/kotlin/burlridge/store/ReadResults.kt
@@ -2,6 +2,7 @@
 
 /** What became of the reading of one row. */
 internal sealed interface ReadResult<out T> {
+    /** The row exists. */
     data class Found<T>(
         val value: T,
     ) : ReadResult<T>
@@ -15,6 +16,7 @@
 
 /** What became of a listing, in whole or of one page. */
 internal sealed interface ListResult<out T> {
+    /** All rows were read. */
     data class Listed<T>(
         val value: T,
     ) : ListResult<T>
--- a/src/main/kotlin/burlridge/store/StorePaths.kt
+++ b/src/main/kotlin/burlridge/store/StorePaths.kt
@@ -25,7 +25,9 @@
         blockMillis: Long,
     ): String = "/follow?starts=$prefix&from=$revision&blockMs=$blockMillis"
 
+    /** Path of a lease. */
     fun lease(leaseId: Long): String = "$LEASES/$leaseId"
 
+    /** Path that renews a lease. */
     fun leaseRenewal(leaseId: Long): String = "$LEASES/$leaseId/renew"
 }
--- a/src/test/kotlin/burlridge/balance/OperatorActions.kt
+++ b/src/test/kotlin/burlridge/balance/OperatorActions.kt
@@ -97,7 +97,7 @@
     var answer: Pair<Int, JsonNode>? = null
     ask(member, method, path, body) { status, node -> answer = status to node }
     while (answer == null) run(clock.now + 0.1)
-    return answer ?: error("no answer")
+    return checkNotNull(answer) { "no answer" }
 }
 
 internal fun SimulatedCluster.report(): JsonNode = answerOf(leader() ?: anyMember(), "GET", MachineRequests.STATUS).second
