--- a/src/main/kotlin/burlridge/app/Controller.kt
+++ b/src/main/kotlin/burlridge/app/Controller.kt
@@ -44,7 +44,7 @@
     private val fleet = Fleet(context, store, leadership, registry, workers)
     private val placement = Placement(context, registry, workers, fleet)
     private val gangGate = GangFeatureGate(context, store)
-    private val jobApi = JobApi(context, store, leadership, registry, fleet, peers, gangGate, placementTimer::request, workers::stop)
+    private val jobApi = JobApi(context, store, leadership, registry, fleet, peers, gangGate, placementTimer::request, workers::sendStops)
     private val relay = HeartbeatRelay(context, peers)
     private val failover =
         settings.operator.failover?.let {
--- a/src/main/kotlin/burlridge/app/LeaderActivity.kt
+++ b/src/main/kotlin/burlridge/app/LeaderActivity.kt
@@ -14,7 +14,7 @@
     private val registry: JobRegistry,
     private val workers: WorkerManager,
 ) : Failover.ControllerState {
-    override val startsSent: Long get() = context.counters.getLong(CommandDispatcher.STARTS)
+    override val startsSent: Long get() = context.counters.getLong(CommandDispatcher.STARTS_METRIC)
 
     override fun isQuiesced(): Boolean = registry.allocations.pendingBatches == 0 && !hasUnsentAllocations()
 
--- a/src/main/kotlin/burlridge/app/LeaderLifecycle.kt
+++ b/src/main/kotlin/burlridge/app/LeaderLifecycle.kt
@@ -56,7 +56,7 @@
             registry.allocations.byMachine.keys
                 .toList()
         // A machine known only from allocations must be waited for like any other.
-        machinesWithAllocations.forEach { workers.machine(it) }
+        machinesWithAllocations.forEach { workers.getOrRegisterMachine(it) }
         context.info(
             "leader state loaded",
             "term" to term,
--- a/src/main/kotlin/burlridge/app/PeerMessageHandler.kt
+++ b/src/main/kotlin/burlridge/app/PeerMessageHandler.kt
@@ -58,7 +58,7 @@
 
     private fun onForwardedRequest(request: PeerMessage.ForwardedRequest) {
         if (request.path.startsWith(RelayedCommand.PATH_PREFIX)) {
-            relay.command(request.path.removePrefix(RelayedCommand.PATH_PREFIX), request.body) { respond(request, it) }
+            relay.forwardCommand(request.path.removePrefix(RelayedCommand.PATH_PREFIX), request.body) { respond(request, it) }
         } else {
             router.handle(request.method, request.path, request.body, request.from) { respond(request, it) }
         }
--- a/src/main/kotlin/burlridge/app/RequestRouter.kt
+++ b/src/main/kotlin/burlridge/app/RequestRouter.kt
@@ -86,11 +86,11 @@
     ) {
         when {
             // Before it has read the rows a leader does not know what was cancelled: an answer without a stop would keep it alive.
-            leadership.mayAnswerWorkers && workers.isLoaded -> onResult(workers.heartbeat(body, forwardedBy))
+            leadership.mayAnswerWorkers && workers.isLoaded -> onResult(workers.onHeartbeat(body, forwardedBy))
 
             leadership.isLeader || forwardedBy != null -> onResult(HttpResponse.unavailable("leadership in doubt"))
 
-            else -> relay.heartbeat(body, leadership.knownLeader?.takeIf { it != member }, onResult)
+            else -> relay.onHeartbeat(body, leadership.knownLeader?.takeIf { it != member }, onResult)
         }
     }
 
--- a/src/main/kotlin/burlridge/balance/SlowStart.kt
+++ b/src/main/kotlin/burlridge/balance/SlowStart.kt
@@ -33,7 +33,7 @@
         if (coldSeconds <= 0.0) return false
         // To a new leader every machine is new, so the time of its rental bounds how long it can have been up.
         val upSince = if (machine.rentedAt > 0) minOf(machine.upSince, machine.rentedAt + bootSeconds(machine.type) * LONG_BOOT) else NEVER
-        return context.now < maxOf(upSince, machine.epochBeganAt) + coldSeconds
+        return context.now < maxOf(upSince, machine.epochChangedAt) + coldSeconds
     }
 
     private fun starting(machine: Machine): List<Allocation> =
--- a/src/main/kotlin/burlridge/fleet/InventorySync.kt
+++ b/src/main/kotlin/burlridge/fleet/InventorySync.kt
@@ -77,7 +77,7 @@
         for (listed in found) {
             if (listed.id.isEmpty()) continue
             ids += listed.id
-            if (!workers.isReturned(listed.id)) update(workers.machine(listed.id), listed)
+            if (!workers.isRemoved(listed.id)) update(workers.getOrRegisterMachine(listed.id), listed)
         }
         removeUnlisted(ids)
     }
@@ -110,7 +110,7 @@
             // A list may be older than the one before, so only a machine that is older than any list can be missed from it.
             val isOlderThanList = machine.isListed && machine.listedAgeSeconds > maxListAgeSeconds
             if ((showsInherited && isOnlyInherited(machine)) || isOlderThanList) {
-                workers.onMachineGone(machine, LossReason.NOT_LISTED)
+                workers.removeMachine(machine, LossReason.NOT_LISTED)
             }
         }
     }
--- a/src/main/kotlin/burlridge/fleet/ScaleIn.kt
+++ b/src/main/kotlin/burlridge/fleet/ScaleIn.kt
@@ -133,7 +133,7 @@
         machine: Machine,
         isRentedAgain: Boolean,
     ) {
-        workers.onMachineGone(machine, LossReason.RETURNED)
+        workers.removeMachine(machine, LossReason.RETURNED)
         if (isRentedAgain) scaleOut.onReturned(machine.offering)
     }
 
--- a/src/main/kotlin/burlridge/fleet/ScaleOut.kt
+++ b/src/main/kotlin/burlridge/fleet/ScaleOut.kt
@@ -131,7 +131,7 @@
         machineId: String,
         offering: InstanceOffering,
     ) {
-        val machine = workers.machine(machineId)
+        val machine = workers.getOrRegisterMachine(machineId)
         if (machine.isUp || machine.isListed) return
         machine.type = offering.type
         machine.zone = offering.zone
--- a/src/main/kotlin/burlridge/worker/AllocationLosses.kt
+++ b/src/main/kotlin/burlridge/worker/AllocationLosses.kt
@@ -5,18 +5,19 @@
 import burlridge.allocation.JobRegistry
 import burlridge.core.StepContext
 
-/** Releases the allocations of tasks that are known to be gone, or were never started, so that they are placed again. */
+/** Releases the allocations of tasks that are known to have ended, or were never started, so that they are placed again. */
 internal class AllocationLosses(
     private val context: StepContext,
     private val registry: JobRegistry,
-    /** Called after each change, so that waiting tasks are placed. */
-    private val onChange: () -> Unit,
+    /** Called after each release, so that waiting tasks are placed. */
+    private val requestPlacement: () -> Unit,
 ) {
-    fun lose(
+    /** Logs the loss of [allocation] and releases it. */
+    fun markLost(
         allocation: Allocation,
         reason: LossReason,
     ) {
-        // An allocation of a job that is over loses nothing: a new leader learns of its end only now.
+        // If the job has ended, nothing is lost: a new leader learns only now that the allocation has ended.
         if (registry.jobs.containsKey(allocation.job)) {
             context.infoLimited(
                 "task lost",
@@ -27,11 +28,11 @@
             )
         }
         registry.allocations.release(allocation, isLost = true)
-        onChange()
+        requestPlacement()
     }
 
-    /** Loses the allocations of [machine] whose agent epoch is less than [beforeEpoch]. */
-    fun loseAll(
+    /** Marks the allocations of [machine] whose agent epoch is lower than [beforeEpoch] as lost. */
+    fun markAllLost(
         machine: Machine,
         reason: LossReason,
         beforeEpoch: Long = Long.MAX_VALUE,
@@ -41,10 +42,10 @@
             ?.toList()
             .orEmpty()
             .filter { it.agentEpoch < beforeEpoch }
-            .forEach { lose(it, reason) }
+            .forEach { markLost(it, reason) }
     }
 
-    /** Loses the allocations of [machine] for which no start was ever sent. */
+    /** Marks the allocations of [machine] for which no start was ever sent as lost. */
     fun releaseUndispatched(
         machine: Machine,
         reason: LossReason,
@@ -53,6 +54,6 @@
             ?.values
             ?.filter { it.phase == AllocationPhase.COMMITTED }
             ?.toList()
-            ?.forEach { lose(it, reason) }
+            ?.forEach { markLost(it, reason) }
     }
 }
--- a/src/main/kotlin/burlridge/worker/CommandDispatcher.kt
+++ b/src/main/kotlin/burlridge/worker/CommandDispatcher.kt
@@ -10,12 +10,12 @@
 import burlridge.leadership.StepDownReason
 import burlridge.settings.Endpoint
 
-/** What the outcomes of commands are handed to. */
+/** The parts that the outcomes of commands are passed to. */
 internal class CommandHandlers(
     val heartbeats: HeartbeatProcessor,
     val losses: AllocationLosses,
-    /** Called after an answer, so that waiting tasks are placed. */
-    val onChange: () -> Unit,
+    /** Called after a response, so that waiting tasks are placed. */
+    val requestPlacement: () -> Unit,
 )
 
 /** Sends commands to workers, one request at a time to each, and handles their outcomes. */
@@ -29,24 +29,24 @@
 ) {
     private val selector = CommandSelector(context, leadership, registry)
 
-    /** How a request to a worker ended. */
+    /** Result of a request to a worker. */
     private sealed interface CommandResult {
         class Executed(
             val heartbeat: Heartbeat,
         ) : CommandResult
 
-        /** The worker has seen a higher token or begun a new epoch, and executed nothing. */
+        /** The worker has seen a higher token or begun a new agent epoch, and executed nothing. */
         class Fenced(
             val heartbeat: Heartbeat,
         ) : CommandResult
 
         data object NotExecuted : CommandResult
 
-        /** Possibly executed, or still to be executed. */
+        /** The commands may have been executed, or may still be executed later. */
         data object Unknown : CommandResult
     }
 
-    /** Sends what is due to [machine] now. */
+    /** Sends the pending commands to [machine]. */
     fun sendPending(machine: Machine) {
         val address = machine.address ?: return
         val selection = selector.select(machine) ?: return
@@ -69,7 +69,7 @@
     ) {
         machine.commandInFlight = true
         context.count("worker.commands")
-        if (selection.starts.isNotEmpty()) context.count(STARTS, selection.starts.size)
+        if (selection.starts.isNotEmpty()) context.count(STARTS_METRIC, selection.starts.size)
         val token = machine.token
         val body = WorkerCommandCodec.request(token, machine.agentEpoch, selection.commands(registry))
         val isStillLeading = leadership.whileLeading(leadership.term)
@@ -112,7 +112,7 @@
 
             is CommandResult.Fenced -> {
                 revertToCommitted(selection.starts)
-                machine.nextCommandAt = context.now + RETRY_SECONDS
+                machine.nextCommandAt = context.now + RETRY_BASE_SECONDS
                 onHeartbeat(machine, result.heartbeat)
             }
 
@@ -136,21 +136,24 @@
         if (FencingToken.termOf(machine.seenToken) > leadership.term) {
             return leadership.stepDown(StepDownReason.HigherTokenSeen(machine.id))
         }
-        handlers.onChange()
-        // What was allocated while this was under way need not wait for the next sweep: a gang waits for its last task.
+        handlers.requestPlacement()
+        // Tasks allocated while this request was in flight are started without waiting for a sweep, since a gang waits for its last task.
         if (selector.hasStarts(machine)) sendPending(machine)
     }
 
     private fun onNotExecuted(machine: Machine) {
         retryLater(machine)
         if (machine.consecutiveCommandFailures < MIN_FAILURES_TO_RELEASE) return
-        // Its heartbeats may arrive although no command reaches it: what was not sent goes elsewhere, and nothing more is placed here
-        // before its worker has seen a token that only an answer of this leader can have brought.
+        // Heartbeats of the machine may arrive although no command reaches it. Tasks whose start was not sent are placed elsewhere, and
+        // nothing more is placed here until the worker has seen a new token, which it can only have received in a response of this leader.
         requireNewToken(machine)
         handlers.losses.releaseUndispatched(machine, LossReason.MACHINE_UNREACHABLE)
     }
 
-    /** Only a higher token that the worker has seen settles whether the commands sent under [token] were, or will be, executed. */
+    /**
+     * Requires a new token, since whether the commands sent under [token] were or still will be executed is only certain once the worker
+     * has seen a higher one.
+     */
     private fun onUnknown(
         machine: Machine,
         token: Long,
@@ -168,25 +171,25 @@
 
     private fun retryLater(machine: Machine) {
         machine.consecutiveCommandFailures++
-        machine.nextCommandAt = context.now + RETRY_SECONDS * minOf(machine.consecutiveCommandFailures, MAX_RETRY_FACTOR)
+        machine.nextCommandAt = context.now + RETRY_BASE_SECONDS * minOf(machine.consecutiveCommandFailures, MAX_RETRY_FACTOR)
     }
 
-    /** Nothing was executed: [starts] have still to be sent. */
+    /** Marks [starts], which were not executed, as not sent. */
     private fun revertToCommitted(starts: List<Allocation>) {
         for (allocation in starts) {
             if (allocation.phase != AllocationPhase.DISPATCHED) continue
             allocation.phase = AllocationPhase.COMMITTED
-            // Its gang was stopped before the attempt could begin.
-            if (allocation.stopGraceSeconds != null) handlers.losses.lose(allocation, LossReason.GANG_ENDED)
+            // The gang was stopped before the attempt began.
+            if (allocation.stopGraceSeconds != null) handlers.losses.markLost(allocation, LossReason.GANG_ENDED)
         }
     }
 
     internal companion object {
-        /** Counts the starts that were sent. */
-        const val STARTS: String = "worker.starts"
-        private const val RETRY_SECONDS = 0.5
+        /** Counts the start commands that were sent. */
+        const val STARTS_METRIC: String = "worker.starts"
+        private const val RETRY_BASE_SECONDS = 0.5
 
-        /** The wait before a retry grows with each failure, up to so many times [RETRY_SECONDS]. */
+        /** The delay before a retry grows with each failure, up to this multiple of [RETRY_BASE_SECONDS]. */
         private const val MAX_RETRY_FACTOR = 8
         private const val MIN_FAILURES_TO_RELEASE = 2
     }
--- a/src/main/kotlin/burlridge/worker/CommandSelector.kt
+++ b/src/main/kotlin/burlridge/worker/CommandSelector.kt
@@ -6,12 +6,12 @@
 import burlridge.core.StepContext
 import burlridge.leadership.Leadership
 
-/** The allocations of one machine that are to be started and stopped by one request; without any, the request only fences. */
+/** Allocations of one machine to start and stop with one request. A request without any only delivers the fencing token. */
 internal class CommandSelection(
     val starts: List<Allocation>,
     val stops: List<Allocation>,
 ) {
-    /** The commands, stops first, so that they free what the starts need. */
+    /** Returns the commands, with stops first, so that they free the resources that the starts need. */
     fun commands(registry: JobRegistry): List<WorkerCommand> =
         stops.map { WorkerCommand.Stop(it.taskName, it.attempt, graceSeconds(it, registry)) } +
             starts.map { WorkerCommand.Start(it.taskName, it.attempt) }
@@ -22,29 +22,30 @@
     ): Double = if (registry.isCancelled(allocation)) 0.0 else allocation.stopGraceSeconds ?: 0.0
 
     internal companion object {
-        /** No commands: the worker answers with a heartbeat. */
+        /** Selects no commands; the worker only answers with a heartbeat. */
         val EMPTY: CommandSelection = CommandSelection(emptyList(), emptyList())
     }
 }
 
-/** Chooses the commands that are due to a machine. */
+/** Chooses the commands to send to a machine. */
 internal class CommandSelector(
     private val context: StepContext,
     private val leadership: Leadership,
     private val registry: JobRegistry,
 ) {
-    /** What is to be sent to [machine] now; null if nothing is. */
+    /** Returns the commands to send to [machine] now; null if no request is needed. */
     fun select(machine: Machine): CommandSelection? {
         if (!canCommand(machine)) return null
         val allocations = registry.allocations.byMachine[machine.id]?.values
         if (allocations.isNullOrEmpty() || allocations.none { isPending(it) }) return null
         val starts = if (leadership.holdsLease) startsOf(machine).take(MAX_STARTS_PER_REQUEST) else emptyList()
-        // While another member may have been elected, only stops of cancelled jobs go out: they can never be wrong.
+        // While another member may have been elected, only stops of cancelled jobs are sent, since they are correct under any leader.
         val stops = allocations.filter { (leadership.holdsLease || registry.isCancelled(it)) && needsStop(it) }
         if (starts.isEmpty() && stops.isEmpty() && !needsFence(machine, allocations)) return null
         return CommandSelection(starts, stops)
     }
 
+    /** Whether any allocation of [machine] waits for its start command. */
     fun hasStarts(machine: Machine): Boolean = startsOf(machine).isNotEmpty()
 
     private fun canCommand(machine: Machine): Boolean =
@@ -54,7 +55,7 @@
     private fun isPending(allocation: Allocation): Boolean =
         allocation.phase <= AllocationPhase.DISPATCHED || allocation.stopGraceSeconds != null || registry.isCancelled(allocation)
 
-    /** Whether a start of unknown outcome waits for the worker to see a newer token. */
+    /** Whether the worker must see a higher token to settle a start command with an unknown outcome. */
     private fun needsFence(
         machine: Machine,
         allocations: Collection<Allocation>,
@@ -82,7 +83,7 @@
 
     private fun needsStop(allocation: Allocation): Boolean {
         if (allocation.phase < AllocationPhase.DISPATCHED || allocation.hasEnded) return false
-        val retryAt = allocation.stopSentAt + context.settings.workers.reportSeconds / STOPS_PER_REPORT
+        val retryAt = allocation.stopSentAt + context.settings.workers.reportSeconds / STOPS_PER_HEARTBEAT_INTERVAL
         if (context.now < retryAt) return false
         if (registry.isCancelled(allocation)) return true
         if (allocation.phase == AllocationPhase.CHECKPOINTING) return false
@@ -93,7 +94,7 @@
     private companion object {
         const val MAX_STARTS_PER_REQUEST = 100
 
-        /** A stop is repeated after this part of a report interval. */
-        const val STOPS_PER_REPORT = 3
+        /** An unfulfilled stop is repeated after the heartbeat interval divided by this. */
+        const val STOPS_PER_HEARTBEAT_INTERVAL = 3
     }
 }
--- a/src/main/kotlin/burlridge/worker/CommandTransport.kt
+++ b/src/main/kotlin/burlridge/worker/CommandTransport.kt
@@ -6,16 +6,16 @@
 import burlridge.peer.PeerRequests
 import burlridge.settings.Endpoint
 
-/** Sends requests to workers: straight, or through the member that relays the heartbeats of one that cannot reach the leader. */
+/** Sends requests to workers: directly or, if a member relays the heartbeats of the worker, through that member. */
 internal class CommandTransport(
     private val context: StepContext,
     private val leadership: Leadership,
     private val peers: PeerRequests,
     private val reachability: ZoneReachability,
 ) {
-    private val timeoutSeconds = context.settings.workers.reportSeconds * TIMEOUT_REPORTS
+    private val timeoutSeconds = context.settings.workers.reportSeconds * TIMEOUT_INTERVALS
 
-    /** Sends [body] to the worker of [machine] at [address]. Stops alone may leave later than other commands ([onlyStops]). */
+    /** Sends [body] to the worker of [machine] at [address]. A request with [onlyStops] has a later send deadline than other requests. */
     fun send(
         machine: Machine,
         address: Endpoint,
@@ -49,7 +49,7 @@
     }
 
     private companion object {
-        /** How long an answer is waited for, in report intervals. */
-        const val TIMEOUT_REPORTS = 0.5
+        /** Timeout of a request, in heartbeat intervals. */
+        const val TIMEOUT_INTERVALS = 0.5
     }
 }
--- a/src/main/kotlin/burlridge/worker/GangStopper.kt
+++ b/src/main/kotlin/burlridge/worker/GangStopper.kt
@@ -6,18 +6,18 @@
 import burlridge.allocation.Job
 import burlridge.core.StepContext
 
-/** Why a task or a gang is stopped before its end; [text] stands for it in log lines. */
+/** Reason why a task or a gang is stopped early; [text] is its name in log lines. */
 internal enum class StopReason(
     val text: String,
 ) {
     MACHINE_SLOW("machine_slow"),
     MACHINE_DRAINED("machine_drained"),
 
-    /** The cloud takes a spot machine back. */
+    /** The cloud reclaims a spot machine. */
     MACHINE_RECLAIMED("machine_reclaimed"),
 }
 
-/** Stops all tasks of a gang together: saving its progress fails unless all are stopped within a short time. */
+/** Stops all tasks of a gang together. Saving the progress of the gang fails unless all tasks are stopped within a short time. */
 internal class GangStopper(
     private val context: StepContext,
     private val machines: MachineRegistry,
@@ -27,8 +27,8 @@
     private val commands: CommandDispatcher,
 ) {
     /**
-     * Stops the gang of [job] because of [machineId]. A running gang of which some machine cannot be reached, or that cannot save where it
-     * [mustSave], is left to run: it may end before that machine does.
+     * Stops the gang of [job] because of [machineId]. A running gang is left to run if one of its machines cannot be reached, or if it
+     * cannot save its progress although it [mustSave]: it may complete before the machine [machineId] is shut down.
      */
     fun stop(
         job: Job,
@@ -53,7 +53,7 @@
             "machine" to machineId,
             "reason" to reason.text,
         )
-        GangRules.stop(job).filter { it.phase == AllocationPhase.COMMITTED }.forEach { losses.lose(it, LossReason.GANG_STOPPED) }
+        GangRules.stop(job).filter { it.phase == AllocationPhase.COMMITTED }.forEach { losses.markLost(it, LossReason.GANG_STOPPED) }
         gangMachines.forEach { commands.sendPending(it) }
     }
 
--- a/src/main/kotlin/burlridge/worker/Heartbeat.kt
+++ b/src/main/kotlin/burlridge/worker/Heartbeat.kt
@@ -10,33 +10,33 @@
 import burlridge.settings.Endpoint
 import com.fasterxml.jackson.core.JsonParser
 
-/** A worker's report of its machine and of all tasks on it. Fields that are absent or of another type have their default. */
+/** A worker's report of its machine and of all tasks on it. A field that is absent or has the wrong type gets its default value. */
 internal data class Heartbeat(
     val machine: String,
     val address: Endpoint? = null,
     val type: String? = null,
     val zone: String? = null,
     val spot: Boolean? = null,
-    /** Counts the sessions of the worker: it begins a new one, without any tasks, when its lease has expired or it restarts. */
+    /** Session number of the worker, which begins a new session without any tasks when its lease expires or it restarts. */
     val agentEpoch: Long = 0,
-    /** The number of the message within its agent epoch; a larger one is newer. */
+    /** Sequence number within the agent epoch; a higher one is newer. */
     val sequence: Long = 0,
-    /** The highest fencing token that the worker has seen. */
+    /** Highest fencing token that the worker has seen. */
     val token: Long = 0,
-    /** Seconds until the cloud takes the machine back; null without such a notice. */
+    /** Seconds until the cloud reclaims the machine; null if there is no reclaim notice. */
     val noticeSeconds: Double? = null,
     val tasks: Map<String, TaskStatus> = emptyMap(),
 ) {
     internal companion object {
         /**
-         * Decodes [body] from the parser's events, without a tree: heartbeats are most of what a leader reads. Null for anything but
-         * one JSON object that names a machine.
+         * Decodes [body] with the streaming parser, without building a tree, since heartbeats are most of the input that a leader reads.
+         * Returns null unless [body] is exactly one JSON object that names a machine.
          */
         fun decode(body: String): Heartbeat? = JsonStream.decodeObject(body, ::readHeartbeat)
     }
 }
 
-/** Where a field occurs twice, the last one counts. */
+/** Reads the fields of a heartbeat. If a field occurs twice, the last occurrence wins. */
 private fun readHeartbeat(parser: JsonParser): Heartbeat? {
     var machine = ""
     var address: Endpoint? = null
@@ -72,7 +72,7 @@
     return found
 }
 
-/** The state of a task whose worker names none. */
+/** State of a task for which the worker reports none. */
 private val NO_STATE = TaskState.of("")
 
 private fun readTask(parser: JsonParser): TaskStatus {
--- a/src/main/kotlin/burlridge/worker/HeartbeatProcessor.kt
+++ b/src/main/kotlin/burlridge/worker/HeartbeatProcessor.kt
@@ -6,7 +6,7 @@
 import burlridge.leadership.Leadership
 import burlridge.leadership.StepDownReason
 
-/** The parts of the package that a heartbeat is handed to. */
+/** The parts that a heartbeat is passed to. */
 internal class HeartbeatHandlers(
     val reconciler: TaskReconciler,
     val cleanup: TaskCleanup,
@@ -15,18 +15,18 @@
     val reachability: ZoneReachability,
 )
 
-/** Takes over heartbeats in the order of their agent epoch and sequence, and answers them with the fencing token and commands. */
+/** Processes heartbeats in the order of their agent epoch and sequence number, and answers them with the fencing token and commands. */
 internal class HeartbeatProcessor(
     private val context: StepContext,
     private val leadership: Leadership,
     private val machines: MachineRegistry,
     private val handlers: HeartbeatHandlers,
-    private val onChange: () -> Unit,
+    private val requestPlacement: () -> Unit,
 ) {
-    /** Called for each machine whose heartbeat was new, once its allocations are reconciled. */
+    /** Called for each machine that sent a new heartbeat, after its allocations have been reconciled. */
     var onReconciled: (Machine) -> Unit = {}
 
-    /** Answers the heartbeat [body], which came straight from its worker or through the member [relayedBy]. */
+    /** Answers the heartbeat [body], which came directly from its worker, or through the member [relayedBy] if that is not null. */
     fun onRequest(
         body: String,
         relayedBy: String?,
@@ -44,18 +44,18 @@
         return respond(machine, relayedBy, isNew)
     }
 
-    /** A worker answers a command with a heartbeat, which renews no lease. */
+    /** Processes the heartbeat with which a worker responds to a command. It does not renew the lease of the worker. */
     fun onCommandResponse(
         machine: Machine,
         heartbeat: Heartbeat,
     ) {
         if (!accept(machine, heartbeat)) return
-        // The next heartbeat may equal the one before this, so it has to be read in full.
+        // The next heartbeat may equal the one before this response, so it must be decoded in full.
         machine.lastHeartbeat = null
         if (machines.areAllocationsLoaded) handlers.reconciler.reconcile(machine)
     }
 
-    /** A heartbeat that differs from the one before in its [sequence] alone; false when it is not newer. */
+    /** Accepts a heartbeat that differs from the previous one only in its [sequence] number; returns false if it is not newer. */
     private fun acceptUnchanged(
         machine: Machine,
         sequence: Long,
@@ -84,30 +84,30 @@
             leadership.stepDown(StepDownReason.HigherTokenSeen(machine.id))
             return HttpResponse.unavailable("not the leader")
         }
-        // A heartbeat that was overtaken by the answer to a command still renews the worker's lease when it is answered.
-        machine.answeredAt = context.now
+        // A heartbeat that arrives after a newer response to a command still renews the worker's lease when it is answered.
+        machine.leaseRenewedAt = context.now
         if (isNew) {
-            machine.heartbeatAt = context.now
+            machine.lastHeartbeatAt = context.now
             machine.isLeaseExpired = false
         }
         val commands = if (isNew && machines.areAllocationsLoaded) reconcile(machine) else emptyList()
         return HttpResponse(
             HttpStatus.OK,
-            WorkerCommandCodec.answer(machine.token, commands),
+            WorkerCommandCodec.response(machine.token, commands),
             sendDeadline = leadership.responseDeadline,
         )
     }
 
-    /** Returns the commands that go with the answer. */
+    /** Reconciles the allocations of [machine], and returns the commands to send with the response. */
     private fun reconcile(machine: Machine): List<WorkerCommand> {
         handlers.reconciler.reconcile(machine)
         onReconciled(machine)
         val commands = handlers.cleanup.stops(machine) + handlers.cleanup.removals(machine)
-        onChange()
+        requestPlacement()
         return commands
     }
 
-    /** Takes over what [heartbeat] says; false when it is not newer than what is known. */
+    /** Updates [machine] from [heartbeat]; returns false if it is not newer than the latest one. */
     private fun accept(
         machine: Machine,
         heartbeat: Heartbeat,
@@ -115,26 +115,26 @@
         val isNewEpoch = heartbeat.agentEpoch != machine.agentEpoch
         if (heartbeat.agentEpoch < machine.agentEpoch || (!isNewEpoch && heartbeat.sequence <= machine.sequence)) return false
         if (isNewEpoch && machine.isUp && machines.areAllocationsLoaded) {
-            handlers.losses.loseAll(machine, LossReason.EPOCH_ENDED, beforeEpoch = heartbeat.agentEpoch)
+            handlers.losses.markAllLost(machine, LossReason.EPOCH_ENDED, beforeEpoch = heartbeat.agentEpoch)
         }
         val isFirst = machine.sequence < 0
         if (isFirst) {
             machine.upSince = context.now
         } else if (isNewEpoch) {
-            machine.epochBeganAt = context.now
+            machine.epochChangedAt = context.now
         }
         if (isNewEpoch || isFirst) {
-            // The lease begins with the epoch, at the latest now. Only a new epoch ends the expiry of the one before: an answer to a
-            // command renews no lease, and what started after it would be taken for gone while it runs.
+            // The lease begins with the epoch, at the latest now. Only a new epoch may clear the expiry here: a response to a command
+            // renews no lease, and a task started after it would be considered lost while it still runs.
             machine.isLeaseExpired = false
-            machine.answeredAt = maxOf(machine.answeredAt, context.now)
+            machine.leaseRenewedAt = maxOf(machine.leaseRenewedAt, context.now)
         }
         machine.agentEpoch = heartbeat.agentEpoch
         machine.sequence = heartbeat.sequence
         val wasFenced = handlers.leases.isFenced(machine)
         machine.seenToken = maxOf(machine.seenToken, heartbeat.token)
-        // Until the worker has seen a token of this term, an answer of an earlier leader may have renewed its lease.
-        if (!wasFenced) machine.answeredAt = maxOf(machine.answeredAt, context.now)
+        // Until the worker has seen a token of this term, a response of an earlier leader may have renewed its lease.
+        if (!wasFenced) machine.leaseRenewedAt = maxOf(machine.leaseRenewedAt, context.now)
         recordMessage(machine)
         updateDescription(machine, heartbeat)
         return true
--- a/src/main/kotlin/burlridge/worker/HeartbeatRelay.kt
+++ b/src/main/kotlin/burlridge/worker/HeartbeatRelay.kt
@@ -8,57 +8,57 @@
 import burlridge.settings.Endpoint
 
 /**
- * What a member that does not lead does with heartbeats. A worker is redirected to the leader; one that comes straight back cannot reach
- * it, and would lose its lease and all its tasks between the two. Its heartbeats are forwarded to the leader over the peer link, and the
- * leader's answers, with their fencing tokens, back to it.
+ * Handles heartbeats on a member that is not the leader. A worker is redirected to the leader. If it returns soon after, it cannot reach
+ * the leader, and its lease would expire and end all its tasks while it alternates between the two members. Its heartbeats are therefore
+ * forwarded to the leader over the peer connection, and the leader's responses, with their fencing tokens, are passed back to the worker.
  */
 internal class HeartbeatRelay(
     private val context: StepContext,
     private val peers: PeerRequests,
 ) {
-    /** A worker that was redirected to [leader]. */
+    /** A worker that was redirected to [leader], or whose heartbeats are forwarded there. */
     private class RedirectedWorker(
         val leader: String,
         val redirectedAt: Double,
     ) {
-        /** Since when its heartbeats are forwarded; null while they are not. */
+        /** Time since which its heartbeats have been forwarded; null while they are not. */
         var relayedSince: Double? = null
     }
 
     private val workerSettings = context.settings.workers
 
-    /** By machine id. */
+    /** Redirected workers by machine id. */
     private val redirected = HashMap<String, RedirectedWorker>()
 
-    /** Answers the heartbeat [body]; [leader] is the leading member, or null if none is known. */
-    fun heartbeat(
+    /** Answers the heartbeat [body]; [leader] is null if no leader is known. */
+    fun onHeartbeat(
         body: String,
         leader: String?,
         respond: (HttpResponse) -> Unit,
     ) {
         if (leader == null) return respond(WorkerApi.redirectTo(null))
         val heartbeat = Heartbeat.decode(body) ?: return respond(HttpResponse.error(HttpStatus.BAD_REQUEST, "not a report"))
-        val known = redirected[heartbeat.machine]?.takeIf { it.leader == leader }
-        val current = known?.takeIf { cannotReachLeader(it) }
-        // Where the leader itself misses the zone, its workers need not find that out by trying; but one that has been relayed for a
-        // lease is redirected once, to see whether the way is free.
-        val isZoneMissed = known?.relayedSince == null && peers.leaderMissesZone(leader, heartbeat.zone.orEmpty())
-        val worker = current ?: RedirectedWorker(leader, context.now).also { redirected[heartbeat.machine] = it }
-        if (current == null && !isZoneMissed) return respond(WorkerApi.redirectTo(leader))
+        val previous = redirected[heartbeat.machine]?.takeIf { it.leader == leader }
+        val cutOffWorker = previous?.takeIf { cannotReachLeader(it) }
+        // If the leader reports that it receives no heartbeats from the zone, its workers are relayed without being redirected first. A
+        // worker that has been relayed for the duration of a lease is redirected once, to test whether it can reach the leader again.
+        val relayWithoutRedirect = previous?.relayedSince == null && peers.leaderMissesZone(leader, heartbeat.zone.orEmpty())
+        val worker = cutOffWorker ?: RedirectedWorker(leader, context.now).also { redirected[heartbeat.machine] = it }
+        if (cutOffWorker == null && !relayWithoutRedirect) return respond(WorkerApi.redirectTo(leader))
         worker.relayedSince = worker.relayedSince ?: context.now
         peers.forward(leader, "POST", WorkerApi.HEARTBEAT_PATH, body, workerSettings.reportSeconds / 2) { response ->
             respond(response ?: WorkerApi.redirectTo(leader))
         }
     }
 
-    /** Whether [worker] came back soon after it was redirected, or has been relayed for less than a lease. */
+    /** Whether [worker] returned within half a lease after it was redirected, or has been relayed for less than the duration of a lease. */
     private fun cannotReachLeader(worker: RedirectedWorker): Boolean {
         val isRelayed = worker.relayedSince?.let { context.now < it + workerSettings.leaseSeconds } ?: false
         return isRelayed || context.now < worker.redirectedAt + workerSettings.leaseSeconds / 2
     }
 
-    /** Passes a command of the leader on to the worker at [address]; it is fenced by the leader's token like any other. */
-    fun command(
+    /** Forwards a command of the leader to the worker at [address]. The leader's token fences it like any other command. */
+    fun forwardCommand(
         address: String,
         body: String,
         respond: (HttpResponse) -> Unit,
--- a/src/main/kotlin/burlridge/worker/LastHeartbeat.kt
+++ b/src/main/kotlin/burlridge/worker/LastHeartbeat.kt
@@ -1,15 +1,15 @@
 package burlridge.worker
 
 /**
- * The text of a heartbeat that was read in full, split around its sequence. Most heartbeats differ from the one before in the sequence
- * alone, and need not be read again.
+ * The text of a heartbeat that was decoded in full, with the position of its sequence number. Most heartbeats differ from the previous one
+ * only in the sequence number and need not be decoded again.
  */
 internal class LastHeartbeat private constructor(
     private val text: String,
     private val sequenceStart: Int,
     private val sequenceEnd: Int,
 ) {
-    /** The sequence of [body] if that is all that differs from this heartbeat; null if [body] has to be read. */
+    /** Returns the sequence number of [body] if nothing else differs from this heartbeat; null if [body] must be decoded. */
     fun sequenceIfUnchanged(body: String): Long? {
         if (!body.regionMatches(0, text, 0, sequenceStart)) return null
         val end = endOfNumber(body, sequenceStart)
@@ -22,10 +22,10 @@
     internal companion object {
         private const val SEQUENCE_KEY = "\"tally\":"
 
-        /** Numbers of up to so many digits fit a `Long`. */
+        /** Any number of at most this many digits fits into a `Long`. */
         private const val MAX_DIGITS = 18
 
-        /** Null if [sequence] does not stand in [body] as a plain number. */
+        /** Returns null unless the first [SEQUENCE_KEY] in [body] is directly followed by [sequence] in plain decimal digits. */
         fun of(
             body: String,
             sequence: Long,
@@ -46,7 +46,7 @@
 
         private const val MACHINE_PREFIX = "{\"drover\":\""
 
-        /** The machine id that a heartbeat in its usual form begins with; the heartbeat itself has still to be read or compared. */
+        /** Returns the machine id if [body] begins with it, as heartbeats usually do. [body] must still be decoded or compared. */
         fun machineIdIn(body: String): String? {
             if (!body.startsWith(MACHINE_PREFIX)) return null
             val end = body.indexOf('"', MACHINE_PREFIX.length)
--- a/src/main/kotlin/burlridge/worker/LeaseMonitor.kt
+++ b/src/main/kotlin/burlridge/worker/LeaseMonitor.kt
@@ -4,8 +4,8 @@
 import burlridge.leadership.Leadership
 
 /**
- * Tells when a worker's lease has certainly expired. Each answer of a leader to a heartbeat renews the lease; a worker whose lease expires
- * ends all its tasks and begins a new agent epoch.
+ * Determines when a worker's lease has certainly expired. Each response of a leader to a heartbeat renews the lease; a worker whose lease
+ * expires ends all its tasks and begins a new agent epoch.
  */
 internal class LeaseMonitor(
     private val context: StepContext,
@@ -15,40 +15,40 @@
 ) {
     private val workerSettings = context.settings.workers
 
-    /** Whether neither a heartbeat nor an answer to a command has come from [machine] for longer than a lost one explains. */
-    fun isSilent(machine: Machine): Boolean = context.now > machine.lastMessageAt + workerSettings.reportSeconds * SILENT_REPORTS
+    /** Whether [machine] has sent neither a heartbeat nor a response to a command for longer than a lost message explains. */
+    fun isSilent(machine: Machine): Boolean = context.now > machine.lastMessageAt + workerSettings.reportSeconds * SILENT_AFTER_INTERVALS
 
     /**
-     * Whether [machine] has sent no heartbeat for half a lease, although it may answer commands: its lease expires with all that would be
-     * placed on it.
+     * Whether [machine] has sent no heartbeat on its own for half a lease, although it may answer commands. Its lease is about to expire,
+     * which would end any task placed on it.
      */
     fun isNotReporting(machine: Machine): Boolean =
-        context.now > maxOf(machine.heartbeatAt, machine.knownSince) + workerSettings.leaseSeconds / 2
+        context.now > maxOf(machine.lastHeartbeatAt, machine.knownSince) + workerSettings.leaseSeconds / 2
 
-    /** Whether the worker's lease has certainly expired, which is not recorded on [machine] yet. */
+    /** Whether the worker's lease has certainly expired but this is not recorded on [machine] yet. */
     fun isNewlyExpired(machine: Machine): Boolean = !machine.isLeaseExpired && context.now > leaseExpiresAt(machine)
 
-    /** Records that the lease has expired, and loses the allocations of [machine]. */
+    /** Records that the lease has expired, and marks the allocations of [machine] as lost. */
     fun expire(machine: Machine) {
         if (!machines.areAllocationsLoaded) return
         machine.isLeaseExpired = true
         machines.setOrphans(machine, emptySet())
-        losses.loseAll(machine, LossReason.LEASE_EXPIRED)
+        losses.markAllLost(machine, LossReason.LEASE_EXPIRED)
     }
 
-    /** Whether the worker has seen a token of this leader: from then on it accepts no answer of an earlier leader. */
+    /** Whether the worker has seen a token of this leader. From then on it accepts no response of an earlier leader. */
     fun isFenced(machine: Machine): Boolean = FencingToken.termOf(machine.seenToken) == leadership.term
 
-    /** The latest end of the lease, by the steady clock of this member. */
+    /** Returns the latest time, by the steady clock of this member, at which the lease can expire. */
     private fun leaseExpiresAt(machine: Machine): Double {
-        val answeredAt = if (isFenced(machine)) machine.answeredAt else maxOf(machine.answeredAt, leadership.othersAnswerUntil)
-        return answeredAt + workerSettings.leaseSeconds * (1 + Leadership.DRIFT) + workerSettings.reportSeconds / MARGIN_PARTS
+        val leaseRenewedAt = if (isFenced(machine)) machine.leaseRenewedAt else maxOf(machine.leaseRenewedAt, leadership.othersAnswerUntil)
+        return leaseRenewedAt + workerSettings.leaseSeconds * (1 + Leadership.DRIFT) + workerSettings.reportSeconds / RESPONSE_DELAY_DIVISOR
     }
 
     private companion object {
-        const val SILENT_REPORTS = 2.5
+        const val SILENT_AFTER_INTERVALS = 2.5
 
-        /** An answer may take this part of a report interval to arrive. */
-        const val MARGIN_PARTS = 4
+        /** Divides the heartbeat interval; the result is the allowance for the time that a response takes to arrive. */
+        const val RESPONSE_DELAY_DIVISOR = 4
     }
 }
--- a/src/main/kotlin/burlridge/worker/LossReason.kt
+++ b/src/main/kotlin/burlridge/worker/LossReason.kt
@@ -1,6 +1,6 @@
 package burlridge.worker
 
-/** Why an allocation, or a machine with everything on it, is lost; [text] stands for it in log lines. */
+/** Reason why an allocation, or a machine with all its allocations, is lost; [text] is its name in log lines. */
 internal enum class LossReason(
     val text: String,
 ) {
@@ -10,28 +10,28 @@
     /** No start was sent, and the machine has stopped reporting. */
     MACHINE_SILENT("machine_silent"),
 
-    /** No start was sent, and the machine reports without having seen the token that it must see first. */
+    /** No start was sent, and the machine sends heartbeats without having seen the required fencing token. */
     MACHINE_UNRESPONSIVE("machine_unresponsive"),
 
     /** No start was sent, and the machine is being drained. */
     MACHINE_DRAINED("machine_drained"),
 
-    /** No start was sent, and the attempt of its gang is over. */
+    /** No start was executed, and the attempt of its gang has ended. */
     GANG_ENDED("gang_ended"),
 
     /** No start was sent before its gang was stopped. */
     GANG_STOPPED("gang_stopped"),
 
-    /** A heartbeat without the task, of which no start can still arrive. */
+    /** A heartbeat does not contain the task, and no start of it can still arrive. */
     NOT_ON_WORKER("not_on_worker"),
 
-    /** The worker has begun a new agent epoch, without any tasks. */
+    /** The worker has begun a new agent epoch, which starts without any tasks. */
     EPOCH_ENDED("epoch_ended"),
 
-    /** The worker's lease has certainly expired, and with it all its tasks ended. */
+    /** The worker's lease has certainly expired, so all its tasks have ended. */
     LEASE_EXPIRED("lease_expired"),
 
-    /** The cloud's list no longer has the machine. */
+    /** The cloud's list no longer contains the machine. */
     NOT_LISTED("not_listed"),
 
     /** The machine was returned to the cloud. */
--- a/src/main/kotlin/burlridge/worker/Machine.kt
+++ b/src/main/kotlin/burlridge/worker/Machine.kt
@@ -2,145 +2,154 @@
 
 import burlridge.settings.Endpoint
 
-/** Why no more tasks are placed on a machine, and those that it has leave it. */
+/** Reason why a machine is drained: it gets no new tasks, and the tasks on it finish or are stopped. */
 internal enum class DrainReason {
-    /** Its tasks take much longer than others of their jobs. */
+    /** Its tasks take much longer than other tasks of the same jobs. */
     SLOW,
 
-    /** It did not come up in time. */
+    /** It did not boot in time. */
     OVERDUE,
 
-    /** Its return to the cloud has been requested, which cannot be undone. */
+    /** Its return to the cloud has been requested and cannot be undone. */
     RETURNED,
 
-    /** Operators want it empty. */
+    /** Operators have drained it. */
     OPERATOR,
 }
 
 /**
- * A machine as the leader knows it, from its worker's heartbeats and from the cloud's list. Times are seconds of this member's steady
- * clock; [NEVER] stands for what has not happened.
+ * The leader's view of a machine, from its worker's heartbeats and from the cloud's machine list. Times are in seconds of this member's
+ * steady clock; [NEVER] marks an event that has not happened.
  */
 internal class Machine(
     val id: String,
-    /** When this leader first knew of it. */
+    /** Time at which this leader first learned of the machine. */
     val knownSince: Double,
 ) {
-    // What the cloud says.
+    // Reported by the cloud.
 
-    /** The name of its machine type; empty until the cloud or its worker names it. */
+    /** Name of its machine type; empty until the cloud or its worker reports it. */
     var type: String = ""
     var zone: String = ""
     var spot: Boolean = false
 
-    /** Whether the cloud's list has had it. */
+    /** Whether the machine has appeared in the cloud's list. */
     var isListed: Boolean = false
 
-    /** Its greatest age in the cloud's lists. */
+    /** Greatest age that a list of the cloud has shown for it. */
     var listedAgeSeconds: Double = 0.0
 
-    /** Whether it has been rented and is not up yet. */
+    /** Whether it has been rented and has not booted yet. */
     var isStarting: Boolean = false
 
-    /** When its rental was requested; 0 where that is not known. */
+    /** Time at which its rental was requested; 0 if unknown. */
     var rentedAt: Double = 0.0
 
-    // What its worker says.
+    // Reported by its worker.
 
-    /** Where it takes commands; null until it is known. */
+    /** Address at which its worker accepts commands; null until known. */
     var address: Endpoint? = null
 
-    /** The newest agent epoch of its worker, which begins one whenever it has lost all its tasks; 0 before its first heartbeat. */
+    /** Latest agent epoch of its worker, which begins a new one whenever it has lost all its tasks; 0 before the first heartbeat. */
     var agentEpoch: Long = 0
 
-    /** The sequence of the newest heartbeat within [agentEpoch]; -1 before the first one. */
+    /** Sequence number of the latest heartbeat within [agentEpoch]; -1 before the first one. */
     var sequence: Long = -1
 
-    /** The highest fencing token that its worker has seen. */
+    /** Highest fencing token that its worker has reported as seen. */
     var seenToken: Long = 0
 
-    /** Its tasks by [TaskStatus.key], as of the newest heartbeat. */
+    /** Its tasks by [TaskStatus.key], as of the latest heartbeat. */
     var reportedTasks: Map<String, TaskStatus> = emptyMap()
 
-    /** The names of the tasks that run on it without an allocation. */
+    /** Names of the tasks that run on it without an allocation. */
     var orphans: Set<String> = emptySet()
 
-    /** When the newest heartbeat came, by itself or as the answer to a command. */
+    /** Time of the latest heartbeat, whether sent on its own or in response to a command. */
     var lastMessageAt: Double = NEVER
 
-    /** When the newest heartbeat came by itself; answers to commands renew no lease. */
-    var heartbeatAt: Double = NEVER
+    /** Time of the latest heartbeat sent on its own; a response to a command renews no lease. */
+    var lastHeartbeatAt: Double = NEVER
 
-    /** When the cloud takes it back; null without such a notice. */
+    /** Time at which the cloud will reclaim it; null unless its worker has reported a reclaim notice. */
     var reclaimAt: Double? = null
 
-    /** When its first heartbeat came to this leader; 0 before. */
+    /** Time of its first heartbeat to this leader; 0 before. */
     var upSince: Double = 0.0
 
-    /** When this leader saw its worker begin a new agent epoch. */
-    var epochBeganAt: Double = NEVER
+    /** Time at which this leader last saw its worker change to a new agent epoch. */
+    var epochChangedAt: Double = NEVER
 
-    /** When this leader last answered a heartbeat with 200, or an earlier leader may have. */
-    var answeredAt: Double = 0.0
+    /**
+     * Latest time at which the worker's lease may have been renewed: this leader answered a heartbeat with 200, an earlier leader may have
+     * done so, or a new agent epoch began.
+     */
+    var leaseRenewedAt: Double = 0.0
 
-    /** The newest heartbeat, to recognize one that says nothing new; null where the next one has to be read in full. */
+    /** Latest heartbeat, used to recognize one without changes; null if the next heartbeat must be decoded in full. */
     var lastHeartbeat: LastHeartbeat? = null
 
-    /** The member that relayed its newest heartbeat, and relays the commands to it; null if its worker reaches the leader itself. */
+    /** Member that relayed its latest heartbeat and relays commands to it; null if its worker reaches the leader directly. */
     var relayedBy: String? = null
 
-    // The state of commands to it.
+    // State of the commands to its worker.
 
-    /** The fencing token of the next commands and answers. */
+    /** Fencing token sent with the next commands and heartbeat responses. */
     var token: Long = 0
 
-    /** The highest token under which a command of unknown outcome may still be executed. */
+    /** Highest token of a command with an unknown outcome, which the worker may still execute. */
     var unsettledToken: Long = 0
 
-    /** The token that its worker must have seen before anything more is placed on it, since only that shows that answers reach it. */
+    /**
+     * Fencing token that its worker must have seen before more tasks are placed on the machine: only this proves that the worker receives
+     * this leader's responses.
+     */
     var requiredToken: Long = 0
 
-    /** Since when it has reported without having seen [requiredToken]; null once it has. */
+    /** Time since which it has sent heartbeats without having seen [requiredToken]; null once it has seen it. */
     var unresponsiveSince: Double? = null
 
-    /** The highest token under which a start was sent. */
+    /** Highest token under which a start command was sent. */
     var lastStartToken: Long = 0
     var commandInFlight: Boolean = false
 
-    /** No command is sent before. */
+    /** Earliest time at which the next command may be sent. */
     var nextCommandAt: Double = 0.0
 
-    /** Requests to it since the last one that was answered. */
+    /** Number of consecutive requests to its worker that were not answered with a heartbeat. */
     var consecutiveCommandFailures: Int = 0
 
-    // What the leader has decided.
+    // Decided by the leader.
 
-    /** Nothing is placed on it before, since it failed or refused tasks. */
+    /** Earliest time at which tasks may be placed on it again after it failed or refused tasks. */
     var noPlacementBefore: Double = 0.0
 
-    /** Since when it has no allocations; 0 while it has some. */
+    /** Time since which it has had no allocations; 0 while it has some. */
     var idleSince: Double = 0.0
 
-    /** Tasks that failed on it since the last one that was done. */
+    /** Number of tasks that have failed on it since the last one that completed. */
     var consecutiveTaskFailures: Int = 0
 
-    /** Why it is drained; null while it is in service. */
+    /** Reason why it is drained; null while it is in service. */
     var drainReason: DrainReason? = null
 
-    /** Whether it is taken for dead: it is returned with whatever is on it, and the cloud's answer makes the end of that certain. */
+    /**
+     * Whether it is considered dead. It is then returned to the cloud together with its tasks, and the cloud's confirmation proves that
+     * they have ended.
+     */
     var isDead: Boolean = false
 
-    /** Whether a call to return it is under way, or is not retried yet. */
+    /** Whether a call to return it to the cloud is in flight or waits to be retried. */
     var isReturning: Boolean = false
 
-    /** Whether its worker's lease has certainly expired, and no newer heartbeat has renewed it. */
+    /** Whether its worker's lease has certainly expired and has not been renewed by a newer heartbeat. */
     var isLeaseExpired: Boolean = false
 
-    /** Images that it should still have, with their size in GB; the most recently used last. */
+    /** Images that its cache should still hold, with their size in GB, from least to most recently used. */
     val images: Map<String, Double> get() = cachedImages
     private val cachedImages = LinkedHashMap<String, Double>()
 
-    /** Since when it has sent nothing. */
+    /** Time since which no message has come from it. */
     val silentSince: Double get() = maxOf(lastMessageAt, knownSince)
 
     /** Whether it has ever sent a heartbeat to this leader. */
@@ -148,13 +157,13 @@
 
     val isDraining: Boolean get() = drainReason != null
 
-    /** Whether it is drained for good, so that no message from it is waited for; one that operators drain may come back into service. */
+    /** Whether it is drained permanently, so that no messages are expected from it. A drain by operators may be undone. */
     val isDecommissioning: Boolean get() = isDraining && drainReason != DrainReason.OPERATOR
 
-    /** Whether its worker has seen the token that shows that answers reach it. */
+    /** Whether its worker has seen [requiredToken], which proves that it receives responses. */
     val isResponsive: Boolean get() = seenToken >= requiredToken
 
-    /** Takes over what [heartbeat] says of the machine and its tasks; the caller has checked that it is the newest. */
+    /** Copies the description of the machine and its tasks from [heartbeat], which the caller has checked to be the latest. */
     fun update(
         heartbeat: Heartbeat,
         now: Double,
@@ -168,7 +177,10 @@
         reportedTasks = heartbeat.tasks
     }
 
-    /** A task has used [image], of [sizeGb]; the least recently used ones that a cache of [cacheGb] cannot hold beside it are forgotten. */
+    /**
+     * Records that a task has used [image], of [sizeGb], and drops the least recently used images that a cache of [cacheGb] cannot hold
+     * together with it.
+     */
     fun recordImage(
         image: String,
         sizeGb: Double,
@@ -180,7 +192,7 @@
     }
 
     internal companion object {
-        /** A time before all others, for what has not happened yet. */
+        /** Time before all others; marks an event that has not happened. */
         const val NEVER: Double = -1e9
     }
 }
--- a/src/main/kotlin/burlridge/worker/MachineRegistry.kt
+++ b/src/main/kotlin/burlridge/worker/MachineRegistry.kt
@@ -4,91 +4,91 @@
 import burlridge.leadership.Leadership
 import it.unimi.dsi.fastutil.objects.Object2IntOpenHashMap
 
-/** The machines that this leader knows, the tasks that run on them without an allocation, and the fencing tokens given out. */
+/** Holds the machines known to this leader and the orphaned tasks on them, and issues fencing tokens. */
 internal class MachineRegistry(
     private val context: StepContext,
     private val leadership: Leadership,
 ) {
-    /** By id, in the order in which this leader came to know them. */
+    /** Machines by id, in the order in which this leader registered them. */
     val byId: LinkedHashMap<String, Machine> = LinkedHashMap()
 
     /**
-     * Whether the stored allocations of this term have been read. Until then heartbeats are recorded, and nothing is concluded from what
-     * they lack.
+     * Whether the stored allocations have been read in this term. Until then heartbeats are recorded, but a task missing from one is not
+     * considered lost.
      */
     var areAllocationsLoaded: Boolean = false
 
-    /** How many machines run each task without an allocation; until it is stopped, such a task blocks any other start of it. */
-    private val orphanCount = Object2IntOpenHashMap<String>()
+    /** Number of machines that run each task without an allocation. Until stopped, such an orphan blocks any other start of the task. */
+    private val orphanCountByTask = Object2IntOpenHashMap<String>()
 
-    /** Ids of machines that are gone: a late heartbeat must not bring one back. */
-    private val removed = HashSet<String>()
-    private var tokensGiven = 0L
+    /** Ids of removed machines, which a late heartbeat must not register again. */
+    private val removedIds = HashSet<String>()
+    private var issuedTokenCount = 0L
 
-    /** Forgets everything, when leadership ends. */
+    /** Clears all state when a term begins or ends. */
     fun clear() {
         byId.clear()
-        removed.clear()
-        orphanCount.clear()
+        removedIds.clear()
+        orphanCountByTask.clear()
         areAllocationsLoaded = false
-        tokensGiven = 0
+        issuedTokenCount = 0
     }
 
-    /** A fencing token above all that this leader has given out. */
-    fun nextToken(): Long = FencingToken.first(leadership.term) + ++tokensGiven
+    /** Issues a fencing token higher than all that this leader has issued before. */
+    fun nextToken(): Long = FencingToken.first(leadership.term) + ++issuedTokenCount
 
-    /** The machine [id], which is registered if it is not known yet. */
+    /** Returns the machine [id], and registers it if it is not known yet. */
     fun getOrRegister(id: String): Machine = byId.getOrPut(id) { register(id) }
 
     private fun register(id: String): Machine {
         val machine = Machine(id, context.now)
         machine.token = FencingToken.first(leadership.term)
         machine.unsettledToken = machine.token - 1
-        // A heartbeat alone may be a late copy from a machine that is long gone: its worker must have seen a token of this term.
+        // A heartbeat alone may be a delayed copy from a machine that no longer exists, so the worker must have seen a token of this term.
         machine.requiredToken = machine.token
-        machine.answeredAt = context.now
+        machine.leaseRenewedAt = context.now
         machine.idleSince = context.now
         return machine
     }
 
-    /** Whether [machine] is still registered; it may have gone while a command to it was under way. */
+    /** Whether [machine] is still registered; it may have been removed while a command to it was in flight. */
     fun isRegistered(machine: Machine): Boolean = byId[machine.id] === machine
 
-    /** Whether the machine [id] is gone for good. */
-    fun isRemoved(id: String): Boolean = id in removed
+    /** Whether the machine [id] has been removed permanently. */
+    fun isRemoved(id: String): Boolean = id in removedIds
 
-    /** Takes out [machine], which is gone for good. */
+    /** Removes [machine] permanently, since it no longer exists. */
     fun remove(machine: Machine) {
-        removed += machine.id
+        removedIds += machine.id
         byId.remove(machine.id)
         setOrphans(machine, emptySet())
     }
 
-    /** Whether the task runs on some machine without an allocation. */
-    fun hasOrphan(taskName: String): Boolean = orphanCount.getInt(taskName) > 0
+    /** Whether the task [taskName] runs on any machine without an allocation. */
+    fun hasOrphan(taskName: String): Boolean = orphanCountByTask.getInt(taskName) > 0
 
-    /** Whether any task of [job] runs on some machine without an allocation. */
-    fun hasOrphans(job: String): Boolean = orphanCount.keys.any { it.substringBefore('/') == job }
+    /** Whether any task of [job] runs on any machine without an allocation. */
+    fun hasOrphans(job: String): Boolean = orphanCountByTask.keys.any { it.substringBefore('/') == job }
 
-    /** Records [orphans] as the names of all tasks that run on [machine] without an allocation. */
+    /** Replaces the names of the tasks that run on [machine] without an allocation by [orphans]. */
     fun setOrphans(
         machine: Machine,
         orphans: Set<String>,
     ) {
         if (machine.orphans.isEmpty() && orphans.isEmpty()) return
-        machine.orphans.forEach { if (orphanCount.addTo(it, -1) <= 1) orphanCount.removeInt(it) }
-        orphans.forEach { orphanCount.addTo(it, 1) }
+        machine.orphans.forEach { if (orphanCountByTask.addTo(it, -1) <= 1) orphanCountByTask.removeInt(it) }
+        orphans.forEach { orphanCountByTask.addTo(it, 1) }
         machine.orphans = orphans
     }
 
-    /** Of the machines that may run something, how many are up and have seen a token of this term. */
+    /** Counts the machines that may run tasks, and how many of them are up and have seen a token of this term. */
     fun responseCount(): WorkerResponseCount {
         val known = byId.values.filter { !it.isStarting && !it.isDead && !it.isLeaseExpired }
         return WorkerResponseCount(known.count { it.isUp && it.isResponsive }, known.size)
     }
 }
 
-/** Of the machines that may run something, how many are up and have seen a token of this leader's term. */
+/** Number of machines that may run tasks ([known]), and of those that are up and have seen a token of this leader's term ([answered]). */
 internal data class WorkerResponseCount(
     val answered: Int,
     val known: Int,
--- a/src/main/kotlin/burlridge/worker/ReachabilityProbe.kt
+++ b/src/main/kotlin/burlridge/worker/ReachabilityProbe.kt
@@ -4,7 +4,7 @@
 import burlridge.core.StepContext
 import burlridge.leadership.Leadership
 
-/** Sends requests without commands, to find out whether machines and zones can be reached. */
+/** Sends requests without commands to determine whether machines and zones can be reached. */
 internal class ReachabilityProbe(
     private val context: StepContext,
     private val leadership: Leadership,
@@ -14,20 +14,20 @@
 ) {
     private var nextProbeAt = 0.0
 
-    /** Queries [machine] if its heartbeat is overdue, which tells a dead machine from one whose heartbeats are lost. */
+    /** Queries [machine] if its heartbeat is overdue, to distinguish a dead machine from one whose heartbeats are lost. */
     fun queryIfOverdue(machine: Machine) {
         val address = machine.address ?: return
         val isExpected = machine.isUp || registry.hasAllocationsOn(machine)
         if (!isExpected || machine.commandInFlight || machine.isDecommissioning) return
         if (context.now < machine.nextCommandAt || !leadership.holdsLease) return
-        val overdueAt = machine.silentSince + context.settings.workers.reportSeconds * OVERDUE_REPORTS
+        val overdueAt = machine.silentSince + context.settings.workers.reportSeconds * OVERDUE_AFTER_INTERVALS
         if (context.now > overdueAt) commands.query(machine, address)
     }
 
-    /** Queries one machine, chosen at random, of each zone that commands do not reach. */
-    fun probeCutOffZones(machines: Collection<Machine>) {
+    /** Queries one machine, chosen at random, in each zone with several consecutive unanswered commands. */
+    fun probeZonesWithUnansweredCommands(machines: Collection<Machine>) {
         if (context.now < nextProbeAt) return
-        nextProbeAt = context.now + PROBE_SECONDS
+        nextProbeAt = context.now + PROBE_INTERVAL_SECONDS
         for (zone in reachability.zonesWithUnansweredCommands()) {
             val candidates = machines.filter { it.zone == zone && canProbe(it) }
             val machine = candidates.randomOrNull(context.random) ?: continue
@@ -40,7 +40,7 @@
             !machine.commandInFlight && !machine.isDecommissioning
 
     private companion object {
-        const val OVERDUE_REPORTS = 1.6
-        const val PROBE_SECONDS = 1.0
+        const val OVERDUE_AFTER_INTERVALS = 1.6
+        const val PROBE_INTERVAL_SECONDS = 1.0
     }
 }
--- a/src/main/kotlin/burlridge/worker/StragglerDetector.kt
+++ b/src/main/kotlin/burlridge/worker/StragglerDetector.kt
@@ -8,13 +8,17 @@
 internal class StragglerDetector(
     private val registry: JobRegistry,
 ) {
+    /** Returns the allocations of the tasks that run on [machine]. */
     fun runningOn(machine: Machine): List<Allocation> =
         registry.allocations.byMachine[machine.id]
             ?.values
             ?.filter { it.phase == AllocationPhase.RUNNING }
             .orEmpty()
 
-    /** Whether most of the tasks on [machine], and at least two, are overdue, or all of them far overdue. */
+    /**
+     * Whether [machine] is slow: at least two and more than half of its comparable tasks are overdue, or all of them are overdue and at
+     * least one exceeds [VERY_SLOW_FACTOR].
+     */
     fun isSlow(machine: Machine): Boolean {
         val factors = runningOn(machine).mapNotNull { runTimeFactor(machine, it) }
         val overdue = factors.count { it > SLOW_FACTOR }
@@ -23,21 +27,21 @@
     }
 
     /**
-     * How many times as long as usual [allocation] has run; null where nothing is known to compare it with. It is measured up to the last
-     * message of [machine]: one that is silent is not slow for that.
+     * Returns the run time of [allocation] so far, as a multiple of the mean run time of its job; null if there is nothing to compare with.
+     * It is measured up to the last message of [machine], so that a silent machine does not count as slow for its silence.
      */
     private fun runTimeFactor(
         machine: Machine,
         allocation: Allocation,
     ): Double? {
-        val usualSeconds = registry.jobs[allocation.job]?.meanRunSeconds ?: return null
-        return allocation.startedAt?.let { (machine.lastMessageAt - it) / usualSeconds.coerceAtLeast(MIN_USUAL_SECONDS) }
+        val meanSeconds = registry.jobs[allocation.job]?.meanRunSeconds ?: return null
+        return allocation.startedAt?.let { (machine.lastMessageAt - it) / meanSeconds.coerceAtLeast(MIN_MEAN_SECONDS) }
     }
 
     internal companion object {
-        /** A task that runs longer than so many times the usual time of its job is overdue. */
+        /** A task is overdue if it has run longer than this multiple of the mean run time of its job. */
         const val SLOW_FACTOR: Double = 1.6
         private const val VERY_SLOW_FACTOR = 2.2
-        private const val MIN_USUAL_SECONDS = 1.0
+        private const val MIN_MEAN_SECONDS = 1.0
     }
 }
--- a/src/main/kotlin/burlridge/worker/TaskCleanup.kt
+++ b/src/main/kotlin/burlridge/worker/TaskCleanup.kt
@@ -4,12 +4,12 @@
 import burlridge.allocation.JobRegistry
 import burlridge.allocation.JobState
 
-/** Chooses the commands that go with the answer to a heartbeat: stops for what must not run any more, removals of what has ended. */
+/** Chooses the commands sent with the response to a heartbeat: stops of tasks that must not run any more, and removals of ended tasks. */
 internal class TaskCleanup(
     private val registry: JobRegistry,
     private val nextToken: () -> Long,
 ) {
-    /** Stops for every task that must not run on [machine] any more; they are repeated until it has ended. */
+    /** Returns a stop for every task that must not run on [machine] any more. Stops are repeated until the task has ended. */
     fun stops(machine: Machine): List<WorkerCommand> =
         machine.reportedTasks.values.mapNotNull { if (it.isExited) null else stop(machine, it) }
 
@@ -22,7 +22,7 @@
             return WorkerCommand.Stop(status.task, status.attempt, graceSeconds = 0.0)
         }
         val graceSeconds = allocation.stopGraceSeconds ?: return null
-        // The tasks of a gang that saves are all stopped at the same time, by commands straight to their workers.
+        // The tasks of a gang that saves its progress are all stopped at the same time, by commands sent directly to their workers.
         if (status.state == TaskState.Known.CHECKPOINTING || registry.savesAsGang(allocation)) return null
         return WorkerCommand.Stop(status.task, status.attempt, graceSeconds)
     }
@@ -35,7 +35,7 @@
             ?.get(status.task)
             ?.takeIf { it.attempt == status.attempt }
 
-    /** Removals of ended tasks whose end is stored, and of which no start can still arrive. */
+    /** Returns removals of ended tasks whose end is stored and of which no start can still arrive. */
     fun removals(machine: Machine): List<WorkerCommand> {
         if (machine.commandInFlight || machine.seenToken <= machine.unsettledToken) return emptyList()
         return machine.reportedTasks.values.mapNotNull { if (it.isExited) removal(machine, it) else null }
@@ -54,8 +54,9 @@
             return null
         }
         if (allocationOf(machine, status) != null) return null
-        // A repeated start may still arrive, and after the removal it would count as new. A task that is done ends at once again; any
-        // other start must be fenced first, for the task may run elsewhere by then, or be cancelled.
+        // A duplicate of the start command may still arrive, and after the removal the worker would execute it as a new start. A task that
+        // is done would end again at once. For any other task the start must be fenced first, since by then the task may run elsewhere or
+        // be cancelled.
         val isRepeatHarmless = isDone && (job != null || registry.endOf(jobId)?.jobState == JobState.DONE)
         if (!isRepeatHarmless && machine.seenToken <= machine.lastStartToken) {
             if (machine.token <= machine.lastStartToken) machine.token = nextToken()
--- a/src/main/kotlin/burlridge/worker/TaskEviction.kt
+++ b/src/main/kotlin/burlridge/worker/TaskEviction.kt
@@ -8,7 +8,7 @@
 import burlridge.core.StepContext
 import burlridge.job.JobSpec
 
-/** Stops tasks on machines that are slow, and on spot machines that the cloud takes back. */
+/** Stops tasks on slow machines and on spot machines that the cloud reclaims. */
 internal class TaskEviction(
     private val context: StepContext,
     private val registry: JobRegistry,
@@ -22,12 +22,12 @@
     private var nextCheckAt = 0.0
 
     /**
-     * Takes machines out of service whose tasks run much longer than others of the same jobs: what runs there is done sooner if it starts
-     * again elsewhere. Where many machines seem slow at once, the comparison is what is wrong, and nothing is done.
+     * Takes machines out of service whose tasks run much longer than other tasks of the same jobs, since the tasks complete sooner if they
+     * are restarted elsewhere. If many machines seem slow at once, the comparison is considered wrong and nothing is done.
      */
     fun evictStragglers(machines: Collection<Machine>) {
         if (context.now < nextCheckAt) return
-        nextCheckAt = context.now + context.settings.workers.reportSeconds / CHECKS_PER_REPORT
+        nextCheckAt = context.now + context.settings.workers.reportSeconds / CHECKS_PER_HEARTBEAT_INTERVAL
         val inService = machines.filter { it.isUp && !it.isLeaseExpired && !it.isDraining && !leases.isSilent(it) }
         val slow = inService.filter { stragglers.isSlow(it) }
         if (slow.size > inService.size * MAX_STRAGGLER_SHARE) return
@@ -38,7 +38,7 @@
         }
     }
 
-    /** Takes the slow [machine] out of service, and stops what runs there. */
+    /** Takes the slow [machine] out of service and stops the tasks running on it. */
     fun evictStraggler(machine: Machine) {
         machine.drainReason = DrainReason.SLOW
         stragglers.runningOn(machine).forEach { stopOnSlow(machine, it) }
@@ -57,7 +57,7 @@
         }
     }
 
-    /** Stops the tasks on the reclaimed [machine] that can save their progress; the others may end before the cloud takes it. */
+    /** Stops the tasks on the reclaimed [machine] that can save their progress. The others may complete before it is reclaimed. */
     fun evictReclaimed(machine: Machine) {
         val gangs = LinkedHashSet<Job>()
         val allocations = registry.allocations.byMachine[machine.id]?.values
@@ -87,7 +87,7 @@
     private fun saveGraceSeconds(spec: JobSpec): Double = spec.saveSeconds * GangRules.CHECKPOINT_GRACE_FACTOR
 
     private companion object {
-        const val CHECKS_PER_REPORT = 2
+        const val CHECKS_PER_HEARTBEAT_INTERVAL = 2
         const val MAX_STRAGGLER_SHARE = 0.25
     }
 }
--- a/src/main/kotlin/burlridge/worker/TaskOutcomes.kt
+++ b/src/main/kotlin/burlridge/worker/TaskOutcomes.kt
@@ -7,20 +7,20 @@
 import burlridge.core.StepContext
 import burlridge.job.JobSpec
 
-/** Takes the reported status of an allocated task over into its allocation, its job and the image cache of its machine. */
+/** Updates the allocation, the job and the image cache of the machine from the reported status of an allocated task. */
 internal class TaskOutcomes(
     private val context: StepContext,
     private val registry: JobRegistry,
 ) {
-    /** The size of the image cache of a machine type, in GB; set once the types are known. */
+    /** Returns the size of the image cache of a machine type, in GB; set once the types are known. */
     var cacheGbOfType: (String) -> Double = { 0.0 }
 
-    /** Called for each task that this leader saw start and run to its end, with its run time in seconds. */
+    /** Called with the run time in seconds of each task of which this leader observed both the start and the completion. */
     var onTaskCompleted: (Machine, Job, Double) -> Unit = { _, _, _ -> }
 
     private val workerSettings = context.settings.workers
 
-    /** The task is on [machine] and has not ended. */
+    /** Updates [allocation] for a task that is on [machine] and has not ended. */
     fun recordActive(
         machine: Machine,
         allocation: Allocation,
@@ -49,18 +49,18 @@
             TaskState.Known.EXITED, is TaskState.Unrecognized -> phaseOfUnrecognized(machine, allocation, state)
         }
 
-    /** The machine has the task, and that is all that is known. */
+    /** Returns the phase for a state that is not recognized: all that is known is that the machine has the task. */
     private fun phaseOfUnrecognized(
         machine: Machine,
         allocation: Allocation,
         state: TaskState,
     ): AllocationPhase {
-        context.count(UNRECOGNIZED_WORDS)
+        context.count(UNRECOGNIZED_VALUES_METRIC)
         context.infoLimited(
             "task state not recognized",
             "task" to allocation.taskName,
             "machine" to machine.id,
-            "state" to state.text.take(MAX_LOGGED_TEXT),
+            "state" to state.text.take(MAX_LOGGED_TEXT_LENGTH),
         )
         return maxOf(allocation.phase, AllocationPhase.FETCHING)
     }
@@ -83,7 +83,7 @@
         spec: JobSpec,
     ) = machine.recordImage(spec.image, spec.imageGb, cacheGbOfType(machine.type))
 
-    /** The task has ended on [machine]; its allocation is released. */
+    /** Releases [allocation], whose task has ended on [machine], and updates its job. */
     fun recordExit(
         machine: Machine,
         allocation: Allocation,
@@ -150,7 +150,7 @@
             context.now + minOf(workerSettings.reportSeconds * job.failures, workerSettings.leaseSeconds),
         )
         val failures = machine.consecutiveTaskFailures
-        // A job most of whose failures were elsewhere is the likelier cause.
+        // If most failures of the job happened on other machines, the job is the more likely cause.
         if (failures >= MIN_FAILURES_TO_QUARANTINE && job.failures < failures * 2) {
             machine.noPlacementBefore = context.now + workerSettings.leaseSeconds
         }
@@ -162,14 +162,14 @@
         job: Job,
         reason: ExitReason?,
     ) {
-        if (reason !is ExitReason.Known) context.count(UNRECOGNIZED_WORDS)
+        if (reason !is ExitReason.Known) context.count(UNRECOGNIZED_VALUES_METRIC)
         context.infoLimited(
             "task start refused",
             "task" to allocation.taskName,
             "machine" to machine.id,
-            "reason" to reason?.text?.take(MAX_LOGGED_TEXT),
+            "reason" to reason?.text?.take(MAX_LOGGED_TEXT_LENGTH),
         )
-        val retryAt = context.now + workerSettings.reportSeconds / RETRIES_PER_REPORT
+        val retryAt = context.now + workerSettings.reportSeconds / RETRIES_PER_HEARTBEAT_INTERVAL
         job.delayRetry(allocation.task, retryAt)
         if (reason == ExitReason.Known.FULL) machine.noPlacementBefore = retryAt
     }
@@ -180,7 +180,7 @@
         status: TaskStatus,
     ) = context.infoLimited("task stopped", "task" to allocation.taskName, "machine" to machine.id, "saved" to status.saved)
 
-    /** Neither the machine nor the job is at fault: another task of the gang was lost, or late. */
+    /** Logs the end of a task because another task of its gang was lost or late. Neither the machine nor the job counts as failed. */
     private fun logGangIncomplete(
         machine: Machine,
         allocation: Allocation,
@@ -194,15 +194,15 @@
     )
 
     private companion object {
-        /** Counts states and reasons that this version does not know. */
-        const val UNRECOGNIZED_WORDS = "worker.unknown_words"
+        /** Counts states and exit reasons that this version does not recognize. */
+        const val UNRECOGNIZED_VALUES_METRIC = "worker.unknown_words"
         const val MIN_FAILURES_TO_QUARANTINE = 2
 
-        /** A refused start is tried again after this part of a report interval. */
-        const val RETRIES_PER_REPORT = 3
+        /** A refused start is retried after the heartbeat interval divided by this. */
+        const val RETRIES_PER_HEARTBEAT_INTERVAL = 3
 
-        /** At most so many characters of a text that is not recognized are logged. */
-        const val MAX_LOGGED_TEXT = 20
+        /** Maximum number of characters logged of a state or reason. */
+        const val MAX_LOGGED_TEXT_LENGTH = 20
         const val MILLIS_PER_SECOND = 1000.0
     }
 }
--- a/src/main/kotlin/burlridge/worker/TaskReconciler.kt
+++ b/src/main/kotlin/burlridge/worker/TaskReconciler.kt
@@ -13,6 +13,7 @@
     private val outcomes: TaskOutcomes,
     private val losses: AllocationLosses,
 ) {
+    /** Updates the allocations, orphans and idle time of [machine] from its latest heartbeat. */
     fun reconcile(machine: Machine) {
         val allocations =
             registry.allocations.byMachine[machine.id]
@@ -28,18 +29,18 @@
         machine: Machine,
         allocation: Allocation,
     ) {
-        if (allocation.agentEpoch < machine.agentEpoch) return losses.lose(allocation, LossReason.EPOCH_ENDED)
+        if (allocation.agentEpoch < machine.agentEpoch) return losses.markLost(allocation, LossReason.EPOCH_ENDED)
         val status = machine.reportedTasks[taskKey(allocation.taskName, allocation.attempt)]
         when {
-            status == null -> if (isKnownAbsent(machine, allocation)) losses.lose(allocation, LossReason.NOT_ON_WORKER)
+            status == null -> if (isKnownAbsent(machine, allocation)) losses.markLost(allocation, LossReason.NOT_ON_WORKER)
             status.isExited -> outcomes.recordExit(machine, allocation, status)
             else -> outcomes.recordActive(machine, allocation, status)
         }
     }
 
     /**
-     * A heartbeat without the task proves its absence only if no start of it can still arrive: none is in flight, and the worker has seen
-     * a token above every one under which the outcome of a command is open.
+     * Whether a heartbeat without the task proves that the task is not on [machine]. It does so only if no start of the task can still
+     * arrive: none is in flight, and the worker has seen a higher token than every command with an unknown outcome.
      */
     private fun isKnownAbsent(
         machine: Machine,
--- a/src/main/kotlin/burlridge/worker/TaskStatus.kt
+++ b/src/main/kotlin/burlridge/worker/TaskStatus.kt
@@ -1,30 +1,30 @@
 package burlridge.worker
 
-/** The state of a task, as its worker reports it. */
+/** State of a task, as reported by its worker. */
 internal sealed interface TaskState {
-    /** The state as the protocol spells it. */
+    /** Name of the state in the protocol. */
     val text: String
 
-    /** A state that this version knows. */
+    /** A state that this version recognizes. */
     enum class Known(
         override val text: String,
     ) : TaskState {
         /** The image of the task is being pulled. */
         FETCHING("fetching"),
 
-        /** The task waits until every task of its gang has its image. */
+        /** The task has its image and waits until every task of its gang has its own. */
         AWAITING_GANG("gathering"),
 
         RUNNING("running"),
 
-        /** The task has been stopped and saves its progress. */
+        /** The task is being stopped and saves its progress. */
         CHECKPOINTING("saving"),
 
-        /** The task has ended; [TaskStatus.exitReason] says why. */
+        /** The task has ended for the reason in [TaskStatus.exitReason]. */
         EXITED("exited"),
     }
 
-    /** A state of a later protocol version: the machine has the task, and that is all that is known. */
+    /** A state of a later protocol version; all that is known is that the machine has the task. */
     data class Unrecognized(
         override val text: String,
     ) : TaskState
@@ -32,27 +32,27 @@
     companion object {
         private val byText: Map<String, TaskState> = Known.entries.associateBy { it.text }
 
-        /** The state that the protocol spells [text]. */
+        /** Returns the state named [text] in the protocol. */
         fun of(text: String): TaskState = byText[text] ?: Unrecognized(text)
     }
 }
 
-/** Why a task ended, as its worker reports it. */
+/** Reason why a task ended, as reported by its worker. */
 internal sealed interface ExitReason {
-    /** The reason as the protocol spells it. */
+    /** Name of the reason in the protocol. */
     val text: String
 
-    /** A reason that this version knows. */
+    /** A reason that this version recognizes. */
     enum class Known(
         override val text: String,
     ) : ExitReason {
-        /** The task ran to its end. */
+        /** The task completed. */
         DONE("done"),
 
         /** The leader stopped the task. */
         STOPPED("stopped"),
 
-        /** The task failed by itself. */
+        /** The task itself failed. */
         ERROR("error"),
 
         /** Another task of its gang ended. */
@@ -61,13 +61,13 @@
         /** Its gang was not complete in time. */
         GANG_INCOMPLETE("incomplete"),
 
-        /** The start was refused: the machine lacks the resources. */
+        /** The start was refused: the machine does not have enough free resources. */
         FULL("full"),
 
         /** The start was refused: another attempt of the task is on the machine. */
         IN_USE("in_use"),
 
-        /** The start was refused: the worker cannot find out what the task is. */
+        /** The start was refused: the worker could not get the description of the task. */
         TASK_UNKNOWN("unknown"),
     }
 
@@ -79,29 +79,29 @@
     companion object {
         private val byText: Map<String, ExitReason> = Known.entries.associateBy { it.text }
 
-        /** The reason that the protocol spells [text]. */
+        /** Returns the reason named [text] in the protocol. */
         fun of(text: String): ExitReason = byText[text] ?: Unrecognized(text)
     }
 }
 
-/** A task as its worker reports it. */
+/** One attempt of a task, as reported by its worker. */
 internal data class TaskStatus(
-    /** The task's name, `<job>/<index>`. */
+    /** Name of the task, `<job>/<index>`. */
     val task: String,
     val attempt: Int,
     val state: TaskState,
-    /** Null while the task has not ended, and where its worker gives no reason. */
+    /** Null while the task has not ended, or if the worker reports no reason. */
     val exitReason: ExitReason?,
-    /** Whether a stopped task saved its progress. */
+    /** Whether a stopped task has saved its progress. */
     val saved: Boolean,
 ) {
     val isExited: Boolean get() = state == TaskState.Known.EXITED
 
-    /** The task and its attempt as one name. */
+    /** Key of this attempt of the task, see [taskKey]. */
     val key: String get() = taskKey(task, attempt)
 }
 
-/** The name of one [attempt] of [task]. */
+/** Returns the key that identifies one [attempt] of [task]. */
 internal fun taskKey(
     task: String,
     attempt: Int,
--- a/src/main/kotlin/burlridge/worker/WorkerApi.kt
+++ b/src/main/kotlin/burlridge/worker/WorkerApi.kt
@@ -4,15 +4,15 @@
 import burlridge.core.HttpStatus
 import burlridge.json.Json
 
-/** The HTTP protocol between workers and members, as far as it is not about heartbeats and commands themselves. */
+/** HTTP protocol between workers and members, except for the bodies of heartbeats and commands. */
 internal object WorkerApi {
-    /** Of a member: takes heartbeats. */
+    /** Path on a member that accepts heartbeats. */
     const val HEARTBEAT_PATH: String = "/agent/beat"
 
-    /** Of a worker: takes commands. */
+    /** Path on a worker that accepts commands. */
     const val COMMAND_PATH: String = "/do"
 
-    /** Sends a worker to [leader]; null if no leader is known. */
+    /** Returns the response that redirects a worker to [leader]; null if no leader is known. */
     fun redirectTo(leader: String?): HttpResponse =
         HttpResponse(HttpStatus.MISDIRECTED_REQUEST, Json.write(Json.obj { leader?.let { put("herder", it) } }))
 }
--- a/src/main/kotlin/burlridge/worker/WorkerCommand.kt
+++ b/src/main/kotlin/burlridge/worker/WorkerCommand.kt
@@ -4,51 +4,51 @@
 import com.fasterxml.jackson.core.JsonGenerator
 import java.io.StringWriter
 
-/** A command to a worker about one attempt of a task. Every command is idempotent, except for a start after a removal. */
+/** A command to a worker for one attempt of a task. Every command is idempotent, except for a start after a removal. */
 internal sealed interface WorkerCommand {
     val task: String
     val attempt: Int
 
-    /** Begin the attempt, unless the worker has it already in any state. */
+    /** Starts the attempt, unless the worker already has it in any state. */
     data class Start(
         override val task: String,
         override val attempt: Int,
     ) : WorkerCommand
 
-    /** End the attempt; it saves its progress if that takes no longer than [graceSeconds]. */
+    /** Stops the attempt, which saves its progress first if that takes no longer than [graceSeconds]. */
     data class Stop(
         override val task: String,
         override val attempt: Int,
         val graceSeconds: Double,
     ) : WorkerCommand
 
-    /** Leave the ended attempt out of later heartbeats. */
+    /** Removes the ended attempt from later heartbeats. */
     data class Remove(
         override val task: String,
         override val attempt: Int,
     ) : WorkerCommand
 }
 
-/** Encodes commands as JSON, in the answer to a heartbeat and in the body of a request to a worker. */
+/** Encodes commands as JSON for the response to a heartbeat and for the body of a request to a worker. */
 internal object WorkerCommandCodec {
     private val factory = JsonFactory()
 
-    /** The answer to a heartbeat: the fencing token and [commands]. */
-    fun answer(
+    /** Returns the response to a heartbeat: the fencing token and [commands]. */
+    fun response(
         token: Long,
         commands: List<WorkerCommand>,
     ): String =
-        // Most answers have no commands; they are written without a generator.
+        // Most responses have no commands and are written without a JSON generator.
         if (commands.isEmpty()) {
             "{\"baton\":$token,\"orders\":[]}"
         } else {
             write {
                 it.writeNumberField("baton", token)
-                it.commands(commands)
+                it.writeCommands(commands)
             }
         }
 
-    /** The body of a request to a worker, which executes it in [agentEpoch] only. */
+    /** Returns the body of a request to a worker, which executes it only in [agentEpoch]. */
     fun request(
         token: Long,
         agentEpoch: Long,
@@ -57,7 +57,7 @@
         write {
             it.writeNumberField("baton", token)
             it.writeNumberField("stint", agentEpoch)
-            it.commands(commands)
+            it.writeCommands(commands)
         }
 
     private inline fun write(fields: (JsonGenerator) -> Unit): String {
@@ -70,13 +70,13 @@
         return text.toString()
     }
 
-    private fun JsonGenerator.commands(commands: List<WorkerCommand>) {
+    private fun JsonGenerator.writeCommands(commands: List<WorkerCommand>) {
         writeArrayFieldStart("orders")
-        commands.forEach { command(it) }
+        commands.forEach { writeCommand(it) }
         writeEndArray()
     }
 
-    private fun JsonGenerator.command(command: WorkerCommand) {
+    private fun JsonGenerator.writeCommand(command: WorkerCommand) {
         writeStartObject()
         writeStringField("verb", verbOf(command))
         writeStringField("piece", command.task)
--- a/src/main/kotlin/burlridge/worker/WorkerManager.kt
+++ b/src/main/kotlin/burlridge/worker/WorkerManager.kt
@@ -8,20 +8,20 @@
 import burlridge.peer.PeerRequests
 
 /**
- * The leader's side of the workers: assembles the registry of machines, the processing of heartbeats and the sending of commands, and runs
- * the periodic sweep over all machines.
+ * Manages the workers on behalf of the leader: assembles the registry of machines, the processing of heartbeats and the sending of
+ * commands, and runs the periodic sweep over all machines.
  */
 internal class WorkerManager(
     private val context: StepContext,
     leadership: Leadership,
     private val registry: JobRegistry,
     peers: PeerRequests,
-    onChange: () -> Unit,
+    requestPlacement: () -> Unit,
 ) {
     private val machineRegistry = MachineRegistry(context, leadership)
     private val reachability = ZoneReachability(context)
     val outcomes: TaskOutcomes = TaskOutcomes(context, registry)
-    private val losses = AllocationLosses(context, registry, onChange)
+    private val losses = AllocationLosses(context, registry, requestPlacement)
     private val leases = LeaseMonitor(context, leadership, machineRegistry, losses)
     private val cleanup = TaskCleanup(registry) { machineRegistry.nextToken() }
     private val reconciler = TaskReconciler(context, registry, machineRegistry, outcomes, losses)
@@ -31,7 +31,7 @@
             leadership,
             machineRegistry,
             HeartbeatHandlers(reconciler, cleanup, leases, losses, reachability),
-            onChange,
+            requestPlacement,
         )
     private val commands =
         CommandDispatcher(
@@ -40,84 +40,90 @@
             registry,
             machineRegistry,
             CommandTransport(context, leadership, peers, reachability),
-            CommandHandlers(heartbeats, losses, onChange),
+            CommandHandlers(heartbeats, losses, requestPlacement),
         )
     private val probes = ReachabilityProbe(context, leadership, registry, reachability, commands)
     private val gangStopper = GangStopper(context, machineRegistry, leases, reachability, losses, commands)
     private val eviction = TaskEviction(context, registry, leases, gangStopper)
-    private var sweepAt = 0.0
+    private var nextSweepAt = 0.0
 
-    /** Called for each machine that is taken out of service because its tasks are slow. */
+    /** Called for each machine that is found slow and taken out of service. */
     var onStragglerEvicted: (Machine) -> Unit by eviction::onStragglerEvicted
 
-    /** Called for each machine whose heartbeat was new, once its allocations are reconciled. */
+    /** Called for each machine that sent a new heartbeat, after its allocations have been reconciled. */
     var onHeartbeatReconciled: (Machine) -> Unit by heartbeats::onReconciled
 
-    /** Whether the stored allocations of this term have been read, so that heartbeats can be reconciled with them. */
+    /** Whether the stored allocations have been read in this term, so that heartbeats can be reconciled with them. */
     var isLoaded: Boolean by machineRegistry::areAllocationsLoaded
 
-    /** The machines that this leader knows, by id. */
+    /** Machines known to this leader, by id. */
     val machines: Map<String, Machine> get() = machineRegistry.byId
 
-    /** Forgets everything, when leadership ends. */
+    /** Clears all state when a term begins or ends. */
     fun clear() {
         machineRegistry.clear()
         reachability.clear()
     }
 
-    /** The machine [id], which is registered if it is not known yet. */
-    fun machine(id: String): Machine = machineRegistry.getOrRegister(id)
+    /** Returns the machine [id], and registers it if it is not known yet. */
+    fun getOrRegisterMachine(id: String): Machine = machineRegistry.getOrRegister(id)
 
-    /** Whether the machine [id] is gone for good. */
-    fun isReturned(id: String): Boolean = machineRegistry.isRemoved(id)
+    /** Whether the machine [id] has been removed permanently. */
+    fun isRemoved(id: String): Boolean = machineRegistry.isRemoved(id)
 
-    /** Whether the task runs on some machine without an allocation. */
+    /** Whether the task [taskName] runs on any machine without an allocation. */
     fun hasOrphan(taskName: String): Boolean = machineRegistry.hasOrphan(taskName)
 
-    /** Whether any task of [job] runs on some machine without an allocation. */
+    /** Whether any task of [job] runs on any machine without an allocation. */
     fun hasOrphans(job: String): Boolean = machineRegistry.hasOrphans(job)
 
+    /** Counts the machines that may run tasks, and how many of them are up and have seen a token of this term. */
     fun responseCount(): WorkerResponseCount = machineRegistry.responseCount()
 
     /** Whether commands to [machine] can be expected to arrive. */
     fun isReachable(machine: Machine): Boolean = reachability.isReachable(machine)
 
-    /** Whether heartbeats come straight from [zone], so that a machine there that cannot be reached is cut off or dead by itself. */
+    /**
+     * Whether direct heartbeats arrive from [zone]. If they do, a machine there that cannot be reached is itself dead or disconnected,
+     * rather than the whole zone.
+     */
     fun receivesHeartbeatsFrom(zone: String): Boolean = reachability.receivesHeartbeatsFrom(zone)
 
-    /** Zones whose machines have reported to this leader, none of them lately and straight. */
+    /** Returns the zones with machines that have reported to this leader, but without a recent direct heartbeat. */
     fun zonesWithoutHeartbeats(): List<String> = reachability.zonesWithoutHeartbeats(machines.values)
 
+    /** Whether [machine] has sent neither a heartbeat nor a response for longer than a lost message explains. */
     fun isSilent(machine: Machine): Boolean = leases.isSilent(machine)
 
+    /** Whether [machine] has sent no heartbeat on its own for half a lease, although it may answer commands. */
     fun isNotReporting(machine: Machine): Boolean = leases.isNotReporting(machine)
 
-    /** Whether [machine] takes tasks, or will once it is up. */
+    /** Whether tasks may be placed on [machine], now or once it is up. */
     fun mayTakeTasks(machine: Machine): Boolean {
         if (machine.isDraining || machine.reclaimAt != null) return false
         return !machine.isUp || (!machine.isLeaseExpired && machine.isResponsive && !isSilent(machine))
     }
 
-    /** Answers the heartbeat [body], which came straight from its worker or through the member [relayedBy]. */
-    fun heartbeat(
+    /** Answers the heartbeat [body], which came directly from its worker, or through the member [relayedBy] if that is not null. */
+    fun onHeartbeat(
         body: String,
         relayedBy: String?,
     ): HttpResponse = heartbeats.onRequest(body, relayedBy)
 
-    /** Tells the workers of the cancelled [job] to stop its tasks at once, before its end is durable. */
-    fun stop(job: Job) =
+    /** Sends stop commands for the cancelled [job] to its workers immediately, before its end is stored durably. */
+    fun sendStops(job: Job) =
         job.allocations.values
             .mapNotNull { machines[it.machine] }
             .distinct()
             .forEach { sendPendingCommands(it) }
 
-    /** Sends the commands that are due to [machine] now, without waiting for the next sweep. */
+    /** Sends the pending commands to [machine] immediately, without waiting for the next sweep. */
     fun sendPendingCommands(machine: Machine) = commands.sendPending(machine)
 
-    /** Takes a [machine] out of service that was found slow, here or by an earlier leader. */
+    /** Takes out of service a [machine] that this or an earlier leader has found slow. */
     fun evictStraggler(machine: Machine) = eviction.evictStraggler(machine)
 
-    /** Stops all tasks of the gang of [job] together because of [machineId], where that can be done now. */
+    /** Stops all tasks of the gang of [job] together because of [machineId], if possible; see [GangStopper.stop]. */
     fun stopGang(
         job: Job,
         reason: StopReason,
@@ -125,28 +131,28 @@
         mustSave: Boolean,
     ) = gangStopper.stop(job, reason, machineId, mustSave)
 
-    /** Loses the allocations of [machine] for which no start was ever sent. */
+    /** Marks the allocations of [machine] for which no start was ever sent as lost. */
     fun releaseUndispatched(
         machine: Machine,
         reason: LossReason,
     ) = losses.releaseUndispatched(machine, reason)
 
-    /** The cloud has confirmed that [machine] is gone, with everything on it. */
-    fun onMachineGone(
+    /** Removes [machine] and its allocations after the cloud has confirmed that the machine no longer exists. */
+    fun removeMachine(
         machine: Machine,
         reason: LossReason,
     ) {
         context.infoLimited("machine gone", "machine" to machine.id, "reason" to reason.text)
         machineRegistry.remove(machine)
-        losses.loseAll(machine, reason)
+        losses.markAllLost(machine, reason)
         registry.allocations.forgetMachine(machine.id)
     }
 
-    /** Sweeps over all machines, several times in a report interval. */
+    /** Sweeps over all machines [SWEEPS_PER_HEARTBEAT_INTERVAL] times per heartbeat interval. */
     fun tick() {
-        if (context.now < sweepAt) return
-        sweepAt = context.now + context.settings.workers.reportSeconds / SWEEPS_PER_REPORT
-        probes.probeCutOffZones(machines.values)
+        if (context.now < nextSweepAt) return
+        nextSweepAt = context.now + context.settings.workers.reportSeconds / SWEEPS_PER_HEARTBEAT_INTERVAL
+        probes.probeZonesWithUnansweredCommands(machines.values)
         if (isLoaded) eviction.evictStragglers(machines.values)
         machines.values.toList().forEach { sweep(it) }
     }
@@ -163,6 +169,6 @@
     }
 
     private companion object {
-        const val SWEEPS_PER_REPORT = 10
+        const val SWEEPS_PER_HEARTBEAT_INTERVAL = 10
     }
 }
--- a/src/main/kotlin/burlridge/worker/ZoneReachability.kt
+++ b/src/main/kotlin/burlridge/worker/ZoneReachability.kt
@@ -4,30 +4,30 @@
 import it.unimi.dsi.fastutil.objects.Object2DoubleOpenHashMap
 import it.unimi.dsi.fastutil.objects.Object2IntOpenHashMap
 
-/** Which zones this leader reaches with commands, and from which heartbeats come straight to it. */
+/** Tracks which zones this leader can reach with commands, and from which zones it receives direct heartbeats. */
 internal class ZoneReachability(
     private val context: StepContext,
 ) {
     private val reportSeconds = context.settings.workers.reportSeconds
 
-    /** Consecutive direct commands without an answer, by zone; zones whose last one was answered are left out. */
+    /** Number of consecutive unanswered direct commands by zone, without the zones in which the last direct command was answered. */
     private val unansweredCommands = Object2IntOpenHashMap<String>()
 
-    /** When a heartbeat last came straight from each zone. */
+    /** Time of the last direct heartbeat from each zone. */
     private val directHeartbeatAt = Object2DoubleOpenHashMap<String>()
 
-    /** Forgets everything, when leadership ends. */
+    /** Clears all state when a term begins or ends. */
     fun clear() {
         unansweredCommands.clear()
         directHeartbeatAt.clear()
     }
 
-    /** A heartbeat has come straight from [zone]. */
+    /** Records a direct heartbeat from [zone]. */
     fun onHeartbeat(zone: String) {
         directHeartbeatAt.put(zone, context.now)
     }
 
-    /** A command sent straight to a worker in [zone] has ended, with or without an answer. */
+    /** Records whether a command sent directly to a worker in [zone] was answered. */
     fun onCommandResult(
         zone: String,
         isAnswered: Boolean,
@@ -36,34 +36,40 @@
     }
 
     /** Whether commands to [machine] can be expected to arrive. */
-    fun isReachable(machine: Machine): Boolean = machine.relayedBy != null || !isCutOff(machine.zone)
+    fun isReachable(machine: Machine): Boolean = machine.relayedBy != null || !isUnreachable(machine.zone)
 
-    private fun isCutOff(zone: String): Boolean =
-        unansweredCommands.getInt(zone) >= MIN_UNANSWERED_TO_CUT_OFF && !receivesHeartbeatsFrom(zone)
+    private fun isUnreachable(zone: String): Boolean =
+        unansweredCommands.getInt(zone) >= MIN_UNANSWERED_FOR_UNREACHABLE && !receivesHeartbeatsFrom(zone)
 
-    /** Zones where so many commands in a row were not answered that they may be cut off. */
+    /** Returns the zones with so many consecutive unanswered commands that they may be unreachable. */
     fun zonesWithUnansweredCommands(): List<String> =
-        unansweredCommands.keys.filter { unansweredCommands.getInt(it) >= MIN_UNANSWERED_TO_CUT_OFF }
+        unansweredCommands.keys.filter { unansweredCommands.getInt(it) >= MIN_UNANSWERED_FOR_UNREACHABLE }
 
-    /** Whether heartbeats come straight from [zone], so that a machine there that cannot be reached is cut off or dead by itself. */
+    /**
+     * Whether direct heartbeats arrive from [zone]. If they do, a machine there that cannot be reached is itself dead or disconnected,
+     * rather than the whole zone.
+     */
     fun receivesHeartbeatsFrom(zone: String): Boolean = context.now < directHeartbeatAt.getDouble(zone) + reportSeconds / 2
 
-    /** Zones with machines that have reported to this leader, none of them lately and straight. */
+    /** Returns the zones with machines that have reported to this leader, but without a recent direct heartbeat. */
     fun zonesWithoutHeartbeats(machines: Collection<Machine>): List<String> {
         val machineCounts = Object2IntOpenHashMap<String>()
         machines.forEach { if (it.isUp && !it.isLeaseExpired && !it.isDecommissioning) machineCounts.addTo(it.zone, 1) }
         return machineCounts.keys.filter { zone ->
-            val patienceReports = if (machineCounts.getInt(zone) >= MIN_LARGE_ZONE) PATIENCE_REPORTS_LARGE else PATIENCE_REPORTS_SMALL
-            context.now > directHeartbeatAt.getDouble(zone) + reportSeconds * patienceReports
+            val maxGapIntervals = if (machineCounts.getInt(zone) >= MIN_LARGE_ZONE_SIZE) MAX_GAP_LARGE_ZONE else MAX_GAP_SMALL_ZONE
+            context.now > directHeartbeatAt.getDouble(zone) + reportSeconds * maxGapIntervals
         }
     }
 
     private companion object {
-        const val MIN_UNANSWERED_TO_CUT_OFF = 4
+        const val MIN_UNANSWERED_FOR_UNREACHABLE = 4
 
-        /** Of so many machines at least one reports within half an interval; of fewer, one within an interval and a quarter. */
-        const val MIN_LARGE_ZONE = 8
-        const val PATIENCE_REPORTS_LARGE = 0.5
-        const val PATIENCE_REPORTS_SMALL = 1.25
+        /**
+         * In a zone with at least this many machines, at least one of them reports within half a heartbeat interval; in a smaller zone,
+         * one reports within one and a quarter intervals.
+         */
+        const val MIN_LARGE_ZONE_SIZE = 8
+        const val MAX_GAP_LARGE_ZONE = 0.5
+        const val MAX_GAP_SMALL_ZONE = 1.25
     }
 }
--- a/src/test/kotlin/burlridge/worker/HeartbeatTest.kt
+++ b/src/test/kotlin/burlridge/worker/HeartbeatTest.kt
@@ -5,15 +5,15 @@
 import org.junit.jupiter.api.Assertions.assertNull
 import org.junit.jupiter.api.Test
 
-/** Reports come from outside: what is malformed is refused, and what is missing or of another type has its default. */
+/** Heartbeats are untrusted input: malformed ones are rejected, and a field that is missing or has the wrong type gets its default. */
 internal class HeartbeatTest {
-    private val whole =
+    private val completeBody =
         """{"drover":"m-000231","addr":"10.1.0.232:9000","breed":"g8","yard":"a","loaners":true,"stint":2,"tally":88,"baton":41,
         "recallS":7.5,"pieces":[{"piece":"j-000412/3","try":2,"standing":"running"},
         {"piece":"j-000398/0","try":1,"standing":"exited","cause":"stopped","kept":true}],"later":{"deep":[1,{"a":2}]}}"""
 
     @Test
-    fun `a whole report is read, and unknown fields are ignored`() {
+    fun `a complete heartbeat is decoded and unknown fields are ignored`() {
         val tasks =
             listOf(
                 TaskStatus("j-000412/3", 2, TaskState.Known.RUNNING, null, saved = false),
@@ -21,11 +21,11 @@
             )
         val expected =
             Heartbeat("m-000231", Endpoint("10.1.0.232", 9000), "g8", "a", true, 2, 88, 41, 7.5, tasks.associateBy { it.key })
-        assertEquals(expected, Heartbeat.decode(whole))
+        assertEquals(expected, Heartbeat.decode(completeBody))
     }
 
     @Test
-    fun `what is not one object that names a machine is refused`() {
+    fun `a body that is not one object naming a machine is rejected`() {
         val malformed =
             listOf(
                 "",
@@ -49,11 +49,11 @@
     }
 
     @Test
-    fun `fields of another type have their default`() {
-        val odd =
+    fun `a field of the wrong type gets its default value`() {
+        val wrongTypes =
             """{"drover":"m-1","addr":"nowhere","breed":[1],"yard":{"a":1},"loaners":"yes","stint":"2","tally":null,"baton":true,
             "recallS":"soon","pieces":{"piece":"j-1/0"}}"""
-        assertEquals(Heartbeat("m-1"), Heartbeat.decode(odd))
+        assertEquals(Heartbeat("m-1"), Heartbeat.decode(wrongTypes))
         assertNull(Heartbeat.decode("""{"drover":"m-1","addr":"10.0.0.1:70000"}""")?.address)
         assertEquals(emptyMap<String, TaskStatus>(), Heartbeat.decode("""{"drover":"m-1","pieces":[1,"x",[],null]}""")?.tasks)
         val task = TaskStatus("j-1/0", 0, TaskState.Unrecognized(""), null, saved = false)
@@ -64,12 +64,12 @@
     }
 
     @Test
-    fun `of a field that stands twice the last one counts`() {
+    fun `the last occurrence of a duplicate field wins`() {
         assertEquals(Heartbeat("m-2", sequence = 9), Heartbeat.decode("""{"drover":"m-1","tally":8,"drover":"m-2","tally":9}"""))
     }
 
     @Test
-    fun `states and exit reasons keep their text, known or not`() {
+    fun `states and exit reasons keep their text whether recognized or not`() {
         val states = listOf("fetching", "gathering", "running", "saving", "exited", "assembling", "")
         assertEquals(states, states.map { TaskState.of(it).text })
         assertEquals(TaskState.Unrecognized("assembling"), TaskState.of("assembling"))
--- a/src/test/kotlin/burlridge/worker/RelayedCommandTest.kt
+++ b/src/test/kotlin/burlridge/worker/RelayedCommandTest.kt
@@ -5,10 +5,10 @@
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Test
 
-/** The path and the statuses go between members of different versions. */
+/** Members of different versions exchange the path and the status values, so both must not change. */
 internal class RelayedCommandTest {
     @Test
-    fun `path and statuses stay as they are`() {
+    fun `the path and the status values are fixed`() {
         assertEquals("/worker/do/", RelayedCommand.PATH_PREFIX)
         assertEquals(HttpResponse(1, ""), RelayedCommand.responseOf(CallOutcome.NotSent))
         assertEquals(HttpResponse(2, ""), RelayedCommand.responseOf(CallOutcome.Unknown))
@@ -16,13 +16,13 @@
     }
 
     @Test
-    fun `an outcome is the same after its way between members`() {
+    fun `an outcome encoded as a response decodes to the same outcome`() {
         val outcomes = listOf(CallOutcome.NotSent, CallOutcome.Unknown, CallOutcome.Responded(200, "{}"), CallOutcome.Responded(503, ""))
         assertEquals(outcomes, outcomes.map { RelayedCommand.outcomeOf(RelayedCommand.responseOf(it)) })
     }
 
     @Test
-    fun `without a response the outcome is unknown`() {
+    fun `a missing response decodes to an unknown outcome`() {
         assertEquals(CallOutcome.Unknown, RelayedCommand.outcomeOf(null))
     }
 }
