--- a/src/main/kotlin/burlridge/allocation/FencedStore.kt
+++ b/src/main/kotlin/burlridge/allocation/FencedStore.kt
@@ -30,8 +30,8 @@
     }
 
     /** Whether [conflict] shows that another leader has a higher fencing token. */
-    fun isFenced(conflict: TransactionResult.Conflict): Boolean = Leadership.TERM in conflict.failed
+    fun isFenced(conflict: TransactionResult.Conflict): Boolean = Leadership.TERM_ROW_KEY in conflict.failed
 
     /** Ends this controller's leadership after its fencing token was found to be stale. */
-    fun stepDown() = leadership.stepDownOnPassedTerm()
+    fun stepDown() = leadership.stepDownOnSupersededTerm()
 }
--- a/src/main/kotlin/burlridge/api/JobCreator.kt
+++ b/src/main/kotlin/burlridge/api/JobCreator.kt
@@ -64,7 +64,7 @@
         modRevision: Long,
     ) {
         onStored(spec.id)
-        peers.broadcastAccepted(spec.id)
+        peers.broadcastJobAccepted(spec.id)
         if (leadership.isLeader && lookup.isLoaded) {
             registry.admit(Row(ActiveJobRow.key(spec.id), row, modRevision))
             onAdmitted()
--- a/src/main/kotlin/burlridge/api/JobQuery.kt
+++ b/src/main/kotlin/burlridge/api/JobQuery.kt
@@ -27,7 +27,7 @@
     ) {
         if (!JobSpec.isId(id)) return respond(responses.notFound())
         lookup.responseToQuery(id)?.let { return respond(it) }
-        val target = if (leadership.isLeader) peers.memberWithStore() else leadership.knownLeader ?: peers.memberWithStore()
+        val target = if (leadership.isLeader) peers.memberReachingStore() else leadership.knownLeader ?: peers.memberReachingStore()
         val mustReadRows = isForwarded || (lookup.isDeciding && lookup.isEndUncertain(id))
         if (mustReadRows || target == null || target == context.settings.member) return queryRows(id, respond)
         peers.forward(target, "GET", "${JobApi.PATH}/$id", "", FORWARD_TIMEOUT_SECONDS) { response ->
--- a/src/main/kotlin/burlridge/api/JobSubmission.kt
+++ b/src/main/kotlin/burlridge/api/JobSubmission.kt
@@ -54,7 +54,7 @@
         isForwarded: Boolean,
         respond: (HttpResponse) -> Unit,
     ) {
-        val peer = if (isForwarded) null else peers.memberWithStore()
+        val peer = if (isForwarded) null else peers.memberReachingStore()
         when {
             peer == null -> {
                 submitHere(body, isForwarded, respond)
--- a/src/main/kotlin/burlridge/app/Controller.kt
+++ b/src/main/kotlin/burlridge/app/Controller.kt
@@ -122,7 +122,7 @@
         }
         context.runDue()
         if (placementTimer.takeDue()) place()
-        store.pump()
+        store.sendQueued()
         return context.finishStep()
     }
 
--- a/src/main/kotlin/burlridge/app/SubmissionWatch.kt
+++ b/src/main/kotlin/burlridge/app/SubmissionWatch.kt
@@ -50,7 +50,7 @@
             }
         }
         revision = maxOf(revision, changes.revision)
-        if (changes.isNews) onSubmissions()
+        if (changes.hasEvents) onSubmissions()
     }
 
     /** The state service no longer keeps the changes since [revision]. */
--- a/src/main/kotlin/burlridge/balance/DrainRegistry.kt
+++ b/src/main/kotlin/burlridge/balance/DrainRegistry.kt
@@ -146,7 +146,7 @@
         store.commitUntilKnown(transaction, RequestPriority.CLAIM, leadership.whileLeading(leadership.term)) { result ->
             when {
                 result is TransactionResult.Committed -> onWritten(entry, next.copy(modRevision = result.revision))
-                result is TransactionResult.Conflict && Leadership.TERM in result.failed -> leadership.stepDownOnPassedTerm()
+                result is TransactionResult.Conflict && Leadership.TERM_ROW_KEY in result.failed -> leadership.stepDownOnSupersededTerm()
                 result is TransactionResult.Conflict -> readBack(entry, next)
                 else -> settle(entry, entry.drain, DrainChange.Refused("its row is not taken by the state service"))
             }
@@ -209,7 +209,7 @@
             )
         store.commitUntilKnown(transaction, RequestPriority.CLEANUP, leadership.whileLeading(leadership.term)) { result ->
             when {
-                result is TransactionResult.Conflict && Leadership.TERM in result.failed -> leadership.stepDownOnPassedTerm()
+                result is TransactionResult.Conflict && Leadership.TERM_ROW_KEY in result.failed -> leadership.stepDownOnSupersededTerm()
 
                 // Only this leader writes the row: if its revision has moved on, an earlier copy of this write has removed it.
                 else -> settle(entry, null, DrainChange.Busy)
--- a/src/main/kotlin/burlridge/balance/MoveBatchWriter.kt
+++ b/src/main/kotlin/burlridge/balance/MoveBatchWriter.kt
@@ -51,8 +51,8 @@
     ) {
         isWriting = false
         when {
-            result is TransactionResult.Conflict && Leadership.TERM in result.failed -> {
-                leadership.stepDownOnPassedTerm()
+            result is TransactionResult.Conflict && Leadership.TERM_ROW_KEY in result.failed -> {
+                leadership.stepDownOnSupersededTerm()
             }
 
             // No other leader writes this key: on a conflict an earlier copy of this same write was executed.
@@ -75,7 +75,7 @@
         unused.forEach { it.removing = true }
         val transaction = Transaction(listOf(leadership.fenceCondition()), unused.map { Change.Delete(it.key) })
         store.commitUntilKnown(transaction, RequestPriority.CLEANUP, leadership.whileLeading(leadership.term)) { result ->
-            if (result is TransactionResult.Committed) unused.forEach(moves::forget) else leadership.stepDownOnPassedTerm()
+            if (result is TransactionResult.Committed) unused.forEach(moves::forget) else leadership.stepDownOnSupersededTerm()
         }
     }
 }
--- a/src/main/kotlin/burlridge/failover/Failover.kt
+++ b/src/main/kotlin/burlridge/failover/Failover.kt
@@ -122,7 +122,7 @@
     // --- leadership
 
     /** The rows for a new leader from the standby replica; null where they must be read from the state service. */
-    fun takeOverRows(onResult: (Map<String, Listing>?) -> Unit) = replica.takeOver(leadership.fence, onResult)
+    fun takeOverRows(onResult: (Map<String, Listing>?) -> Unit) = replica.takeOver(leadership.fencingToken, onResult)
 
     /** The new leader has loaded its rows, from the standby replica or from the state service. */
     fun onRowsLoaded(
--- a/src/main/kotlin/burlridge/failover/HandoverCoordinator.kt
+++ b/src/main/kotlin/burlridge/failover/HandoverCoordinator.kt
@@ -92,7 +92,7 @@
     }
 
     private fun deferRetry() {
-        retryAt = context.now + leadership.leaseSeconds * RETRY_LEASES
+        retryAt = context.now + leadership.leaseTtlSeconds * RETRY_LEASES
     }
 
     /** Takes a step of a handover from another member. */
--- a/src/main/kotlin/burlridge/failover/IncomingHandover.kt
+++ b/src/main/kotlin/burlridge/failover/IncomingHandover.kt
@@ -46,7 +46,7 @@
         val declined = declineReason(from)
         if (declined != null) return port.send(from, HandoverMessage.Decline(message.attempt, declined.text))
         cancel()
-        prepare(AcceptedOffer(message.attempt, from, message.term, context.now + leadership.leaseSeconds * WAIT_LEASES))
+        prepare(AcceptedOffer(message.attempt, from, message.term, context.now + leadership.leaseTtlSeconds * WAIT_LEASES))
     }
 
     private fun declineReason(from: String): DeclineReason? =
@@ -60,7 +60,7 @@
     private fun prepare(offer: AcceptedOffer) {
         current = offer
         val sentAt = context.now
-        store.grantLease((leadership.leaseSeconds * MILLIS_PER_SECOND).toLong()) { grant ->
+        store.grantLease((leadership.leaseTtlSeconds * MILLIS_PER_SECOND).toLong()) { grant ->
             when {
                 current !== offer -> {
                     if (grant is LeaseGrant.Granted) store.revokeLease(grant.leaseId)
@@ -74,8 +74,8 @@
                 else -> {
                     offer.lease = grant.leaseId
                     offer.renewedAt = sentAt
-                    offer.nextRenewAt = sentAt + leadership.leaseSeconds / RENEWALS_PER_LEASE
-                    offer.nextCheckAt = context.now + leadership.leaseSeconds / CHECKS_PER_LEASE
+                    offer.nextRenewAt = sentAt + leadership.leaseTtlSeconds / RENEWALS_PER_LEASE
+                    offer.nextCheckAt = context.now + leadership.leaseTtlSeconds / CHECKS_PER_LEASE
                     sendAccept(offer)
                 }
             }
@@ -91,7 +91,7 @@
     fun tick() {
         val offer = current ?: return
         val lease = offer.lease ?: return
-        if (context.now > offer.deadline || context.now > offer.renewedAt + leadership.leaseSeconds) return cancel()
+        if (context.now > offer.deadline || context.now > offer.renewedAt + leadership.leaseTtlSeconds) return cancel()
         if (context.now >= offer.nextRenewAt) renew(offer, lease)
         if (context.now >= offer.nextCheckAt) checkTerm(offer)
     }
@@ -101,8 +101,8 @@
         lease: Long,
     ) {
         val sentAt = context.now
-        offer.nextRenewAt = sentAt + leadership.leaseSeconds / RENEWALS_PER_LEASE
-        store.renewLease(lease, leadership.leaseSeconds / RENEWALS_PER_LEASE) { renewal ->
+        offer.nextRenewAt = sentAt + leadership.leaseTtlSeconds / RENEWALS_PER_LEASE
+        store.renewLease(lease, leadership.leaseTtlSeconds / RENEWALS_PER_LEASE) { renewal ->
             if (current !== offer) return@renewLease
             when (renewal) {
                 LeaseRenewal.RENEWED -> offer.renewedAt = sentAt
@@ -131,7 +131,7 @@
     private fun checkTerm(offer: AcceptedOffer) {
         if (offer.isReading) return
         offer.isReading = true
-        offer.nextCheckAt = context.now + leadership.leaseSeconds / CHECKS_PER_LEASE
+        offer.nextCheckAt = context.now + leadership.leaseTtlSeconds / CHECKS_PER_LEASE
         store.get(TermRow.KEY, RequestPriority.LEADERSHIP) { read ->
             offer.isReading = false
             val row = (read as? ReadResult.Found)?.value
@@ -152,7 +152,7 @@
     ) {
         current = null
         val lease = offer.lease ?: return
-        if (!leadership.adopt(termRow, fence, lease, offer.renewedAt)) {
+        if (!leadership.takeOverTerm(termRow, fence, lease, offer.renewedAt)) {
             context.info("handover too late", "term" to termRow.term, "reason" to "the lease may have expired")
             store.revokeLease(lease)
             leadership.pollSoon()
--- a/src/main/kotlin/burlridge/failover/OutgoingHandover.kt
+++ b/src/main/kotlin/burlridge/failover/OutgoingHandover.kt
@@ -53,7 +53,7 @@
     private fun offer(successors: List<String>) {
         val attempt = context.random.nextLong(1, Long.MAX_VALUE)
         val successor = successors.first()
-        val deadline = context.now + leadership.leaseSeconds * OFFER_LEASES
+        val deadline = context.now + leadership.leaseTtlSeconds * OFFER_LEASES
         state = OutgoingHandoverState.Offered(attempt, successor, successors.drop(1), deadline)
         context.info("handover started", "term" to leadership.term, "successor" to successor, "reason" to reason)
         port.send(successor, HandoverMessage.Offer(attempt, leadership.term, reason))
@@ -93,7 +93,7 @@
         if (current.successor != from || current.attempt != message.attempt || message.term != leadership.term) return
         if (!leadership.holdsLease) return abandon(current.attempt, from, LEASE_IN_DOUBT)
         state =
-            OutgoingHandoverState.Quiescing(current.attempt, from, message.lease, context.now + leadership.leaseSeconds * QUIESCE_LEASES)
+            OutgoingHandoverState.Quiescing(current.attempt, from, message.lease, context.now + leadership.leaseTtlSeconds * QUIESCE_LEASES)
     }
 
     /** The successor does not take over; an answer to another offer is ignored. */
@@ -123,12 +123,12 @@
         val nextTerm = leadership.term + 1
         leadership.transfer(current.successor, current.lease) { result ->
             when (result) {
-                TransferOutcome.Done -> {
+                TransferOutcome.Completed -> {
                     port.send(current.successor, HandoverMessage.Transferred(current.attempt, nextTerm))
                     end(current.successor, HandoverOutcome(HandoverOutcome.Result.DONE))
                 }
 
-                is TransferOutcome.Refused -> {
+                is TransferOutcome.Aborted -> {
                     abandon(current.attempt, current.successor, result.reason)
                 }
 
--- a/src/main/kotlin/burlridge/failover/RefusalLog.kt
+++ b/src/main/kotlin/burlridge/failover/RefusalLog.kt
@@ -28,7 +28,7 @@
         from: String,
     ) {
         context.count(input.counter)
-        if (context.now < loggedAt + leadership.leaseSeconds * LOG_INTERVAL_LEASES) return
+        if (context.now < loggedAt + leadership.leaseTtlSeconds * LOG_INTERVAL_LEASES) return
         loggedAt = context.now
         context.info(input.event, "total" to context.counters.getLong(input.counter), "last_sender" to from.take(MAX_NAME_LENGTH))
     }
--- a/src/main/kotlin/burlridge/failover/StallMonitor.kt
+++ b/src/main/kotlin/burlridge/failover/StallMonitor.kt
@@ -21,9 +21,9 @@
 
     /** Takes note of new stalls and forgets old ones. */
     fun tick() {
-        if (leadership.stalls > stallsSeen) stallTimes.addLast(context.now)
-        stallsSeen = leadership.stalls
-        val windowStart = context.now - leadership.leaseSeconds * FailoverSettings.STALL_WINDOW_LEASES
+        if (leadership.stallCount > stallsSeen) stallTimes.addLast(context.now)
+        stallsSeen = leadership.stallCount
+        val windowStart = context.now - leadership.leaseTtlSeconds * FailoverSettings.STALL_WINDOW_LEASES
         while (stallTimes.isNotEmpty() && stallTimes.first() < windowStart) stallTimes.removeFirst()
     }
 }
--- a/src/main/kotlin/burlridge/fleet/RentalRows.kt
+++ b/src/main/kotlin/burlridge/fleet/RentalRows.kt
@@ -31,8 +31,8 @@
                     onResult(true)
                 }
 
-                result is TransactionResult.Conflict && Leadership.TERM in result.failed -> {
-                    leadership.stepDownOnPassedTerm()
+                result is TransactionResult.Conflict && Leadership.TERM_ROW_KEY in result.failed -> {
+                    leadership.stepDownOnSupersededTerm()
                 }
 
                 // An earlier copy of this transaction was applied.
--- a/src/main/kotlin/burlridge/leadership/ElectionCampaign.kt
+++ b/src/main/kotlin/burlridge/leadership/ElectionCampaign.kt
@@ -12,7 +12,7 @@
 internal data class WonElection(
     val term: Long,
     /** The revision of the term row, the fencing token of the term. */
-    val fence: Long,
+    val fencingToken: Long,
     val leaseId: Long,
     /** When the call was sent that granted or last renewed the lease. */
     val leaseRenewedAt: Double,
@@ -74,16 +74,16 @@
         val leader = LeaderRow.decode(row.value)
         if (leader.member == member) {
             // Unless it was handed over, our former self held it and is dead: nobody else can be elected meanwhile.
-            if (!listener.onTermHandedOver(leader.term)) campaign(row.modRevision, ElectionCause.FormerSelf)
+            if (!listener.onTermHandedOver(leader.term)) campaign(row.modRevision, ElectionCause.OwnRowFound)
         } else {
             leadership.observeLeader(leader.member, leader.term)
-            watch.watch(row.modRevision, lease.ttlSeconds * WATCH_TTLS)
+            watch.watch(row.modRevision, lease.ttlSeconds * WATCH_TIMEOUT_TTLS)
         }
     }
 
     private fun onLeaderRowAbsent() {
         val since = absentSince ?: context.now.also { absentSince = it }
-        val deferredUntil = since + lease.ttlSeconds / DEFER_FRACTION
+        val deferredUntil = since + lease.ttlSeconds / DEFERRAL_DIVISOR
         if (listener.defersElection() && context.now < deferredUntil) {
             nextPollAt = deferredUntil
         } else {
@@ -94,7 +94,7 @@
     /** All members read the row, at different moments, so that one campaigns and the others find its row. */
     private fun onLeaderRowChanged() {
         if (leadership.isLeader) return
-        nextPollAt = minOf(nextPollAt, context.now + lease.ttlSeconds / WATCH_SPREAD_FRACTION * context.random.nextDouble())
+        nextPollAt = minOf(nextPollAt, context.now + lease.ttlSeconds / WATCH_SPREAD_DIVISOR * context.random.nextDouble())
     }
 
     private fun campaign(
@@ -134,8 +134,8 @@
                 isCampaigning = false
                 return@grantLease
             }
-            val history = if (lastTerm == null) emptyMap() else formerLeaders.after(lastTerm)
-            claim(revisions, Candidacy((lastTerm?.term ?: 0L) + 1, grant.leaseId, sentAt, history, cause))
+            val updatedFormerLeaders = if (lastTerm == null) emptyMap() else formerLeaders.afterTerm(lastTerm)
+            claimLeadership(revisions, Candidacy((lastTerm?.term ?: 0L) + 1, grant.leaseId, sentAt, updatedFormerLeaders, cause))
         }
     }
 
@@ -148,10 +148,10 @@
         val formerLeaders: Map<String, Long>?,
         val cause: ElectionCause,
     ) {
-        fun won(fence: Long) = WonElection(term, fence, leaseId, leaseGrantSentAt, formerLeaders, cause)
+        fun toWonElection(fencingToken: Long) = WonElection(term, fencingToken, leaseId, leaseGrantSentAt, formerLeaders, cause)
     }
 
-    private fun claim(
+    private fun claimLeadership(
         revisions: LeadershipRevisions,
         candidacy: Candidacy,
     ) {
@@ -160,7 +160,7 @@
         store.commit(transaction, RequestPriority.LEADERSHIP) { result ->
             isCampaigning = false
             if (result is TransactionResult.Committed) {
-                onWon(candidacy.won(fence = result.revision))
+                onWon(candidacy.toWonElection(fencingToken = result.revision))
             } else {
                 // Where the outcome is unknown the next poll finds our own name and takes over with a further term.
                 store.revokeLease(candidacy.leaseId)
@@ -177,12 +177,12 @@
         const val POLL_JITTER_RANGE = 0.4
 
         /** How long one watch of the leader row stays open, in leases. */
-        const val WATCH_TTLS = 3
+        const val WATCH_TIMEOUT_TTLS = 3
 
         /** All members read the leader row within this part of the lease after it has changed. */
-        const val WATCH_SPREAD_FRACTION = 24
+        const val WATCH_SPREAD_DIVISOR = 24
 
         /** A member that is less prepared than another waits this part of the lease before it stands for election. */
-        const val DEFER_FRACTION = 8
+        const val DEFERRAL_DIVISOR = 8
     }
 }
--- a/src/main/kotlin/burlridge/leadership/ElectionCause.kt
+++ b/src/main/kotlin/burlridge/leadership/ElectionCause.kt
@@ -11,7 +11,7 @@
     }
 
     /** The leader row named this member from before it restarted or was deposed. */
-    data object FormerSelf : ElectionCause {
+    data object OwnRowFound : ElectionCause {
         override val text: String = "its former self led"
     }
 
--- a/src/main/kotlin/burlridge/leadership/LeaderLease.kt
+++ b/src/main/kotlin/burlridge/leadership/LeaderLease.kt
@@ -28,10 +28,10 @@
      * How long after its last good renewal was sent a leader may still answer workers. Together with a worker's lease and a
      * margin it stays below the time a cancellation has, so that what a cut-off leader keeps alive is gone in time.
      */
-    val answerBoundSeconds: Double = (workers.cancelSeconds - workers.leaseSeconds) * ANSWER_BOUND_FRACTION
+    val answerWindowSeconds: Double = (workers.cancelSeconds - workers.leaseSeconds) * ANSWER_WINDOW_FRACTION
 
     /** Stalls of this member noticed while it led, since the process began. */
-    var stalls: Long = 0
+    var stallCount: Long = 0
         private set
 
     /** The lease of the current term; null while this member does not lead. */
@@ -47,13 +47,13 @@
     private var hasStalledInTerm = false
 
     /** No other member can have been elected before this time, unless the leadership is being transferred. */
-    val safeUntil: Double get() = safeUntil(renewedAt)
+    val validUntil: Double get() = validUntil(renewedAt)
 
     /** This leader may answer workers until this time. */
-    val answersUntil: Double get() = renewedAt + answerBoundSeconds * (1 - DRIFT)
+    val mayAnswerUntil: Double get() = renewedAt + answerWindowSeconds * (1 - CLOCK_DRIFT)
 
     /** Until when a lease last renewed by a call sent at [renewedAt] certainly exists. */
-    fun safeUntil(renewedAt: Double): Double = renewedAt + ttlSeconds * (1 - DRIFT) - MARGIN_SECONDS
+    fun validUntil(renewedAt: Double): Double = renewedAt + ttlSeconds * (1 - CLOCK_DRIFT) - VALIDITY_MARGIN_SECONDS
 
     /** A term begins under [leaseId], which was granted or last renewed by a call sent at [renewedAt]. */
     fun begin(
@@ -76,9 +76,9 @@
 
     /** Notices a stall of this process, which is a late tick. */
     fun tick() {
-        val hasStalled = leaseId != null && context.now > lastTickAt + ttlSeconds / STALL_FRACTION
+        val hasStalled = leaseId != null && context.now > lastTickAt + ttlSeconds / STALL_DIVISOR
         if (hasStalled) {
-            stalls++
+            stallCount++
             hasStalledInTerm = true
         }
         lastTickAt = context.now
@@ -98,7 +98,7 @@
     private fun renew(id: Long) {
         isRenewing = true
         val sentAt = context.now
-        store.renewLease(id, ttlSeconds / RENEWAL_TIMEOUT_FRACTION) { renewal ->
+        store.renewLease(id, ttlSeconds / RENEWAL_TIMEOUT_DIVISOR) { renewal ->
             isRenewing = false
             if (leaseId != id) return@renewLease
             when (renewal) {
@@ -120,17 +120,17 @@
 
     internal companion object {
         /** Twice the drift that the protocol allows between two steady clocks. */
-        const val DRIFT: Double = 0.001
-        private const val MARGIN_SECONDS = 0.05
-        private const val ANSWER_BOUND_FRACTION = 0.7
+        const val CLOCK_DRIFT: Double = 0.001
+        private const val VALIDITY_MARGIN_SECONDS = 0.05
+        private const val ANSWER_WINDOW_FRACTION = 0.7
 
         /** A renewal is due every quarter of the lease and waits a third of it for its answer. */
         private const val RENEWALS_PER_TTL = 4
-        private const val RENEWAL_TIMEOUT_FRACTION = 3
+        private const val RENEWAL_TIMEOUT_DIVISOR = 3
         private const val RETRIES_PER_TTL = 12
 
         /** A tick that is late by this part of the lease counts as a stall. */
-        private const val STALL_FRACTION = 4
+        private const val STALL_DIVISOR = 4
 
         /** Bounds [ttlSeconds], since a dead leader is missed for as long as its lease lasts. */
         private const val MAX_TTL_FACTOR = 4
--- a/src/main/kotlin/burlridge/leadership/LeaderRowWatch.kt
+++ b/src/main/kotlin/burlridge/leadership/LeaderRowWatch.kt
@@ -25,7 +25,7 @@
         store.watch(LeaderRow.KEY, modRevision, timeoutSeconds) { result ->
             if (watchedRevision != modRevision) return@watch
             watchedRevision = 0
-            if (result is WatchResult.Changes && result.isNews) onChanged()
+            if (result is WatchResult.Changes && result.hasEvents) onChanged()
         }
     }
 }
--- a/src/main/kotlin/burlridge/leadership/Leadership.kt
+++ b/src/main/kotlin/burlridge/leadership/Leadership.kt
@@ -18,7 +18,7 @@
     private val settings = context.settings
     private val enforcesSendDeadlines = settings.operator.failover != null
     private val lease = LeaderLease(context, store) { stepDown(StepDownReason.LeaseExpired) }
-    private val formerLeaders = FormerLeaders(context, lease.answerBoundSeconds)
+    private val formerLeaders = FormerLeaders(context, lease.answerWindowSeconds)
     private val campaign = ElectionCampaign(context, store, this, listener, lease, formerLeaders, ::onWon)
     private val statuses = StatusExchange(context, store, this, listener)
     private val transfer = LeadershipTransfer(context, store)
@@ -28,7 +28,7 @@
         private set
 
     /** The revision of the term row, the fencing token of every write of this leader. */
-    var fence: Long = 0
+    var fencingToken: Long = 0
         private set
     var isLeader: Boolean = false
         private set
@@ -46,36 +46,36 @@
         private set
 
     /** Stalls of this member noticed while it led, in this process. */
-    val stalls: Long get() = lease.stalls
+    val stallCount: Long get() = lease.stallCount
 
     /** The time to live of the leader's lease. */
-    val leaseSeconds: Double get() = lease.ttlSeconds
+    val leaseTtlSeconds: Double get() = lease.ttlSeconds
 
     /** A command decided now must not leave after this time of the steady clock, since another member may have been elected. */
-    val commandDeadline: Double get() = if (enforcesSendDeadlines) lease.safeUntil else Effect.NO_DEADLINE
+    val commandDeadline: Double get() = if (enforcesSendDeadlines) lease.validUntil else Effect.NO_DEADLINE
 
     /** The same for answers to workers and for the stops of cancelled jobs. */
-    val responseDeadline: Double get() = if (enforcesSendDeadlines) lease.answersUntil else Effect.NO_DEADLINE
+    val responseDeadline: Double get() = if (enforcesSendDeadlines) lease.mayAnswerUntil else Effect.NO_DEADLINE
 
     /**
      * True while no other member can have been elected. False while a transfer of this term may have been carried out: nothing is decided
      * meanwhile.
      */
-    val holdsLease: Boolean get() = isLeader && !transfer.isUnderWay && context.now < lease.safeUntil
+    val holdsLease: Boolean get() = isLeader && !transfer.isInProgress && context.now < lease.validUntil
 
     /**
      * True while this leader may answer workers, a while beyond [holdsLease]: through an outage that all members share. One that
      * hears neither the state service nor any member is cut off itself, and its workers are better off with whoever follows.
      */
     val mayAnswerWorkers: Boolean
-        get() = isLeader && context.now < lease.answersUntil && (holdsLease || settings.others.isEmpty() || !isIsolated)
+        get() = isLeader && context.now < lease.mayAnswerUntil && (holdsLease || settings.others.isEmpty() || !isIsolated)
     private val isIsolated: Boolean get() = context.now > statuses.lastReceivedAt + lease.ttlSeconds
 
     /** No other member can be answering workers by an earlier term after this time of the steady clock. */
-    val othersAnswerUntil: Double get() = formerLeaders.answerUntil
+    val formerLeadersAnswerUntil: Double get() = formerLeaders.answerUntil
 
     /** The condition that fences every write of this leader. */
-    fun fenceCondition(): Condition = Condition(TERM, fence)
+    fun fenceCondition(): Condition = Condition(TERM_ROW_KEY, fencingToken)
 
     /** Whether this member still leads [term], to be asked later. */
     fun whileLeading(term: Long): () -> Boolean = { isLeader && this.term == term }
@@ -85,7 +85,7 @@
         lease.tick()
         if (!isLeader) {
             campaign.tick()
-        } else if (!transfer.isUnderWay) {
+        } else if (!transfer.isInProgress) {
             // What bounds the answers to workers must lie before anything that the next leader confirms: no renewal during a transfer.
             lease.renewIfDue()
         }
@@ -108,7 +108,7 @@
     }
 
     /** Steps down because a write found the term row changed: another member has been elected since. */
-    fun stepDownOnPassedTerm() = stepDown(StepDownReason.TermPassed)
+    fun stepDownOnSupersededTerm() = stepDown(StepDownReason.TermSuperseded)
 
     /**
      * Names [successor] as the leader of the next term, whose leader row is attached to the successor's own [leaseId]. From the moment the
@@ -120,12 +120,12 @@
         onResult: (TransferOutcome) -> Unit,
     ) {
         val transaction =
-            beginTermTransaction(LeadershipRevisions(fence, fence), term + 1, successor, leaseId, formerLeaders.afterOwnTerm())
-        transfer.begin(transaction, fence, lease.ttlSeconds) { outcome ->
+            beginTermTransaction(LeadershipRevisions(fencingToken, fencingToken), term + 1, successor, leaseId, formerLeaders.afterOwnTerm())
+        transfer.begin(transaction, fencingToken, lease.ttlSeconds) { outcome ->
             when (outcome) {
-                TransferOutcome.Done -> onHandedOver(successor, term + 1)
+                TransferOutcome.Completed -> onHandedOver(successor, term + 1)
                 is TransferOutcome.Deposed -> stepDown(outcome.reason)
-                is TransferOutcome.Refused -> lease.renewSoon()
+                is TransferOutcome.Aborted -> lease.renewSoon()
             }
             onResult(outcome)
         }
@@ -141,26 +141,26 @@
     }
 
     /**
-     * Takes over the term of [termRow], which its leader has transferred to this member, under the fencing token [fence]. The leader row is
+     * Takes over the term of [termRow], which its leader has transferred to this member, under the fencing token [fencingToken]. The leader row is
      * attached to [leaseId], last renewed by a call sent at [leaseRenewedAt]. False where that lease may have expired, so that another
      * member may lead.
      */
-    fun adopt(
+    fun takeOverTerm(
         termRow: TermRow,
-        fence: Long,
+        fencingToken: Long,
         leaseId: Long,
         leaseRenewedAt: Double,
     ): Boolean {
-        if (isLeader || termRow.term <= term || context.now >= lease.safeUntil(leaseRenewedAt)) return false
+        if (isLeader || termRow.term <= term || context.now >= lease.validUntil(leaseRenewedAt)) return false
         val cause = ElectionCause.HandedOver(knownLeader)
-        onWon(WonElection(termRow.term, fence, leaseId, leaseRenewedAt, termRow.formerLeaders.orEmpty(), cause))
+        onWon(WonElection(termRow.term, fencingToken, leaseId, leaseRenewedAt, termRow.formerLeaders.orEmpty(), cause))
         return true
     }
 
     private fun onWon(election: WonElection) {
         term = election.term
         knownTerm = maxOf(knownTerm, election.term)
-        fence = election.fence
+        fencingToken = election.fencingToken
         isLeader = true
         electedAt = context.now
         lease.begin(election.leaseId, election.leaseRenewedAt)
@@ -199,12 +199,12 @@
 
     internal companion object {
         /** The key of the term row, on which every write of a leader is conditional. */
-        const val TERM: String = TermRow.KEY
+        const val TERM_ROW_KEY: String = TermRow.KEY
 
         /** Between two statuses of a member. */
         const val STATUS_INTERVAL_SECONDS: Double = 0.5
 
         /** Twice the drift that the protocol allows between two steady clocks. */
-        const val DRIFT: Double = LeaderLease.DRIFT
+        const val CLOCK_DRIFT: Double = LeaderLease.CLOCK_DRIFT
     }
 }
--- a/src/main/kotlin/burlridge/leadership/LeadershipTransfer.kt
+++ b/src/main/kotlin/burlridge/leadership/LeadershipTransfer.kt
@@ -10,7 +10,7 @@
 /** How a transfer of leadership ended. */
 internal sealed interface TransferOutcome {
     /** The rows name the successor. */
-    data object Done : TransferOutcome
+    data object Completed : TransferOutcome
 
     /** The term is over: by an earlier copy of the transfer, or by another member's election. */
     data class Deposed(
@@ -18,13 +18,13 @@
     ) : TransferOutcome
 
     /** Nothing was changed and nothing will be; the leader leads on. */
-    data class Refused(
+    data class Aborted(
         val reason: String,
     ) : TransferOutcome
 }
 
 /**
- * The one transaction by which a leader transfers its leadership, retried until its outcome is definite. It is conditional on the fence of
+ * The one transaction by which a leader transfers its leadership, retried until its outcome is definite. It is conditional on the fencingToken of
  * the term, so that of all copies at most one is executed, and none after another election.
  */
 internal class LeadershipTransfer(
@@ -32,32 +32,32 @@
     private val store: StoreClient,
 ) {
     private class Attempt(
-        val fence: Long,
+        val fencingToken: Long,
         val transaction: Transaction,
-        val leaseSeconds: Double,
+        val leaseTtlSeconds: Double,
         val giveUpAt: Double,
         val onResult: (TransferOutcome) -> Unit,
     ) {
         /** Whether a copy of the transaction may have been executed, or may still be. */
-        var isInDoubt = false
+        var mayHaveCommitted = false
 
-        val retryDelaySeconds: Double get() = leaseSeconds / RETRIES_PER_LEASE
+        val retryDelaySeconds: Double get() = leaseTtlSeconds / RETRIES_PER_LEASE
     }
 
     private var current: Attempt? = null
 
     /** True from the moment the first copy leaves until the outcome is definite. */
-    val isUnderWay: Boolean get() = current != null
+    val isInProgress: Boolean get() = current != null
 
-    /** Sends [transaction], which is conditional on the leader's [fence]; [leaseSeconds] is the time to live of the leader's lease. */
+    /** Sends [transaction], which is conditional on the leader's [fencingToken]; [leaseTtlSeconds] is the time to live of the leader's lease. */
     fun begin(
         transaction: Transaction,
-        fence: Long,
-        leaseSeconds: Double,
+        fencingToken: Long,
+        leaseTtlSeconds: Double,
         onResult: (TransferOutcome) -> Unit,
     ) {
-        val giveUpAt = context.now + leaseSeconds / GIVE_UP_FRACTION
-        val attempt = Attempt(fence, transaction, leaseSeconds, giveUpAt, onResult)
+        val giveUpAt = context.now + leaseTtlSeconds / GIVE_UP_DIVISOR
+        val attempt = Attempt(fencingToken, transaction, leaseTtlSeconds, giveUpAt, onResult)
         current = attempt
         send(attempt)
     }
@@ -67,7 +67,7 @@
         current = null
     }
 
-    private fun end(
+    private fun finish(
         attempt: Attempt,
         outcome: TransferOutcome,
     ) {
@@ -77,7 +77,7 @@
 
     /** Only in the answer to one copy is another sent or the transfer given up, so that none can leave after that. */
     private fun send(attempt: Attempt) {
-        store.commit(attempt.transaction, RequestPriority.LEADERSHIP, attempt.leaseSeconds / GIVE_UP_FRACTION) { result ->
+        store.commit(attempt.transaction, RequestPriority.LEADERSHIP, attempt.leaseTtlSeconds / GIVE_UP_DIVISOR) { result ->
             if (current === attempt) onAnswer(attempt, result)
         }
     }
@@ -88,12 +88,12 @@
     ) {
         when (result) {
             is TransactionResult.Committed -> {
-                end(attempt, TransferOutcome.Done)
+                finish(attempt, TransferOutcome.Completed)
             }
 
             is TransactionResult.Conflict -> {
-                val reason = if (TermRow.KEY in result.failed) StepDownReason.TermPassed else StepDownReason.LeaseExpired
-                end(attempt, TransferOutcome.Deposed(reason))
+                val reason = if (TermRow.KEY in result.failed) StepDownReason.TermSuperseded else StepDownReason.LeaseExpired
+                finish(attempt, TransferOutcome.Deposed(reason))
             }
 
             TransactionResult.Rejected -> {
@@ -101,19 +101,19 @@
             }
 
             TransactionResult.Unknown -> {
-                attempt.isInDoubt = true
+                attempt.mayHaveCommitted = true
                 retryOrGiveUp(attempt)
             }
 
             TransactionResult.LeaseNotFound, TransactionResult.TooLarge -> {
-                if (attempt.isInDoubt) readOutcome(attempt) else end(attempt, TransferOutcome.Refused(LEASE_ENDED))
+                if (attempt.mayHaveCommitted) readOutcome(attempt) else finish(attempt, TransferOutcome.Aborted(SUCCESSOR_LEASE_EXPIRED))
             }
         }
     }
 
     private fun retryOrGiveUp(attempt: Attempt) {
-        if (!attempt.isInDoubt && context.now >= attempt.giveUpAt) {
-            return end(attempt, TransferOutcome.Refused(SERVICE_REFUSES))
+        if (!attempt.mayHaveCommitted && context.now >= attempt.giveUpAt) {
+            return finish(attempt, TransferOutcome.Aborted(STORE_REFUSED))
         }
         context.schedule(attempt.retryDelaySeconds) { if (current === attempt) send(attempt) }
     }
@@ -123,8 +123,8 @@
         store.get(TermRow.KEY, RequestPriority.LEADERSHIP) { read ->
             if (current !== attempt) return@get
             when {
-                read is ReadResult.Found && read.value.modRevision == attempt.fence -> {
-                    end(attempt, TransferOutcome.Refused(LEASE_ENDED))
+                read is ReadResult.Found && read.value.modRevision == attempt.fencingToken -> {
+                    finish(attempt, TransferOutcome.Aborted(SUCCESSOR_LEASE_EXPIRED))
                 }
 
                 read is ReadResult.Failed -> {
@@ -132,7 +132,7 @@
                 }
 
                 else -> {
-                    end(attempt, TransferOutcome.Deposed(StepDownReason.TermPassed))
+                    finish(attempt, TransferOutcome.Deposed(StepDownReason.TermSuperseded))
                 }
             }
         }
@@ -140,11 +140,11 @@
 
     private companion object {
         /** What the state service refuses is given up after this part of a lease, so that the leader's own does not expire over it. */
-        const val GIVE_UP_FRACTION = 4
+        const val GIVE_UP_DIVISOR = 4
         const val RETRIES_PER_LEASE = 16
 
         // Both reach the other member in a message.
-        const val LEASE_ENDED = "the successor's lease has ended"
-        const val SERVICE_REFUSES = "the state service refuses it"
+        const val SUCCESSOR_LEASE_EXPIRED = "the successor's lease has ended"
+        const val STORE_REFUSED = "the state service refuses it"
     }
 }
--- a/src/main/kotlin/burlridge/leadership/StepDownReason.kt
+++ b/src/main/kotlin/burlridge/leadership/StepDownReason.kt
@@ -6,7 +6,7 @@
     val text: String
 
     /** A write found the term row changed: another member has been elected since. */
-    data object TermPassed : StepDownReason {
+    data object TermSuperseded : StepDownReason {
         override val text: String = "its term has been passed"
     }
 
--- a/src/main/kotlin/burlridge/leadership/TermRow.kt
+++ b/src/main/kotlin/burlridge/leadership/TermRow.kt
@@ -20,7 +20,7 @@
             leader?.let { put("by", it) }
             formerLeaders?.let { leaders ->
                 val field = putObject("led")
-                leaders.forEach { (member, endedMillis) -> field.put(member, endedMillis) }
+                leaders.forEach { (member, termEndMillis) -> field.put(member, termEndMillis) }
             }
         }
 
@@ -32,7 +32,7 @@
             return TermRow(
                 term = value.path("n").asLong(),
                 leader = value.path("by").takeIf { it.isTextual }?.asText(),
-                formerLeaders = formerLeaders?.properties()?.associate { (member, endedMillis) -> member to endedMillis.asLong() },
+                formerLeaders = formerLeaders?.properties()?.associate { (member, termEndMillis) -> member to termEndMillis.asLong() },
             )
         }
     }
--- a/src/main/kotlin/burlridge/peer/PeerRequests.kt
+++ b/src/main/kotlin/burlridge/peer/PeerRequests.kt
@@ -24,16 +24,16 @@
     }
 
     /** A member, not silent, whose last status said that it reaches the state service; null where there is none. */
-    fun memberWithStore(): String? = statuses.values.firstOrNull { it.storeReachable && !isSilent(it.from) }?.from
+    fun memberReachingStore(): String? = statuses.values.firstOrNull { it.storeReachable && !isSilent(it.from) }?.from
 
     /** Whether [leader] said as leader that it receives no heartbeats from [zone]. */
-    fun leaderMissesZone(
+    fun leaderLacksHeartbeatsFrom(
         leader: String,
         zone: String,
     ): Boolean = statuses[leader]?.let { it.isLeader && zone in it.zonesWithoutHeartbeats } ?: false
 
     /** Whether no message of [member] has arrived lately. */
-    fun isSilent(member: String): Boolean = context.now > (lastMessageAt[member] ?: Double.NEGATIVE_INFINITY) + SILENT_SECONDS
+    fun isSilent(member: String): Boolean = context.now > (lastMessageAt[member] ?: Double.NEGATIVE_INFINITY) + SILENCE_TIMEOUT_SECONDS
 
     /** Forwards a request to [member]; null where it does not respond within [timeoutSeconds], at once where it is silent. */
     fun forward(
@@ -59,11 +59,11 @@
     }
 
     /** Tells all other members that this one has accepted [job]. */
-    fun broadcastAccepted(job: String) {
+    fun broadcastJobAccepted(job: String) {
         context.settings.others.forEach { context.send(it.member, PeerMessage.JobAccepted(context.settings.member, job)) }
     }
 
     private companion object {
-        const val SILENT_SECONDS = 2.0
+        const val SILENCE_TIMEOUT_SECONDS = 2.0
     }
 }
--- a/src/main/kotlin/burlridge/peer/PeerTransport.kt
+++ b/src/main/kotlin/burlridge/peer/PeerTransport.kt
@@ -94,7 +94,7 @@
             }
             // Messages queued for the old connection are out of date.
             while (queue.tryReceive().isSuccess) Unit
-            delay(RECONNECT_MILLIS)
+            delay(RECONNECT_DELAY_MILLIS)
         }
     }
 
@@ -103,11 +103,11 @@
         target: Endpoint,
         queue: Channel<QueuedMessage>,
     ) {
-        val connection = withTimeout(CONNECT_MILLIS) { Connection.connect(loop, scope, target) }
+        val connection = withTimeout(CONNECT_TIMEOUT_MILLIS) { Connection.connect(loop, scope, target) }
         try {
             while (!connection.isClosed) {
                 val frames = nextFrames(queue)
-                if (frames.size > 0) withTimeout(WRITE_MILLIS) { connection.write(frames.readByteArray()) }
+                if (frames.size > 0) withTimeout(WRITE_TIMEOUT_MILLIS) { connection.write(frames.readByteArray()) }
             }
         } finally {
             connection.close()
@@ -135,9 +135,9 @@
         const val MIN_QUEUE_CAPACITY = 256
         const val QUEUE_SLOTS_PER_CONNECTION = 0.25
         const val NANOS_PER_SECOND = 1e9
-        const val CONNECT_MILLIS = 1_000L
-        const val WRITE_MILLIS = 2_000L
-        const val RECONNECT_MILLIS = 300L
+        const val CONNECT_TIMEOUT_MILLIS = 1_000L
+        const val WRITE_TIMEOUT_MILLIS = 2_000L
+        const val RECONNECT_DELAY_MILLIS = 300L
         const val MAX_FRAME_BYTES = 256 * 1024
 
         /** A write of so many bytes is not extended further. */
--- a/src/main/kotlin/burlridge/store/CommitRetry.kt
+++ b/src/main/kotlin/burlridge/store/CommitRetry.kt
@@ -9,29 +9,29 @@
     private val transaction: Transaction,
     private val priority: RequestPriority,
     private val isWanted: () -> Boolean,
-    private val onDoubt: (Boolean) -> Unit,
+    private val onUncertaintyChanged: (Boolean) -> Unit,
     private val onResult: (TransactionResult) -> Unit,
 ) {
     /** Whether the outcome of any copy sent so far is unknown. */
-    private var hasUnknownCopy = false
+    private var hasUnknownAttempt = false
 
     /** Sends the transaction, and again until its outcome is known. */
     fun run() {
-        store.commit(transaction, priority, NO_MAX_WAIT_SECONDS, { onDoubt(true) }, ::onOutcome)
+        store.commit(transaction, priority, UNLIMITED_WAIT_SECONDS, { onUncertaintyChanged(true) }, ::onOutcome)
     }
 
     private fun onOutcome(result: TransactionResult) {
         if (!isWanted()) return
         if (result !is TransactionResult.Rejected && result !is TransactionResult.Unknown) return onResult(result)
-        hasUnknownCopy = hasUnknownCopy || result is TransactionResult.Unknown
-        onDoubt(hasUnknownCopy)
-        context.schedule(RETRY_SECONDS) { if (isWanted()) run() }
+        hasUnknownAttempt = hasUnknownAttempt || result is TransactionResult.Unknown
+        onUncertaintyChanged(hasUnknownAttempt)
+        context.schedule(RETRY_DELAY_SECONDS) { if (isWanted()) run() }
     }
 
     private companion object {
-        const val RETRY_SECONDS = 0.25
+        const val RETRY_DELAY_SECONDS = 0.25
 
         /** So long that the transaction is never dropped from the queue. */
-        const val NO_MAX_WAIT_SECONDS = 1e9
+        const val UNLIMITED_WAIT_SECONDS = 1e9
     }
 }
--- a/src/main/kotlin/burlridge/store/RequestQueue.kt
+++ b/src/main/kotlin/burlridge/store/RequestQueue.kt
@@ -19,13 +19,13 @@
     )
 
     /** Why the sending of writes of one priority ended. */
-    private enum class WritesStopped { NONE_LEFT, NO_CHANGE_TOKENS, NO_REQUEST_TOKENS }
+    private enum class WriteStopReason { QUEUE_EMPTY, NO_CHANGE_TOKENS, NO_REQUEST_TOKENS }
 
     private val settings = context.settings
 
     // Users come in bursts, and hardly to all members in the same second: each may use more than its part for a moment.
-    private val changeTokens = TokenBucket(settings.store.writeRps / BURST_FRACTION)
-    private val requestTokens = TokenBucket(settings.store.rps / BURST_FRACTION)
+    private val changeTokens = TokenBucket(settings.store.writeRps / BURST_DIVISOR)
+    private val requestTokens = TokenBucket(settings.store.rps / BURST_DIVISOR)
     private val writes = RequestPriority.entries.associateWith { ArrayDeque<QueuedRequest>() }
     private val reads = RequestPriority.entries.associateWith { ArrayDeque<QueuedRequest>() }
     private val allQueues = writes.values + reads.values
@@ -47,27 +47,27 @@
     ) {
         val queues = if (changeCount == 0) reads else writes
         queues.getValue(priority).addLast(QueuedRequest(priority, changeCount, context.now, maxWaitSeconds, onDropped, send))
-        pump()
+        sendQueued()
     }
 
     /** The store has refused a request because of its rate: nothing is sent for a moment, and no burst after it. */
     fun pause() {
         changeTokens.drain()
         requestTokens.drain()
-        pausedUntil = context.now + PAUSE_SECONDS
+        pausedUntil = context.now + THROTTLE_PAUSE_SECONDS
     }
 
     /** Drops what has waited too long, and sends what may be sent now. */
-    fun pump() {
+    fun sendQueued() {
         refill()
         dropExpired()
         if (context.now >= pausedUntil) sendByPriority()
     }
 
     private fun refill() {
-        val part = if (isLeader) LEADER_PART else (1 - LEADER_PART) / (settings.controllers - 1).coerceAtLeast(1)
-        changeTokens.refill(context.now, settings.store.writeRps * part)
-        requestTokens.refill(context.now, settings.store.rps * part)
+        val share = if (isLeader) LEADER_SHARE else (1 - LEADER_SHARE) / (settings.controllers - 1).coerceAtLeast(1)
+        changeTokens.refill(context.now, settings.store.writeRps * share)
+        requestTokens.refill(context.now, settings.store.rps * share)
     }
 
     private fun dropExpired() {
@@ -85,12 +85,12 @@
             if (!sendReads(reads.getValue(priority))) return
             if (!canWrite) continue
             when (sendWrites(writes.getValue(priority))) {
-                WritesStopped.NONE_LEFT -> Unit
+                WriteStopReason.QUEUE_EMPTY -> Unit
 
                 // A write of a lower priority must not take the tokens that this one waits for.
-                WritesStopped.NO_CHANGE_TOKENS -> canWrite = false
+                WriteStopReason.NO_CHANGE_TOKENS -> canWrite = false
 
-                WritesStopped.NO_REQUEST_TOKENS -> return
+                WriteStopReason.NO_REQUEST_TOKENS -> return
             }
         }
     }
@@ -101,14 +101,14 @@
         return true
     }
 
-    private fun sendWrites(queue: ArrayDeque<QueuedRequest>): WritesStopped {
+    private fun sendWrites(queue: ArrayDeque<QueuedRequest>): WriteStopReason {
         while (queue.isNotEmpty()) {
             val cost = queue.first().changeCount.toDouble()
-            if (!changeTokens.holds(cost)) return WritesStopped.NO_CHANGE_TOKENS
-            if (!sendFirst(queue)) return WritesStopped.NO_REQUEST_TOKENS
+            if (!changeTokens.canTake(cost)) return WriteStopReason.NO_CHANGE_TOKENS
+            if (!sendFirst(queue)) return WriteStopReason.NO_REQUEST_TOKENS
             changeTokens.take(cost)
         }
-        return WritesStopped.NONE_LEFT
+        return WriteStopReason.QUEUE_EMPTY
     }
 
     private fun sendFirst(queue: ArrayDeque<QueuedRequest>): Boolean {
@@ -120,12 +120,12 @@
     }
 
     private companion object {
-        const val PAUSE_SECONDS = 0.25
+        const val THROTTLE_PAUSE_SECONDS = 0.25
 
         /** A member's burst, as a fraction of the shared limits per second. */
-        const val BURST_FRACTION = 5
+        const val BURST_DIVISOR = 5
 
         /** The leader's part of the shared limits; the other members write submissions only. */
-        const val LEADER_PART = 0.6
+        const val LEADER_SHARE = 0.6
     }
 }
--- a/src/main/kotlin/burlridge/store/StoreClient.kt
+++ b/src/main/kotlin/burlridge/store/StoreClient.kt
@@ -28,7 +28,7 @@
     }
 
     /** Sends what waits and may be sent now; called at the end of each step. */
-    fun pump() = queue.pump()
+    fun sendQueued() = queue.sendQueued()
 
     /** Whether a row can hold [value]. */
     fun fitsValueLimit(value: JsonNode): Boolean = limits.fitsValue(value)
@@ -54,7 +54,7 @@
         priority: RequestPriority,
         onResult: (ListResult<Listing>) -> Unit,
     ) {
-        listPage(prefix, "", PAGE_ROWS, priority) { page ->
+        listPage(prefix, "", MAX_PAGE_ROWS, priority) { page ->
             when (page) {
                 ListResult.Failed -> onResult(ListResult.Failed)
                 is ListResult.Listed -> listRest(prefix, priority, page.value, ArrayList(), page.value.revision, onResult)
@@ -73,7 +73,7 @@
     ) {
         rows += page.rows
         if (!page.isTruncated) return onResult(ListResult.Listed(Listing(rows, firstRevision)))
-        listPage(prefix, rows.last().key, PAGE_ROWS, priority) { next ->
+        listPage(prefix, rows.last().key, MAX_PAGE_ROWS, priority) { next ->
             when (next) {
                 ListResult.Failed -> onResult(ListResult.Failed)
                 is ListResult.Listed -> listRest(prefix, priority, next.value, rows, firstRevision, onResult)
@@ -167,16 +167,16 @@
 
     /**
      * Repeats [transaction] until its outcome is known or [isWanted] turns false; each row must have a condition on its revision, so that
-     * no more than one copy can be executed. [onDoubt] is called with true when a copy leaves, since it may be executed without our
+     * no more than one copy can be executed. [onUncertaintyChanged] is called with true when a copy leaves, since it may be executed without our
      * knowing, and with false once all copies sent are known to be refused.
      */
     fun commitUntilKnown(
         transaction: Transaction,
         priority: RequestPriority,
         isWanted: () -> Boolean,
-        onDoubt: (Boolean) -> Unit = {},
+        onUncertaintyChanged: (Boolean) -> Unit = {},
         onResult: (TransactionResult) -> Unit,
-    ) = CommitRetry(context, this, transaction, priority, isWanted, onDoubt, onResult).run()
+    ) = CommitRetry(context, this, transaction, priority, isWanted, onUncertaintyChanged, onResult).run()
 
     // --- leases
 
@@ -244,7 +244,7 @@
     }
 
     private companion object {
-        const val PAGE_ROWS = 500
+        const val MAX_PAGE_ROWS = 500
         const val CALL_TIMEOUT_SECONDS = 2.0
         const val READ_MAX_WAIT_SECONDS = 1.0
         const val WRITE_MAX_WAIT_SECONDS = 1.0
--- a/src/main/kotlin/burlridge/store/TokenBucket.kt
+++ b/src/main/kotlin/burlridge/store/TokenBucket.kt
@@ -17,11 +17,11 @@
     }
 
     /** Whether [amount] tokens can be taken. What costs more than [burst] can be taken once that many are there, on credit. */
-    fun holds(amount: Double): Boolean = tokens >= minOf(amount, burst)
+    fun canTake(amount: Double): Boolean = tokens >= minOf(amount, burst)
 
     /** Takes [amount] tokens if it can, and says whether it did. */
     fun take(amount: Double): Boolean {
-        if (!holds(amount)) return false
+        if (!canTake(amount)) return false
         tokens -= amount
         return true
     }
--- a/src/main/kotlin/burlridge/store/TransactionLimits.kt
+++ b/src/main/kotlin/burlridge/store/TransactionLimits.kt
@@ -39,11 +39,11 @@
             changes > limits.changesPerTransaction -> LimitExceeded(TransactionLimit.CHANGES, changes, limits.changesPerTransaction)
             conditions > maxConditions -> LimitExceeded(TransactionLimit.CONDITIONS, conditions, maxConditions)
             largestValue > limits.valueBytes -> LimitExceeded(TransactionLimit.VALUE_BYTES, largestValue, limits.valueBytes)
-            else -> bodyExcess(body)
+            else -> exceededByBody(body)
         }
     }
 
-    private fun bodyExcess(body: String): LimitExceeded? {
+    private fun exceededByBody(body: String): LimitExceeded? {
         // Nearly all characters take one byte, so that only long bodies are measured.
         if (body.length <= MAX_BODY_BYTES / 2) return null
         val bytes = Utf8.encodedLength(body)
--- a/src/main/kotlin/burlridge/store/WatchResult.kt
+++ b/src/main/kotlin/burlridge/store/WatchResult.kt
@@ -15,7 +15,7 @@
         val events: List<WatchEvent>?,
     ) : WatchResult {
         /** Whether any row changed. */
-        val isNews: Boolean get() = !events.isNullOrEmpty()
+        val hasEvents: Boolean get() = !events.isNullOrEmpty()
     }
 
     /** The changes since the revision that was asked for are not kept any more: the rows must be listed again. */
--- a/src/main/kotlin/burlridge/worker/HeartbeatRelay.kt
+++ b/src/main/kotlin/burlridge/worker/HeartbeatRelay.kt
@@ -42,7 +42,7 @@
         val current = known?.takeIf { cannotReachLeader(it) }
         // Where the leader itself misses the zone, its workers need not find that out by trying; but one that has been relayed for a
         // lease is redirected once, to see whether the way is free.
-        val isZoneMissed = known?.relayedSince == null && peers.leaderMissesZone(leader, heartbeat.zone.orEmpty())
+        val isZoneMissed = known?.relayedSince == null && peers.leaderLacksHeartbeatsFrom(leader, heartbeat.zone.orEmpty())
         val worker = current ?: RedirectedWorker(leader, context.now).also { redirected[heartbeat.machine] = it }
         if (current == null && !isZoneMissed) return respond(WorkerApi.redirectTo(leader))
         worker.relayedSince = worker.relayedSince ?: context.now
--- a/src/main/kotlin/burlridge/worker/LeaseMonitor.kt
+++ b/src/main/kotlin/burlridge/worker/LeaseMonitor.kt
@@ -41,8 +41,8 @@
 
     /** The latest end of the lease, by the steady clock of this member. */
     private fun leaseExpiresAt(machine: Machine): Double {
-        val answeredAt = if (isFenced(machine)) machine.answeredAt else maxOf(machine.answeredAt, leadership.othersAnswerUntil)
-        return answeredAt + workerSettings.leaseSeconds * (1 + Leadership.DRIFT) + workerSettings.reportSeconds / MARGIN_PARTS
+        val answeredAt = if (isFenced(machine)) machine.answeredAt else maxOf(machine.answeredAt, leadership.formerLeadersAnswerUntil)
+        return answeredAt + workerSettings.leaseSeconds * (1 + Leadership.CLOCK_DRIFT) + workerSettings.reportSeconds / MARGIN_PARTS
     }
 
     private companion object {
--- a/src/test/kotlin/burlridge/allocation/LimitsTest.kt
+++ b/src/test/kotlin/burlridge/allocation/LimitsTest.kt
@@ -58,7 +58,7 @@
             leadership.tick()
             if (leadership.isLeader) registry.tick()
             context.runDue()
-            store.pump()
+            store.sendQueued()
             answer()
         }
     }
--- a/src/test/kotlin/burlridge/leadership/FormerLeadersTest.kt
+++ b/src/test/kotlin/burlridge/leadership/FormerLeadersTest.kt
@@ -12,7 +12,7 @@
     private val context = StepContext(Settings.parse(ClassArchiveTraining.settings()), 1)
     private val member = context.settings.member
     private val others = context.settings.others.map { it.member }
-    private val formerLeaders = FormerLeaders(context, ANSWER_BOUND_SECONDS)
+    private val formerLeaders = FormerLeaders(context, ANSWER_WINDOW_SECONDS)
 
     private fun at(seconds: Double) = context.beginStep(seconds, WALL_MILLIS + (seconds * 1000).toLong())
 
@@ -21,10 +21,10 @@
         val other = others.first()
         at(10.0)
         formerLeaders.beginTerm(mapOf(other to WALL_MILLIS, member to WALL_MILLIS))
-        assertEquals(10.0 + ANSWER_BOUND_SECONDS, formerLeaders.answerUntil)
+        assertEquals(10.0 + ANSWER_WINDOW_SECONDS, formerLeaders.answerUntil)
         at(12.0)
         formerLeaders.onConfirmed("stranger")
-        assertEquals(10.0 + ANSWER_BOUND_SECONDS, formerLeaders.answerUntil)
+        assertEquals(10.0 + ANSWER_WINDOW_SECONDS, formerLeaders.answerUntil)
         formerLeaders.onConfirmed(other)
         at(13.0)
         formerLeaders.onConfirmed(other)
@@ -44,27 +44,27 @@
         at(10.0)
         formerLeaders.beginTerm(null)
         others.drop(1).forEach(formerLeaders::onConfirmed)
-        assertEquals(10.0 + ANSWER_BOUND_SECONDS, formerLeaders.answerUntil)
+        assertEquals(10.0 + ANSWER_WINDOW_SECONDS, formerLeaders.answerUntil)
         formerLeaders.onConfirmed(others.first())
         assertEquals(10.0, formerLeaders.answerUntil)
-        assertNull(formerLeaders.after(TermRow(3, others.first(), null)))
-        assertNull(formerLeaders.after(TermRow(3, null, emptyMap())))
+        assertNull(formerLeaders.afterTerm(TermRow(3, others.first(), null)))
+        assertNull(formerLeaders.afterTerm(TermRow(3, null, emptyMap())))
     }
 
     @Test
     fun `a former leader is forgotten after twice the bound`() {
         at(100.0)
         val now = context.wallMillis
-        val retentionMillis = (2 * ANSWER_BOUND_SECONDS * 1000).toLong()
+        val retentionMillis = (2 * ANSWER_WINDOW_SECONDS * 1000).toLong()
         val recent = mapOf("a" to now - retentionMillis + 1)
         formerLeaders.beginTerm(recent + ("b" to now - retentionMillis))
         assertEquals(recent + (member to now), formerLeaders.afterOwnTerm())
         val row = TermRow(7, "c", recent + ("b" to now - retentionMillis))
-        assertEquals(recent + ("c" to now), formerLeaders.after(row))
+        assertEquals(recent + ("c" to now), formerLeaders.afterTerm(row))
     }
 
     private companion object {
-        const val ANSWER_BOUND_SECONDS = 20.0
+        const val ANSWER_WINDOW_SECONDS = 20.0
         const val WALL_MILLIS = 1_000_000L
     }
 }
--- a/src/test/kotlin/burlridge/store/RequestQueueTest.kt
+++ b/src/test/kotlin/burlridge/store/RequestQueueTest.kt
@@ -33,10 +33,10 @@
     fun `after a pause requests go by priority, whatever the order of their arrival`() {
         pause()
         RequestPriority.entries.reversed().forEach { add(it.name, it) }
-        queue.pump()
+        queue.sendQueued()
         assertEquals(emptyList<String>(), sent)
         at(60.0)
-        queue.pump()
+        queue.sendQueued()
         assertEquals(RequestPriority.entries.map { it.name }, sent)
         assertEquals(1, context.counters.getLong("store.requests.cleanup"))
     }
@@ -59,7 +59,7 @@
         add("short", RequestPriority.USER, maxWaitSeconds = 0.1)
         add("long", RequestPriority.USER, maxWaitSeconds = 100.0)
         at(60.0)
-        queue.pump()
+        queue.sendQueued()
         assertEquals(listOf("short"), dropped)
         assertEquals(listOf("long"), sent)
     }
