--- a/src/main/kotlin/burlridge/leadership/ElectionCampaign.kt
+++ b/src/main/kotlin/burlridge/leadership/ElectionCampaign.kt
@@ -8,22 +8,22 @@
 import burlridge.store.StoreClient
 import burlridge.store.TransactionResult
 
-/** A term that this member has won. */
+/** A term that this member has won, by election or by a planned handover. */
 internal data class WonElection(
     val term: Long,
     /** The revision of the term row, the fencing token of the term. */
     val fencingToken: Long,
     val leaseId: Long,
-    /** When the call was sent that granted or last renewed the lease. */
+    /** Monotonic time at which the request that granted or last renewed the lease was sent, in seconds. */
     val leaseRenewedAt: Double,
-    /** Who led before, see [TermRow.formerLeaders]. */
+    /** Earlier leaders; see [TermRow.formerLeaders]. */
     val formerLeaders: Map<String, Long>?,
     val cause: ElectionCause,
 )
 
 /**
- * What a member does while it does not lead: it polls and watches the leader row, and stands for election when there is no other leader. An
- * election is one compare-and-swap of the leader row and the term row.
+ * Runs while this member does not lead: polls and watches the leader row, and campaigns for leadership when the row names no other member.
+ * An election is one compare-and-swap of the leader row and the term row.
  */
 internal class ElectionCampaign(
     private val context: StepContext,
@@ -39,15 +39,15 @@
     private var isCampaigning = false
     private var nextPollAt = 0.0
 
-    /** Since when this member has found no leader row; null while there is one. */
+    /** Time of the first poll that found no leader row; null after a poll that found one. */
     private var absentSince: Double? = null
 
-    /** Polls the leader's row when that is due. */
+    /** Polls the leader row if a poll is due. */
     fun tick() {
         if (!isCampaigning && context.now >= nextPollAt) poll()
     }
 
-    /** This member was deposed: the leader row is read at the next tick. */
+    /** Schedules a poll for the next tick, after this member was deposed. */
     fun restart() {
         nextPollAt = context.now
     }
@@ -73,7 +73,8 @@
         absentSince = null
         val leader = LeaderRow.decode(row.value)
         if (leader.member == member) {
-            // Unless it was handed over, our former self held it and is dead: nobody else can be elected meanwhile.
+            // Unless the term was handed over to this member, the row dates from before it restarted or was deposed. No other member can be
+            // elected while the row exists.
             if (!listener.onTermHandedOver(leader.term)) campaign(row.modRevision, ElectionCause.OwnRowFound)
         } else {
             leadership.observeLeader(leader.member, leader.term)
@@ -91,7 +92,7 @@
         }
     }
 
-    /** All members read the row, at different moments, so that one campaigns and the others find its row. */
+    /** Schedules a poll at a random time, different for each member, so that one campaigns and the others find its row. */
     private fun onLeaderRowChanged() {
         if (leadership.isLeader) return
         nextPollAt = minOf(nextPollAt, context.now + lease.ttlSeconds / WATCH_SPREAD_DIVISOR * context.random.nextDouble())
@@ -139,7 +140,7 @@
         }
     }
 
-    /** What this member stands for election with. */
+    /** Parameters of one attempt to win an election. */
     private class Candidacy(
         val term: Long,
         val leaseId: Long,
@@ -162,7 +163,7 @@
             if (result is TransactionResult.Committed) {
                 onWon(candidacy.toWonElection(fencingToken = result.revision))
             } else {
-                // Where the outcome is unknown the next poll finds our own name and takes over with a further term.
+                // If the outcome is unknown, the row may exist: a poll that finds it naming this member campaigns for a further term.
                 store.revokeLease(candidacy.leaseId)
             }
         }
@@ -171,18 +172,18 @@
     private companion object {
         const val MILLIS_PER_SECOND = 1000
 
-        /** The leader row is read about so many times in a lease, with a jitter between 0.8 and 1.2. */
+        /** Approximate number of polls per time to live of the lease; each interval has a random factor between 0.8 and 1.2. */
         const val POLLS_PER_TTL = 6
         const val MIN_POLL_JITTER = 0.8
         const val POLL_JITTER_RANGE = 0.4
 
-        /** How long one watch of the leader row stays open, in leases. */
+        /** Maximum duration of one watch of the leader row, in times to live of the lease. */
         const val WATCH_TIMEOUT_TTLS = 3
 
-        /** All members read the leader row within this part of the lease after it has changed. */
+        /** After a change of the leader row, all members poll it within the time to live of the lease divided by this. */
         const val WATCH_SPREAD_DIVISOR = 24
 
-        /** A member that is less prepared than another waits this part of the lease before it stands for election. */
+        /** A member that is less prepared than another waits the time to live of the lease divided by this before it campaigns. */
         const val DEFERRAL_DIVISOR = 8
     }
 }
--- a/src/main/kotlin/burlridge/leadership/ElectionCause.kt
+++ b/src/main/kotlin/burlridge/leadership/ElectionCause.kt
@@ -10,12 +10,12 @@
         override val text: String = "the leader's lease had ended"
     }
 
-    /** The leader row named this member from before it restarted or was deposed. */
+    /** The leader row still named this member, from before it restarted or was deposed. */
     data object OwnRowFound : ElectionCause {
         override val text: String = "its former self led"
     }
 
-    /** [from] transferred its leadership to this member; null where its name is not known. */
+    /** [from] transferred its leadership to this member; null if its name is not known. */
     data class HandedOver(
         val from: String?,
     ) : ElectionCause {
--- a/src/main/kotlin/burlridge/leadership/FormerLeaders.kt
+++ b/src/main/kotlin/burlridge/leadership/FormerLeaders.kt
@@ -3,32 +3,33 @@
 import burlridge.core.StepContext
 
 /**
- * Who led before the current term and may still answer workers by an earlier one, and which of them have confirmed that they no longer do.
+ * Tracks which members led before the current term and may still answer workers under an earlier term, and which of them have confirmed
+ * that they no longer do.
  */
 internal class FormerLeaders(
     private val context: StepContext,
-    /** How long after its last renewal a leader may answer workers. */
+    /** How long a leader may answer workers after its last lease renewal. */
     private val answerWindowSeconds: Double,
 ) {
     private val member = context.settings.member
     private val otherMembers: Set<String> = context.settings.others.mapTo(HashSet()) { it.member }
 
-    /** Who may not have noticed yet that its term is over. */
+    /** Members that may not have detected yet that their term has ended. */
     private var mayStillAnswer: Set<String> = emptySet()
 
-    /** When the terms before this one ended, in milliseconds of the wall clock. */
+    /** Wall-clock time in milliseconds at which the term of each former leader ended. */
     private var termEndMillis: Map<String, Long> = emptyMap()
     private val confirmed = HashSet<String>()
     private var lastConfirmedAt = 0.0
     private var electedAt = 0.0
 
-    /** No former leader can be answering workers after this time of the steady clock. */
+    /** Monotonic time after which no former leader can be answering workers, in seconds. */
     val answerUntil: Double
         get() = if (confirmed.containsAll(mayStillAnswer)) maxOf(lastConfirmedAt, electedAt) else electedAt + answerWindowSeconds
 
     /**
-     * A term of this member begins. The member itself is left out of [formerLeaders]: its former self is dead. Null means that the rows do
-     * not say who led, so that any other member may have.
+     * Begins a term of this member. The member itself is left out of [formerLeaders], since its own earlier term has ended. Null means that
+     * the rows do not name the former leaders, so that any other member may be one.
      */
     fun beginTerm(formerLeaders: Map<String, Long>?) {
         mayStillAnswer = (formerLeaders?.keys ?: otherMembers) - member
@@ -38,15 +39,15 @@
         lastConfirmedAt = 0.0
     }
 
-    /** [from] confirms that it answers no worker by a term before the current one. */
+    /** Records the confirmation of [from] that it answers no worker under a term before the current one. */
     fun onConfirmed(from: String) {
         if (from in mayStillAnswer && confirmed.add(from)) lastConfirmedAt = context.now
     }
 
-    /** What the term row of this member's successor says, if the term of this member ends now. */
+    /** Returns the former leaders for the term row of this member's successor, if this member's term ends now. */
     fun afterOwnTerm(): Map<String, Long> = filterRecent(termEndMillis + (member to context.wallMillis))
 
-    /** What the term row says after the term of [row] has ended, at the latest now; null where [row] does not say who led. */
+    /** Returns the former leaders for the term row after [row], whose term has ended by now; null if [row] does not name them. */
     fun afterTerm(row: TermRow): Map<String, Long>? {
         val formerLeaders = row.formerLeaders ?: return null
         val lastLeader = row.leader ?: return null
@@ -59,7 +60,7 @@
     }
 
     private companion object {
-        /** The wall clocks of two members differ by far less than the bound for which a former leader is remembered. */
+        /** How long a former leader is kept, in answer windows. The wall clocks of two members differ by far less than that. */
         const val RETENTION_WINDOWS = 2
         const val MILLIS_PER_SECOND = 1000
     }
--- a/src/main/kotlin/burlridge/leadership/GangFeatureGate.kt
+++ b/src/main/kotlin/burlridge/leadership/GangFeatureGate.kt
@@ -18,9 +18,9 @@
 }
 
 /**
- * A gang is accepted only once every member runs a version that supports gangs: an older leader could not read its row, and would stop its
- * tasks. Each member of such a version leaves a row, which lasts while the member is down, so that an outage of one member holds nothing
- * up. It need never be withdrawn: members are upgraded a few at a time, and none is downgraded.
+ * Allows gangs only once every member runs a version that supports them: an older leader could not read a gang's row, and would stop its
+ * tasks. Each member of such a version writes a version row, which persists while the member is down, so that an outage of one member does
+ * not block gangs. The row never needs to be deleted: members are upgraded a few at a time, and none is downgraded.
  */
 internal class GangFeatureGate(
     private val context: StepContext,
@@ -29,19 +29,19 @@
     private val members = context.settings.others.mapTo(HashSet()) { it.member } + context.settings.member
     private val isGangEnabled = context.settings.workers.gang != null
 
-    /** Once true it stays true. */
+    /** Whether all members are known to support gangs; once true, it stays true. */
     var allMembersSupportGangs: Boolean = false
         private set
     private var nextReadAt = 0.0
     private var isReading = false
 
-    /** Reads the rows of the members again when that is due. */
+    /** Reads the members' version rows if a read is due. */
     fun tick() {
         if (!isGangEnabled || allMembersSupportGangs || isReading || context.now < nextReadAt) return
         readVersions(RequestPriority.CLEANUP) {}
     }
 
-    /** Reports whether all members support gangs; their rows are read where that is not certain yet. */
+    /** Reports whether all members support gangs; reads their version rows unless that is already known. */
     fun check(onResult: (GangSupport) -> Unit) {
         if (allMembersSupportGangs || !isGangEnabled) onResult(currentSupport()) else readVersions(RequestPriority.USER, onResult)
     }
@@ -77,7 +77,7 @@
     }
 
     private companion object {
-        /** The version before left no row. */
+        /** The first version that supports gangs; the version before it wrote no version row. */
         const val MIN_GANG_VERSION = 2
     }
 }
--- a/src/main/kotlin/burlridge/leadership/LeaderLease.kt
+++ b/src/main/kotlin/burlridge/leadership/LeaderLease.kt
@@ -5,57 +5,57 @@
 import burlridge.store.StoreClient
 
 /**
- * The lease that the leader row is attached to: its renewal, and the times until which this leader may act on it. All times are of the
- * steady clock, in seconds.
+ * Renews the lease that the leader row is attached to, and computes the times until which this leader may act. All times are monotonic, in
+ * seconds.
  */
 internal class LeaderLease(
     private val context: StepContext,
     private val store: StoreClient,
-    /** Called when the state service says that the lease of the current term no longer exists. */
+    /** Called when the state service reports that the lease of the current term no longer exists. */
     private val onExpired: () -> Unit,
 ) {
     private val workers = context.settings.workers
     private val defaultTtlSeconds = workers.reportSeconds * context.settings.operator.leaseReports
 
     /**
-     * The time to live of this member's leases. It is doubled when the member is deposed after a stall, so that two members that are
-     * merely slow do not depose each other in turns.
+     * Time to live of this member's leases, in seconds. It is doubled when the member is deposed after a stall, so that two members that
+     * are merely slow do not depose each other in turn.
      */
     var ttlSeconds: Double = defaultTtlSeconds
         private set
 
     /**
-     * How long after its last good renewal was sent a leader may still answer workers. Together with a worker's lease and a
-     * margin it stays below the time a cancellation has, so that what a cut-off leader keeps alive is gone in time.
+     * How long after it sent its last successful renewal a leader may still answer workers. Together with a worker's lease and a margin it
+     * stays below the time limit of a cancellation, so that tasks kept alive by a partitioned leader end within that limit.
      */
     val answerWindowSeconds: Double = (workers.cancelSeconds - workers.leaseSeconds) * ANSWER_WINDOW_FRACTION
 
-    /** Stalls of this member noticed while it led, since the process began. */
+    /** Number of stalls of this member detected while it led, since the process started. */
     var stallCount: Long = 0
         private set
 
     /** The lease of the current term; null while this member does not lead. */
     private var leaseId: Long? = null
 
-    /** When the renewal, or the grant, was sent that last succeeded. */
+    /** When the last successful renewal or grant was sent. */
     private var renewedAt = 0.0
     private var nextRenewAt = 0.0
     private var isRenewing = false
     private var lastTickAt = 0.0
 
-    /** Whether this member stalled in this term for so long that a renewal may have been late. */
+    /** Whether this member stalled in this term long enough for a renewal to have been late. */
     private var hasStalledInTerm = false
 
-    /** No other member can have been elected before this time, unless the leadership is being transferred. */
+    /** Time before which no other member can have been elected, unless the leadership is being transferred. */
     val validUntil: Double get() = validUntil(renewedAt)
 
-    /** This leader may answer workers until this time. */
+    /** Time until which this leader may answer workers. */
     val mayAnswerUntil: Double get() = renewedAt + answerWindowSeconds * (1 - CLOCK_DRIFT)
 
-    /** Until when a lease last renewed by a call sent at [renewedAt] certainly exists. */
+    /** Returns the time until which a lease certainly exists if its last renewal was sent at [renewedAt]. */
     fun validUntil(renewedAt: Double): Double = renewedAt + ttlSeconds * (1 - CLOCK_DRIFT) - VALIDITY_MARGIN_SECONDS
 
-    /** A term begins under [leaseId], which was granted or last renewed by a call sent at [renewedAt]. */
+    /** Begins a term under [leaseId], whose grant or last renewal was sent at [renewedAt]. */
     fun begin(
         leaseId: Long,
         renewedAt: Double,
@@ -68,13 +68,13 @@
         nextRenewAt = context.now
     }
 
-    /** The term is over. */
+    /** Ends the term. */
     fun end() {
         leaseId = null
         if (hasStalledInTerm) ttlSeconds = minOf(ttlSeconds * 2, defaultTtlSeconds * MAX_TTL_FACTOR)
     }
 
-    /** Notices a stall of this process, which is a late tick. */
+    /** Detects a stall of this process by a late tick. */
     fun tick() {
         val hasStalled = leaseId != null && context.now > lastTickAt + ttlSeconds / STALL_DIVISOR
         if (hasStalled) {
@@ -84,13 +84,13 @@
         lastTickAt = context.now
     }
 
-    /** Renews the lease a few times within its time to live. */
+    /** Renews the lease if a renewal is due, which is several times within its time to live. */
     fun renewIfDue() {
         val id = leaseId ?: return
         if (!isRenewing && context.now >= nextRenewAt) renew(id)
     }
 
-    /** Renews at the next tick. */
+    /** Schedules a renewal for the next tick. */
     fun renewSoon() {
         nextRenewAt = context.now
     }
@@ -119,20 +119,20 @@
     }
 
     internal companion object {
-        /** Twice the drift that the protocol allows between two steady clocks. */
+        /** Twice the drift that the protocol allows between two monotonic clocks, as a fraction of the time that passes. */
         const val CLOCK_DRIFT: Double = 0.001
         private const val VALIDITY_MARGIN_SECONDS = 0.05
         private const val ANSWER_WINDOW_FRACTION = 0.7
 
-        /** A renewal is due every quarter of the lease and waits a third of it for its answer. */
+        /** A renewal is due every quarter of the time to live and times out after a third of it. */
         private const val RENEWALS_PER_TTL = 4
         private const val RENEWAL_TIMEOUT_DIVISOR = 3
         private const val RETRIES_PER_TTL = 12
 
-        /** A tick that is late by this part of the lease counts as a stall. */
+        /** A tick later than the time to live divided by this after the previous one counts as a stall. */
         private const val STALL_DIVISOR = 4
 
-        /** Bounds [ttlSeconds], since a dead leader is missed for as long as its lease lasts. */
+        /** Bounds [ttlSeconds] to a multiple of its default, since a failed leader is not replaced before its lease expires. */
         private const val MAX_TTL_FACTOR = 4
     }
 }
--- a/src/main/kotlin/burlridge/leadership/LeaderRowWatch.kt
+++ b/src/main/kotlin/burlridge/leadership/LeaderRowWatch.kt
@@ -4,18 +4,18 @@
 import burlridge.store.WatchResult
 
 /**
- * Notices that the leader row has changed before the next poll would: a leader that is gone is followed sooner, and during an upgrade by a
- * member of this version, which will not be replaced any more.
+ * Detects a change of the leader row before the next poll would: a failed leader is replaced sooner and, during an upgrade, by a member
+ * that already runs this version and does not have to be replaced again.
  */
 internal class LeaderRowWatch(
     private val store: StoreClient,
-    /** Called when the row has changed since it was last watched. */
+    /** Called when the row has changed since the watched revision. */
     private val onChanged: () -> Unit,
 ) {
-    /** The revision of the row that is being watched; 0 for none. */
+    /** Revision after which the row is being watched; 0 if no watch is open. */
     private var watchedRevision = 0L
 
-    /** Watches the row from [modRevision] on, for at most [timeoutSeconds]; only the latest watch counts. */
+    /** Watches the row for changes after [modRevision], for at most [timeoutSeconds]; results of earlier watches are ignored. */
     fun watch(
         modRevision: Long,
         timeoutSeconds: Double,
--- a/src/main/kotlin/burlridge/leadership/Leadership.kt
+++ b/src/main/kotlin/burlridge/leadership/Leadership.kt
@@ -7,8 +7,9 @@
 import burlridge.store.StoreClient
 
 /**
- * Which member leads, as this member knows it, and what this member may do about it. At most one member leads a term: the leader row is
- * attached to a lease, and terms are counted by compare-and-swap of the term row, whose revision fences every write of the leader.
+ * Tracks which member leads, as far as this member knows, and what this member may do as leader. At most one member leads a term: the
+ * leader row is attached to a lease, and terms are counted by compare-and-swap of the term row, whose revision fences every write of the
+ * leader.
  */
 internal class Leadership(
     private val context: StepContext,
@@ -23,21 +24,21 @@
     private val statuses = StatusExchange(context, store, this, listener)
     private val transfer = LeadershipTransfer(context, store)
 
-    /** The term that this member leads, or led last; 0 before the first. */
+    /** The term that this member leads or last led; 0 before its first. */
     var term: Long = 0
         private set
 
-    /** The revision of the term row, the fencing token of every write of this leader. */
+    /** Fencing token of every write of this leader: the revision of the term row. */
     var fencingToken: Long = 0
         private set
     var isLeader: Boolean = false
         private set
 
-    /** When this member's current or last term began, by the steady clock. */
+    /** Monotonic time at which this member's current or last term began, in seconds. */
     var electedAt: Double = 0.0
         private set
 
-    /** The member that leads as far as is known, which may be this one; null where it is not known. */
+    /** The leader as far as this member knows, which may be this member; null if unknown. */
     var knownLeader: String? = null
         private set
 
@@ -45,48 +46,50 @@
     var knownTerm: Long = 0
         private set
 
-    /** Stalls of this member noticed while it led, in this process. */
+    /** Number of stalls of this member detected while it led, since the process started. */
     val stallCount: Long get() = lease.stallCount
 
-    /** The time to live of the leader's lease. */
+    /** Time to live of the leader's lease, in seconds. */
     val leaseTtlSeconds: Double get() = lease.ttlSeconds
 
-    /** A command decided now must not leave after this time of the steady clock, since another member may have been elected. */
+    /** Monotonic time after which a command decided now must not be sent, since another member may have been elected. */
     val commandDeadline: Double get() = if (enforcesSendDeadlines) lease.validUntil else Effect.NO_DEADLINE
 
-    /** The same for answers to workers and for the stops of cancelled jobs. */
+    /** Monotonic time after which answers to workers, and commands that stop cancelled jobs, must not be sent. */
     val responseDeadline: Double get() = if (enforcesSendDeadlines) lease.mayAnswerUntil else Effect.NO_DEADLINE
 
     /**
-     * True while no other member can have been elected. False while a transfer of this term may have been carried out: nothing is decided
-     * meanwhile.
+     * Whether this member leads and no other member can have been elected. False while a transfer of this term may have been executed: the
+     * leader makes no decisions during that time.
      */
     val holdsLease: Boolean get() = isLeader && !transfer.isInProgress && context.now < lease.validUntil
 
     /**
-     * True while this leader may answer workers, a while beyond [holdsLease]: through an outage that all members share. One that
-     * hears neither the state service nor any member is cut off itself, and its workers are better off with whoever follows.
+     * Whether this leader may answer workers. That outlasts [holdsLease], to cover an outage that affects all members. A leader that
+     * receives messages from neither the state service nor any other member is itself partitioned, and its workers are better served by its
+     * successor.
      */
     val mayAnswerWorkers: Boolean
         get() = isLeader && context.now < lease.mayAnswerUntil && (holdsLease || settings.others.isEmpty() || !isIsolated)
     private val isIsolated: Boolean get() = context.now > statuses.lastReceivedAt + lease.ttlSeconds
 
-    /** No other member can be answering workers by an earlier term after this time of the steady clock. */
+    /** Monotonic time after which no other member can be answering workers under an earlier term, in seconds. */
     val formerLeadersAnswerUntil: Double get() = formerLeaders.answerUntil
 
     /** The condition that fences every write of this leader. */
     fun fenceCondition(): Condition = Condition(TERM_ROW_KEY, fencingToken)
 
-    /** Whether this member still leads [term], to be asked later. */
+    /** Returns a check, to be called later, of whether this member still leads [term]. */
     fun whileLeading(term: Long): () -> Boolean = { isLeader && this.term == term }
 
-    /** Renews the lease of a leader; lets a follower look for a leader. */
+    /** Renews the lease if this member leads; polls the leader row if it does not. */
     fun tick() {
         lease.tick()
         if (!isLeader) {
             campaign.tick()
         } else if (!transfer.isInProgress) {
-            // What bounds the answers to workers must lie before anything that the next leader confirms: no renewal during a transfer.
+            // No renewal during a transfer: the last renewal bounds how long this member answers workers, and the next leader counts that
+            // bound from its own election, which the renewal must therefore precede.
             lease.renewIfDue()
         }
     }
@@ -94,7 +97,7 @@
     /** Reads the leader row at the next tick instead of at the next regular poll. */
     fun pollSoon() = campaign.pollSoon()
 
-    /** Ends the term of this member; does nothing where it does not lead. */
+    /** Ends the term of this member; does nothing if it does not lead. */
     fun stepDown(reason: StepDownReason) {
         if (!isLeader) return
         isLeader = false
@@ -111,8 +114,8 @@
     fun stepDownOnSupersededTerm() = stepDown(StepDownReason.TermSuperseded)
 
     /**
-     * Names [successor] as the leader of the next term, whose leader row is attached to the successor's own [leaseId]. From the moment the
-     * transaction leaves until its outcome is known this member decides nothing.
+     * Names [successor] as the leader of the next term, with the leader row attached to the successor's own [leaseId]. This member makes no
+     * decisions from the moment the transaction is sent until its outcome is known.
      */
     fun transfer(
         successor: String,
@@ -120,7 +123,13 @@
         onResult: (TransferOutcome) -> Unit,
     ) {
         val transaction =
-            beginTermTransaction(LeadershipRevisions(fencingToken, fencingToken), term + 1, successor, leaseId, formerLeaders.afterOwnTerm())
+            beginTermTransaction(
+                LeadershipRevisions(fencingToken, fencingToken),
+                term + 1,
+                successor,
+                leaseId,
+                formerLeaders.afterOwnTerm(),
+            )
         transfer.begin(transaction, fencingToken, lease.ttlSeconds) { outcome ->
             when (outcome) {
                 TransferOutcome.Completed -> onHandedOver(successor, term + 1)
@@ -141,9 +150,9 @@
     }
 
     /**
-     * Takes over the term of [termRow], which its leader has transferred to this member, under the fencing token [fencingToken]. The leader row is
-     * attached to [leaseId], last renewed by a call sent at [leaseRenewedAt]. False where that lease may have expired, so that another
-     * member may lead.
+     * Takes over the term of [termRow], which the previous leader has transferred to this member, under [fencingToken]. The leader row is
+     * attached to [leaseId], whose last renewal was sent at [leaseRenewedAt]. Returns false if that lease may have expired, so that another
+     * member may lead, and if this member leads already or has led this term or a later one.
      */
     fun takeOverTerm(
         termRow: TermRow,
@@ -172,7 +181,7 @@
         broadcastStatus()
     }
 
-    /** [leader] is known to lead [atTerm]; what is older than the known term is passed over. */
+    /** Records that [leader] leads [atTerm]; a term below the known one is ignored. */
     fun observeLeader(
         leader: String,
         atTerm: Long,
@@ -188,7 +197,7 @@
         knownLeader = leader
     }
 
-    /** Takes a status of another member into account. */
+    /** Handles a status of another member. */
     fun onPeerStatus(status: PeerMessage.Status) {
         statuses.onReceived(status)
         if (isLeader && !status.mayAnswerWorkers && status.term >= term) formerLeaders.onConfirmed(status.from)
@@ -201,10 +210,10 @@
         /** The key of the term row, on which every write of a leader is conditional. */
         const val TERM_ROW_KEY: String = TermRow.KEY
 
-        /** Between two statuses of a member. */
+        /** Interval between two statuses of a member. */
         const val STATUS_INTERVAL_SECONDS: Double = 0.5
 
-        /** Twice the drift that the protocol allows between two steady clocks. */
+        /** Twice the drift that the protocol allows between two monotonic clocks, as a fraction of the time that passes. */
         const val CLOCK_DRIFT: Double = LeaderLease.CLOCK_DRIFT
     }
 }
--- a/src/main/kotlin/burlridge/leadership/LeadershipListener.kt
+++ b/src/main/kotlin/burlridge/leadership/LeadershipListener.kt
@@ -2,29 +2,29 @@
 
 import burlridge.message.FailoverStatus
 
-/** What [Leadership] reports to the rest of a controller, and what it asks of it. */
+/** Callbacks by which [Leadership] notifies and queries the rest of the controller. */
 internal interface LeadershipListener {
-    /** This member leads a new term. */
+    /** Called when this member begins to lead a new term. */
     fun onElected(cause: ElectionCause)
 
-    /** This member does not lead [term] any more. */
+    /** Called when this member no longer leads [term]. */
     fun onDeposed(
         term: Long,
         reason: StepDownReason,
     )
 
-    /** Another member is known to lead [term]. */
+    /** Called when another member is observed to lead [term]. */
     fun onLeaderObserved(
         leader: String,
         term: Long,
     ) = Unit
 
-    /** The leader row names this member under a [term] that it does not lead; true where it takes over that term without an election. */
+    /** Called when the leader row names this member under a [term] that it does not lead; true if it takes over without an election. */
     fun onTermHandedOver(term: Long): Boolean = false
 
-    /** Whether another member, better prepared, should have the first try at an election. */
+    /** Returns whether another member, which is better prepared, should campaign first. */
     fun defersElection(): Boolean = false
 
-    /** What this member's status says of failover; null where failover is switched off. */
+    /** Returns the failover part of this member's status; null if failover is switched off. */
     fun failoverStatus(): FailoverStatus? = null
 }
--- a/src/main/kotlin/burlridge/leadership/LeadershipRevisions.kt
+++ b/src/main/kotlin/burlridge/leadership/LeadershipRevisions.kt
@@ -4,13 +4,13 @@
 import burlridge.store.Condition
 import burlridge.store.Transaction
 
-/** The revisions at which the rows of leadership were read; 0 for a row that does not exist. */
+/** Revisions at which the leader row and the term row were read; 0 for a row that does not exist. */
 internal data class LeadershipRevisions(
     val leaderRow: Long,
     val termRow: Long,
 )
 
-/** The one transaction by which a term begins: both rows are written, on condition that neither has changed since [expected]. */
+/** Returns the transaction that begins a term: it writes both rows on condition that neither has changed since [expected]. */
 internal fun beginTermTransaction(
     expected: LeadershipRevisions,
     term: Long,
--- a/src/main/kotlin/burlridge/leadership/LeadershipTransfer.kt
+++ b/src/main/kotlin/burlridge/leadership/LeadershipTransfer.kt
@@ -9,23 +9,23 @@
 
 /** How a transfer of leadership ended. */
 internal sealed interface TransferOutcome {
-    /** The rows name the successor. */
+    /** The leader row and the term row name the successor. */
     data object Completed : TransferOutcome
 
-    /** The term is over: by an earlier copy of the transfer, or by another member's election. */
+    /** This member's term has ended: by an earlier copy of the transfer, another member's election or the expiry of its lease. */
     data class Deposed(
         val reason: StepDownReason,
     ) : TransferOutcome
 
-    /** Nothing was changed and nothing will be; the leader leads on. */
+    /** Nothing was changed and nothing will be; this member continues to lead. */
     data class Aborted(
         val reason: String,
     ) : TransferOutcome
 }
 
 /**
- * The one transaction by which a leader transfers its leadership, retried until its outcome is definite. It is conditional on the fencingToken of
- * the term, so that of all copies at most one is executed, and none after another election.
+ * Sends the transaction by which a leader transfers its leadership, and retries it until its outcome is definite. The transaction is
+ * conditional on the fencing token of the term, so that at most one of all copies is executed, and none after another election.
  */
 internal class LeadershipTransfer(
     private val context: StepContext,
@@ -46,10 +46,10 @@
 
     private var current: Attempt? = null
 
-    /** True from the moment the first copy leaves until the outcome is definite. */
+    /** Whether a transfer is in progress: from the sending of the first copy until the outcome is definite. */
     val isInProgress: Boolean get() = current != null
 
-    /** Sends [transaction], which is conditional on the leader's [fencingToken]; [leaseTtlSeconds] is the time to live of the leader's lease. */
+    /** Sends [transaction], conditional on the leader's [fencingToken]; [leaseTtlSeconds] is the time to live of the leader's lease. */
     fun begin(
         transaction: Transaction,
         fencingToken: Long,
@@ -62,7 +62,7 @@
         send(attempt)
     }
 
-    /** The term is over for another reason; the outcome of the copies does not matter any more. */
+    /** Stops the transfer because the term has ended for another reason; the outcome of the copies no longer matters. */
     fun cancel() {
         current = null
     }
@@ -75,7 +75,7 @@
         attempt.onResult(outcome)
     }
 
-    /** Only in the answer to one copy is another sent or the transfer given up, so that none can leave after that. */
+    /** Sends one copy. Another is sent, or the transfer given up, only after its outcome, so that no copy is sent after giving up. */
     private fun send(attempt: Attempt) {
         store.commit(attempt.transaction, RequestPriority.LEADERSHIP, attempt.leaseTtlSeconds / GIVE_UP_DIVISOR) { result ->
             if (current === attempt) onAnswer(attempt, result)
@@ -118,7 +118,7 @@
         context.schedule(attempt.retryDelaySeconds) { if (current === attempt) send(attempt) }
     }
 
-    /** The successor's lease is gone, so that no copy can be executed any more; the term row says whether one was. */
+    /** Reads from the term row whether a copy was executed. None can be any more, since the successor's lease no longer exists. */
     private fun readOutcome(attempt: Attempt) {
         store.get(TermRow.KEY, RequestPriority.LEADERSHIP) { read ->
             if (current !== attempt) return@get
@@ -139,11 +139,11 @@
     }
 
     private companion object {
-        /** What the state service refuses is given up after this part of a lease, so that the leader's own does not expire over it. */
+        /** A refused transfer is given up after the time to live divided by this, so that the leader's lease does not expire meanwhile. */
         const val GIVE_UP_DIVISOR = 4
         const val RETRIES_PER_LEASE = 16
 
-        // Both reach the other member in a message.
+        // Both texts are sent to the successor in a message.
         const val SUCCESSOR_LEASE_EXPIRED = "the successor's lease has ended"
         const val STORE_REFUSED = "the state service refuses it"
     }
--- a/src/main/kotlin/burlridge/leadership/MemberVersionRow.kt
+++ b/src/main/kotlin/burlridge/leadership/MemberVersionRow.kt
@@ -3,7 +3,7 @@
 import burlridge.json.Json
 import com.fasterxml.jackson.databind.JsonNode
 
-/** The row that a member leaves for the version it runs. */
+/** The row in which a member records the version that it runs. */
 internal data class MemberVersionRow(
     val version: Int,
 ) {
--- a/src/main/kotlin/burlridge/leadership/StatusExchange.kt
+++ b/src/main/kotlin/burlridge/leadership/StatusExchange.kt
@@ -4,7 +4,7 @@
 import burlridge.message.PeerMessage
 import burlridge.store.StoreClient
 
-/** The statuses by which members tell each other who leads. */
+/** Sends and handles the status messages by which members announce the current leader. */
 internal class StatusExchange(
     private val context: StepContext,
     private val store: StoreClient,
@@ -13,14 +13,14 @@
 ) {
     private val settings = context.settings
 
-    /** When the last status of any other member arrived, by the steady clock; 0 before the first. */
+    /** Monotonic time at which the last status of any other member arrived, in seconds; 0 before the first. */
     var lastReceivedAt: Double = 0.0
         private set
 
-    /** Takes a status of another member into account. */
+    /** Handles a status of another member. */
     fun onReceived(status: PeerMessage.Status) {
         lastReceivedAt = context.now
-        // A member that follows a later leader reports it as well: that leader itself may be out of reach.
+        // A follower of a later leader reports that leader too, since the leader itself may be unreachable from this member.
         if (status.isLeader) {
             leadership.observeLeader(status.from, status.term)
         } else if (reportsLaterLeader(status)) {
--- a/src/main/kotlin/burlridge/leadership/StepDownReason.kt
+++ b/src/main/kotlin/burlridge/leadership/StepDownReason.kt
@@ -10,7 +10,7 @@
         override val text: String = "its term has been passed"
     }
 
-    /** The leader row is gone, because the lease it was attached to has expired. */
+    /** The leader row no longer exists, because the lease that it was attached to has expired. */
     data object LeaseExpired : StepDownReason {
         override val text: String = "the lease of the leader row has ended"
     }
@@ -30,7 +30,7 @@
         override val text: String get() = "$leader leads term $term"
     }
 
-    /** A worker has already obeyed a leader with a higher fencing token. */
+    /** A worker has already seen a higher fencing token, that of a later leader. */
     data class HigherTokenSeen(
         val machine: String,
     ) : StepDownReason {
--- a/src/main/kotlin/burlridge/leadership/TermRow.kt
+++ b/src/main/kotlin/burlridge/leadership/TermRow.kt
@@ -4,13 +4,14 @@
 import com.fasterxml.jackson.databind.JsonNode
 
 /**
- * The row that counts the terms. It outlives every leader; its modification revision is the fencing token of the term that it names.
+ * The row that counts the terms. It outlives every leader, since it is not attached to a lease. Its modification revision is the fencing
+ * token of the term that it names.
  */
 internal data class TermRow(
     val term: Long,
-    /** The member that leads [term]; null where the row does not say. */
+    /** The member that leads [term]; null if the row does not name it. */
     val leader: String?,
-    /** Who led before [term], with the wall-clock time in milliseconds at which each one's term ended; null where the row does not say. */
+    /** Leaders before [term], with the wall-clock time in milliseconds at which the term of each ended; null if the row has no list. */
     val formerLeaders: Map<String, Long>?,
 ) {
     /** The value of the row. */
--- a/src/main/kotlin/burlridge/message/FailoverMessage.kt
+++ b/src/main/kotlin/burlridge/message/FailoverMessage.kt
@@ -3,17 +3,17 @@
 import kotlinx.serialization.SerialName
 import kotlinx.serialization.Serializable
 
-/** What a member that has failover switched on adds to its status: its heartbeat. Versions before failover ignore it. */
+/** The heartbeat that a member with failover switched on adds to its status. Versions without failover ignore it. */
 @Serializable
 internal data class FailoverStatus(
-    /** When the sender's process made its first step, in milliseconds of the time of day. */
+    /** Wall-clock time in milliseconds at which the sender's process made its first step. */
     val incarnation: Long,
-    /** Counts the sender's statuses, so that copies and overtaken ones are recognized. */
+    /** Sequence number of the sender's statuses, by which duplicates and messages out of order are detected. */
     val sequence: Long,
     val isDraining: Boolean = false,
     /** Whether the sender stalled several times recently. */
     val isSlow: Boolean = false,
-    /** The revision up to which its standby replica is complete; [NO_REPLICA] where it keeps none. */
+    /** Revision up to which the sender's standby replica is complete; [NO_REPLICA] if it keeps none. */
     val replicaRevision: Long = NO_REPLICA,
 ) {
     internal companion object {
@@ -23,11 +23,11 @@
 
 /**
  * The steps of a planned handover from the leader to a successor: [Offer], answered by [Accept] or [Decline]; then [Transferred], or
- * [Withdraw] where the leader keeps its term.
+ * [Withdraw] if the leader keeps its term.
  */
 @Serializable
 internal sealed interface HandoverMessage {
-    /** Drawn anew by the leader for each offer; all later steps carry it. */
+    /** Random identifier that the leader generates for each offer; all later steps carry it. */
     val attempt: Long
 
     /** Sent by the leader of [term] to the successor that it selected. */
@@ -65,7 +65,7 @@
         val term: Long,
     ) : HandoverMessage
 
-    /** Sent by the leader to a successor that it does not hand over to after all. */
+    /** Sent by the leader to a successor, after an offer, if it does not hand over to it. */
     @Serializable
     @SerialName("w")
     data class Withdraw(
--- a/src/main/kotlin/burlridge/message/PeerMessage.kt
+++ b/src/main/kotlin/burlridge/message/PeerMessage.kt
@@ -8,7 +8,7 @@
 import kotlinx.serialization.protobuf.ProtoBuf
 
 /**
- * What controllers send to one another, as protobuf. The order of the properties and the serial names are the wire format: properties may
+ * A message between controllers, encoded as protobuf. The order of the properties and the serial names are the wire format: properties may
  * be renamed and new ones with a default appended, but never reordered or removed.
  */
 @Serializable
@@ -16,41 +16,42 @@
     /** The sender's member name. */
     val from: String
 
-    /** Sent by every member to all others, at a steady interval and at once after a change of leader. */
+    /** Sent by every member to all others, at a regular interval and immediately after a change of leader. */
     @Serializable
     @SerialName("s")
     data class Status(
         override val from: String,
         /** The highest term that the sender knows of. */
         val term: Long,
-        /** Who leads that term as far as the sender knows; empty where it knows of nobody. */
+        /** The leader of that term as far as the sender knows; empty if it knows none. */
         val leader: String,
         val isLeader: Boolean,
-        /** False once the sender answers no worker and never will again in a term below [term]. */
+        /** False if the sender answers no workers and will answer none again in a term below [term]. */
         val mayAnswerWorkers: Boolean,
         val storeReachable: Boolean,
-        /** Zones of whose machines a leader receives no heartbeats: another member relays these instead of redirecting the workers. */
+        /** Zones from whose machines a leader receives no heartbeats. Another member relays these instead of redirecting the workers. */
         val zonesWithoutHeartbeats: List<String> = emptyList(),
-        /** Null from a member without failover, or of a version before it. */
+        /** Null if the sender has failover switched off, or runs a version without it. */
         val failover: FailoverStatus? = null,
     ) : PeerMessage
 
     /**
-     * A request that the sender received and the receiver is to handle: of a user, an operator or a worker, forwarded to the leader; or of
-     * an operator, forwarded to the member that it names; or a worker command that the leader asks another member to send.
+     * A request that the sender forwards for the receiver to handle: a request of a user, operator or worker, forwarded to the leader; a
+     * request of a user, forwarded to a member that reaches the state service; a request of an operator, forwarded to the member that it
+     * names; or a worker command that the leader asks another member to send.
      */
     @Serializable
     @SerialName("a")
     data class ForwardedRequest(
         override val from: String,
-        /** Drawn by the sender; its [ForwardedResponse] carries the same. */
+        /** Assigned by the sender; the [ForwardedResponse] carries the same ID. */
         val requestId: Long,
         val method: String,
         val path: String,
         val body: String,
     ) : PeerMessage
 
-    /** Sent to the sender of a [ForwardedRequest] once it is answered. */
+    /** The response to a [ForwardedRequest], sent to its sender. */
     @Serializable
     @SerialName("r")
     data class ForwardedResponse(
@@ -58,13 +59,13 @@
         val requestId: Long,
         val status: Int,
         val body: String,
-        /** 0 where the response has no such header. */
+        /** Value of the `Retry-After` header; 0 if the response has none. */
         val retryAfterSeconds: Int,
     ) : PeerMessage
 
     /**
-     * Sent to all members by one that has just written the row of an accepted job, so that the leader need not wait for its watch. A hint:
-     * it may be lost, and the receiver reads the row.
+     * Sent to all other members by one that has just written the row of an accepted job, so that the leader need not wait for its watch to
+     * report it. It is only a hint: it may be lost, and the receiver reads the row.
      */
     @Serializable
     @SerialName("j")
@@ -85,10 +86,10 @@
     companion object {
         fun encode(message: PeerMessage): ByteArray = ProtoBuf.encodeToByteArray(serializer(), message)
 
-        /** Throws [IllegalArgumentException] for what is no message, or of a kind that this version does not know. */
+        /** Throws [IllegalArgumentException] for malformed bytes and for a message type that this version does not support. */
         fun decode(bytes: ByteArray): PeerMessage = ProtoBuf.decodeFromByteArray(serializer(), bytes)
 
-        /** Null for a kind that this version does not know, or for what is no message at all. */
+        /** Returns null for malformed bytes and for a message type that this version does not support. */
         fun decodeOrNull(bytes: ByteArray): PeerMessage? =
             try {
                 decode(bytes)
--- a/src/main/kotlin/burlridge/peer/PeerRequests.kt
+++ b/src/main/kotlin/burlridge/peer/PeerRequests.kt
@@ -6,36 +6,36 @@
 import burlridge.message.PeerMessage
 import it.unimi.dsi.fastutil.longs.Long2ObjectOpenHashMap
 
-/** Requests forwarded to other controllers and news of accepted jobs; knows from their statuses which members can be asked. */
+/** Forwards requests to other controllers and announces accepted jobs; tracks from their statuses which members can be asked. */
 internal class PeerRequests(
     private val context: StepContext,
 ) {
     private val pendingRequests = Long2ObjectOpenHashMap<(HttpResponse?) -> Unit>()
 
-    /** Begins at random: a response to a request of this member's previous process must not match one of this process. */
+    /** Starts at a random value: a response to a request of this member's previous process must not match one of this process. */
     private var nextRequestId = context.random.nextLong(Long.MAX_VALUE / 2)
     private val statuses = HashMap<String, PeerMessage.Status>()
     private val lastMessageAt = HashMap<String, Double>()
 
-    /** Takes note of any message: its sender is alive. */
+    /** Records the arrival of any message, which shows that its sender is alive, and keeps the latest status. */
     fun onMessage(message: PeerMessage) {
         lastMessageAt[message.from] = context.now
         if (message is PeerMessage.Status) statuses[message.from] = message
     }
 
-    /** A member, not silent, whose last status said that it reaches the state service; null where there is none. */
+    /** Returns a member that is not silent and whose last status said that it reaches the state service; null if there is none. */
     fun memberReachingStore(): String? = statuses.values.firstOrNull { it.storeReachable && !isSilent(it.from) }?.from
 
-    /** Whether [leader] said as leader that it receives no heartbeats from [zone]. */
+    /** Whether [leader], in its last status, reported as leader that it receives no heartbeats from [zone]. */
     fun leaderLacksHeartbeatsFrom(
         leader: String,
         zone: String,
     ): Boolean = statuses[leader]?.let { it.isLeader && zone in it.zonesWithoutHeartbeats } ?: false
 
-    /** Whether no message of [member] has arrived lately. */
+    /** Whether no message of [member] has arrived in the last [SILENCE_TIMEOUT_SECONDS]. */
     fun isSilent(member: String): Boolean = context.now > (lastMessageAt[member] ?: Double.NEGATIVE_INFINITY) + SILENCE_TIMEOUT_SECONDS
 
-    /** Forwards a request to [member]; null where it does not respond within [timeoutSeconds], at once where it is silent. */
+    /** Forwards a request to [member]. The result is null after [timeoutSeconds] without a response, immediately if it is silent. */
     fun forward(
         member: String,
         method: String,
@@ -52,13 +52,13 @@
         context.schedule(timeoutSeconds) { pendingRequests.remove(id)?.invoke(null) }
     }
 
-    /** One that comes after the timeout is ignored. */
+    /** Passes on the response to a forwarded request; one that arrives after the timeout is ignored. */
     fun onResponse(response: PeerMessage.ForwardedResponse) {
         val retryAfterSeconds = response.retryAfterSeconds.takeIf { it > 0 }
         pendingRequests.remove(response.requestId)?.invoke(HttpResponse(response.status, response.body, retryAfterSeconds))
     }
 
-    /** Tells all other members that this one has accepted [job]. */
+    /** Notifies all other members that this one has accepted [job]. */
     fun broadcastJobAccepted(job: String) {
         context.settings.others.forEach { context.send(it.member, PeerMessage.JobAccepted(context.settings.member, job)) }
     }
--- a/src/main/kotlin/burlridge/peer/PeerTransport.kt
+++ b/src/main/kotlin/burlridge/peer/PeerTransport.kt
@@ -21,8 +21,8 @@
 import kotlinx.io.readByteArray
 
 /**
- * One outgoing connection to each other member, and those that they open to this one. A frame is a length of four bytes, big-endian, and a
- * protobuf message. Messages to a member that is down or slow are dropped, the oldest first.
+ * Sends and receives messages over one outgoing connection to each other member, and the connections that they open to this one. A frame is
+ * a length of four bytes, big-endian, and a protobuf message. Messages to a member that is down or slow are dropped, the oldest first.
  */
 internal class PeerTransport(
     private val settings: Settings,
@@ -35,11 +35,11 @@
         val sendDeadline: Double,
     )
 
-    /** Where a zone is cut off from the leader another member relays all of its heartbeats, so the queue grows with the fleet. */
+    /** If a zone is partitioned from the leader, another member relays all of its heartbeats, so the queue grows with the fleet. */
     private val queueCapacity = maxOf(MIN_QUEUE_CAPACITY, (settings.limits.maxConnections * QUEUE_SLOTS_PER_CONNECTION).toInt())
     private val queues = settings.others.associate { it.member to Channel<QueuedMessage>(queueCapacity, BufferOverflow.DROP_OLDEST) }
 
-    /** Queues [message]; a name that is no other member is ignored. Past [sendDeadline], in seconds of the steady clock, it is dropped. */
+    /** Queues [message], which is dropped after [sendDeadline] (monotonic, in seconds). Ignored if [member] is no other member. */
     fun send(
         member: String,
         message: PeerMessage,
@@ -68,7 +68,7 @@
                 val size = connection.input.readInt()
                 if (size !in 1..MAX_FRAME_BYTES) break
                 val frame = connection.input.readByteArray(size)
-                // A kind of message that only a later version knows is no reason to close: the frame is whole, and the next may be known.
+                // A message type of a later version does not end the connection: the frame is complete, and the next may be supported.
                 PeerMessage.decodeOrNull(frame)?.let(onMessage) ?: onUnknownMessage()
             }
         }
@@ -76,7 +76,7 @@
         override fun onClosed(connection: Connection) = Unit
     }
 
-    /** Connects to one member, sends its queue, and connects again whenever that ends. */
+    /** Connects to one member, sends its queue, and reconnects whenever the connection ends. */
     private suspend fun keepConnected(
         scope: CoroutineScope,
         target: Endpoint,
@@ -86,13 +86,13 @@
             try {
                 connectAndSend(scope, target, queue)
             } catch (_: TimeoutCancellationException) {
-                // The member does not respond: connect again.
+                // The member does not respond: reconnect.
             } catch (e: CancellationException) {
                 throw e
             } catch (_: Exception) {
-                // The member is down, or its name does not resolve. Whatever it was, nothing but another attempt helps.
+                // The member is down, or its name does not resolve. Whatever the cause, the only remedy is another attempt.
             }
-            // Messages queued for the old connection are out of date.
+            // Messages queued for the old connection are stale.
             while (queue.tryReceive().isSuccess) Unit
             delay(RECONNECT_DELAY_MILLIS)
         }
@@ -114,7 +114,7 @@
         }
     }
 
-    /** Waits for a message and takes those queued behind it along in one write; empty where all are past their deadline. */
+    /** Waits for a message and combines it with those queued behind it into one write; empty if all are past their deadline. */
     private suspend fun nextFrames(queue: Channel<QueuedMessage>): Buffer {
         val frames = Buffer()
         var next = queue.receive()
@@ -140,7 +140,7 @@
         const val RECONNECT_DELAY_MILLIS = 300L
         const val MAX_FRAME_BYTES = 256 * 1024
 
-        /** A write of so many bytes is not extended further. */
+        /** No further message is added to a write of at least this size. */
         const val MAX_WRITE_BYTES = 64 * 1024
     }
 }
--- a/src/main/kotlin/burlridge/store/CommitRetry.kt
+++ b/src/main/kotlin/burlridge/store/CommitRetry.kt
@@ -12,10 +12,10 @@
     private val onUncertaintyChanged: (Boolean) -> Unit,
     private val onResult: (TransactionResult) -> Unit,
 ) {
-    /** Whether the outcome of any copy sent so far is unknown. */
+    /** Whether the outcome of any attempt so far is unknown. */
     private var hasUnknownAttempt = false
 
-    /** Sends the transaction, and again until its outcome is known. */
+    /** Sends the transaction, and retries it until its outcome is known. */
     fun run() {
         store.commit(transaction, priority, UNLIMITED_WAIT_SECONDS, { onUncertaintyChanged(true) }, ::onOutcome)
     }
@@ -31,7 +31,7 @@
     private companion object {
         const val RETRY_DELAY_SECONDS = 0.25
 
-        /** So long that the transaction is never dropped from the queue. */
+        /** Long enough that the transaction is never dropped from the queue. */
         const val UNLIMITED_WAIT_SECONDS = 1e9
     }
 }
--- a/src/main/kotlin/burlridge/store/LeaseResults.kt
+++ b/src/main/kotlin/burlridge/store/LeaseResults.kt
@@ -1,22 +1,22 @@
 package burlridge.store
 
-/** What became of a request for a lease. */
+/** Result of a request for a lease. */
 internal sealed interface LeaseGrant {
-    /** The lease [leaseId] is granted, for the time to live that was asked for. */
+    /** The lease [leaseId] is granted with the requested time to live. */
     data class Granted(
         val leaseId: Long,
     ) : LeaseGrant
 
-    /** No lease is known of; one that was granted all the same expires unused. */
+    /** No lease ID was received. If a lease was granted nevertheless, it expires unused. */
     data object Failed : LeaseGrant
 }
 
-/** What became of the renewal of a lease. */
+/** Result of the renewal of a lease. */
 internal enum class LeaseRenewal {
-    /** The lease lives for another time to live. */
+    /** The lease is valid for another full time to live. */
     RENEWED,
 
-    /** The lease has expired or was revoked, and its rows are gone. */
+    /** The lease has expired or was revoked, and the rows attached to it are deleted. */
     EXPIRED,
 
     /** No usable answer: the renewal may or may not have been carried out. */
--- a/src/main/kotlin/burlridge/store/ReadResults.kt
+++ b/src/main/kotlin/burlridge/store/ReadResults.kt
@@ -1,22 +1,22 @@
 package burlridge.store
 
-/** What became of the reading of one row. */
+/** Result of reading one row. */
 internal sealed interface ReadResult<out T> {
     /** The row exists. */
     data class Found<T>(
         val value: T,
     ) : ReadResult<T>
 
-    /** There is no such row. */
+    /** The row does not exist. */
     data object Absent : ReadResult<Nothing>
 
-    /** There is no usable answer. */
+    /** There was no usable answer. */
     data object Failed : ReadResult<Nothing>
 }
 
-/** What became of a listing, in whole or of one page. */
+/** Result of a listing, or of one page of it. */
 internal sealed interface ListResult<out T> {
-    /** All rows were read. */
+    /** All rows of the listing or page were read. */
     data class Listed<T>(
         val value: T,
     ) : ListResult<T>
--- a/src/main/kotlin/burlridge/store/RequestQueue.kt
+++ b/src/main/kotlin/burlridge/store/RequestQueue.kt
@@ -3,8 +3,8 @@
 import burlridge.core.StepContext
 
 /**
- * Sends requests by priority within this member's part of the rate limits that all members share: one on requests, and one on changed
- * rows.
+ * Sends requests by priority within this member's share of the rate limits that apply to all members together: one on requests, and one on
+ * changed rows.
  */
 internal class RequestQueue(
     private val context: StepContext,
@@ -18,12 +18,12 @@
         val send: () -> Unit,
     )
 
-    /** Why the sending of writes of one priority ended. */
+    /** Why the writes of one priority stopped being sent. */
     private enum class WriteStopReason { QUEUE_EMPTY, NO_CHANGE_TOKENS, NO_REQUEST_TOKENS }
 
     private val settings = context.settings
 
-    // Users come in bursts, and hardly to all members in the same second: each may use more than its part for a moment.
+    // User requests come in bursts, and rarely to all members in the same second: each member may briefly exceed its share.
     private val changeTokens = TokenBucket(settings.store.writeRps / BURST_DIVISOR)
     private val requestTokens = TokenBucket(settings.store.rps / BURST_DIVISOR)
     private val writes = RequestPriority.entries.associateWith { ArrayDeque<QueuedRequest>() }
@@ -31,12 +31,12 @@
     private val allQueues = writes.values + reads.values
     private var pausedUntil = 0.0
 
-    /** The leader has a larger part of the limits than the other members. */
+    /** Whether this member leads. The leader has a larger share of the limits than the other members. */
     var isLeader: Boolean = false
 
     /**
-     * Queues a request that changes [changeCount] rows, 0 for a read, and sends what may be sent now. Calls [send] in its turn, or
-     * [onDropped] once it has waited for more than [maxWaitSeconds].
+     * Queues a request that changes [changeCount] rows (0 for a read), and sends what the limits allow now. Calls [send] when it is the
+     * request's turn, or [onDropped] once it has waited longer than [maxWaitSeconds].
      */
     fun enqueue(
         priority: RequestPriority,
@@ -50,14 +50,14 @@
         sendQueued()
     }
 
-    /** The store has refused a request because of its rate: nothing is sent for a moment, and no burst after it. */
+    /** Pauses sending after the store has throttled a request, and removes all tokens, so that no burst follows the pause. */
     fun pause() {
         changeTokens.drain()
         requestTokens.drain()
         pausedUntil = context.now + THROTTLE_PAUSE_SECONDS
     }
 
-    /** Drops what has waited too long, and sends what may be sent now. */
+    /** Drops requests that have waited too long, and sends those that the limits allow now. */
     fun sendQueued() {
         refill()
         dropExpired()
@@ -81,7 +81,7 @@
     private fun sendByPriority() {
         var canWrite = true
         for (priority in RequestPriority.entries) {
-            // A read never waits for change tokens: polls went unanswered behind a burst of submissions.
+            // A read never waits for change tokens: when reads did, polls went unanswered behind a burst of submissions.
             if (!sendReads(reads.getValue(priority))) return
             if (!canWrite) continue
             when (sendWrites(writes.getValue(priority))) {
@@ -95,7 +95,7 @@
         }
     }
 
-    /** False where request tokens are short. */
+    /** Sends all reads of [queue]; returns false if the request tokens do not suffice. */
     private fun sendReads(queue: ArrayDeque<QueuedRequest>): Boolean {
         while (queue.isNotEmpty()) if (!sendFirst(queue)) return false
         return true
@@ -122,10 +122,10 @@
     private companion object {
         const val THROTTLE_PAUSE_SECONDS = 0.25
 
-        /** A member's burst, as a fraction of the shared limits per second. */
+        /** A member's burst is the shared limit per second divided by this. */
         const val BURST_DIVISOR = 5
 
-        /** The leader's part of the shared limits; the other members write submissions only. */
+        /** The leader's share of the limits; the other members write only submissions. */
         const val LEADER_SHARE = 0.6
     }
 }
--- a/src/main/kotlin/burlridge/store/Row.kt
+++ b/src/main/kotlin/burlridge/store/Row.kt
@@ -9,13 +9,13 @@
     val modRevision: Long,
 )
 
-/** All rows under a prefix, in the order of their keys; every change after [revision] is still to be watched for. */
+/** All rows under a prefix, in the order of their keys. Changes after [revision] may be missing and must be watched for. */
 internal data class Listing(
     val rows: List<Row>,
     val revision: Long,
 )
 
-/** One answer to a listing, read at [revision]; where it [isTruncated], more rows follow the last one. */
+/** One page of a listing, read at [revision]. If it [isTruncated], more rows follow the last one. */
 internal data class ListPage(
     val rows: List<Row>,
     val isTruncated: Boolean,
--- a/src/main/kotlin/burlridge/store/StoreClient.kt
+++ b/src/main/kotlin/burlridge/store/StoreClient.kt
@@ -7,8 +7,8 @@
 import com.fasterxml.jackson.databind.JsonNode
 
 /**
- * The client of the key-value store. Requests wait in a [RequestQueue] for this member's part of the shared rate limits; one that waits
- * for too long ends as if it had been refused.
+ * The client of the key-value store. Requests wait in a [RequestQueue] for this member's share of the rate limits; one that waits too long
+ * ends as if the store had refused it.
  */
 internal class StoreClient(
     private val context: StepContext,
@@ -19,15 +19,15 @@
     private var lastServedAt = 0.0
     private var lastFailedAt = -1.0
 
-    /** Whether the store has lately answered this member with anything but 503. */
+    /** Whether the latest call was answered with a status other than 503, or any call was within the last [CALL_TIMEOUT_SECONDS]. */
     val isServing: Boolean get() = lastFailedAt < lastServedAt || context.now - lastServedAt < CALL_TIMEOUT_SECONDS
 
-    /** Whether this member leads, which gives it a larger part of the rate limits. */
+    /** Sets whether this member leads, which gives it a larger share of the rate limits. */
     fun setLeader(isLeader: Boolean) {
         queue.isLeader = isLeader
     }
 
-    /** Sends what waits and may be sent now; called at the end of each step. */
+    /** Sends the queued requests that the rate limits allow now; called at the end of each step. */
     fun sendQueued() = queue.sendQueued()
 
     /** Whether a row can hold [value]. */
@@ -48,7 +48,7 @@
         }
     }
 
-    /** Reads all rows under [prefix], in as many pages as it takes. */
+    /** Reads all rows under [prefix], in as many pages as needed. */
     fun list(
         prefix: String,
         priority: RequestPriority,
@@ -62,7 +62,7 @@
         }
     }
 
-    /** Adds [page] to [rows] and reads the pages after it; the listing counts from the revision of its first page. */
+    /** Adds [page] to [rows] and reads the pages after it; the listing has the revision of its first page. */
     private fun listRest(
         prefix: String,
         priority: RequestPriority,
@@ -81,7 +81,7 @@
         }
     }
 
-    /** Reads at most [limit] rows under [prefix], those after the key [after]; empty for the first. */
+    /** Reads at most [limit] rows under [prefix] whose keys follow [after]; an empty [after] reads from the first row. */
     fun listPage(
         prefix: String,
         after: String,
@@ -114,7 +114,7 @@
 
     // --- transactions
 
-    /** Sends [transaction] once. [onSend] is called as it leaves; it is refused if it waits longer than [maxWaitSeconds] for that. */
+    /** Sends [transaction] once and calls [onSend] at that time; it is rejected if it waits in the queue longer than [maxWaitSeconds]. */
     fun commit(
         transaction: Transaction,
         priority: RequestPriority,
@@ -166,9 +166,9 @@
     }
 
     /**
-     * Repeats [transaction] until its outcome is known or [isWanted] turns false; each row must have a condition on its revision, so that
-     * no more than one copy can be executed. [onUncertaintyChanged] is called with true when a copy leaves, since it may be executed without our
-     * knowing, and with false once all copies sent are known to be refused.
+     * Repeats [transaction] until its outcome is known or [isWanted] returns false; each row must have a condition on its revision, so that
+     * at most one copy can be executed. [onUncertaintyChanged] is called with true when a copy is sent, since the copy may be executed
+     * although no answer arrives, and with false once all copies sent are known to be refused.
      */
     fun commitUntilKnown(
         transaction: Transaction,
@@ -180,7 +180,7 @@
 
     // --- leases
 
-    /** Asks for a lease that expires [ttlMillis] after its last renewal. */
+    /** Requests a lease that expires [ttlMillis] after its last renewal. */
     fun grantLease(
         ttlMillis: Long,
         onResult: (LeaseGrant) -> Unit,
@@ -192,7 +192,7 @@
         }
     }
 
-    /** Renews a lease at once, whatever waits in the queue. */
+    /** Renews a lease immediately, bypassing the queue. */
     fun renewLease(
         leaseId: Long,
         timeoutSeconds: Double,
@@ -203,7 +203,7 @@
         }
     }
 
-    /** Ends a lease, and with it the rows attached to it; if the call fails, the lease expires by itself. */
+    /** Revokes a lease, which deletes the rows attached to it. If the call fails, the lease expires by itself. */
     fun revokeLease(leaseId: Long) {
         call("DELETE", StorePaths.lease(leaseId), null, CALL_TIMEOUT_SECONDS) { _, _ -> }
     }
@@ -216,7 +216,7 @@
         send: () -> Unit,
     ) = queue.enqueue(priority, 0, READ_MAX_WAIT_SECONDS, onDropped, send)
 
-    /** Calls back with [WatchResult.NO_STATUS] where no answer came. */
+    /** Calls [onResponse] with [WatchResult.NO_STATUS] if no answer arrived. */
     private fun call(
         method: String,
         path: String,
--- a/src/main/kotlin/burlridge/store/StoreCodec.kt
+++ b/src/main/kotlin/burlridge/store/StoreCodec.kt
@@ -5,15 +5,15 @@
 import com.fasterxml.jackson.databind.JsonNode
 
 /**
- * The JSON of the key-value store's requests and answers. An answer's body is null where there is none or it is not JSON; its status is
- * [WatchResult.NO_STATUS] where none came.
+ * Encodes the JSON requests to the key-value store and decodes its answers. The body of an answer is null if there is none or it is not
+ * JSON; the status is [WatchResult.NO_STATUS] if no answer arrived.
  */
 internal object StoreCodec {
     private const val LEASE_NOT_FOUND = "no such lease"
 
     // --- rows
 
-    /** The answer to a read of the row [key]. */
+    /** Decodes the answer to a read of the row [key]. */
     fun decodeRow(
         key: String,
         status: Int,
@@ -27,7 +27,7 @@
         }
     }
 
-    /** The answer to a listing. */
+    /** Decodes the answer to a request for one page of a listing. */
     fun decodePage(
         status: Int,
         body: JsonNode?,
@@ -41,7 +41,7 @@
 
     // --- transactions
 
-    /** The body of a request for [transaction]. */
+    /** Encodes the request body of [transaction]. */
     fun encodeTransaction(transaction: Transaction): String =
         Json.write(
             Json.obj {
@@ -67,7 +67,7 @@
             }
         }
 
-    /** The answer to a transaction. */
+    /** Decodes the answer to a transaction. */
     fun decodeTransactionResult(
         status: Int,
         body: JsonNode?,
@@ -96,10 +96,10 @@
 
     // --- leases
 
-    /** The body of a request for a lease. */
+    /** Encodes the body of a request for a lease. */
     fun encodeLeaseRequest(ttlMillis: Long): String = "{\"ttlMs\":$ttlMillis}"
 
-    /** The answer to a request for a lease. */
+    /** Decodes the answer to a request for a lease. */
     fun decodeLeaseGrant(
         status: Int,
         body: JsonNode?,
@@ -108,7 +108,7 @@
         return if (status == HttpStatus.OK && leaseId?.isNumber == true) LeaseGrant.Granted(leaseId.asLong()) else LeaseGrant.Failed
     }
 
-    /** The answer to the renewal of a lease; its body says nothing more. */
+    /** Decodes the answer to the renewal of a lease; only its status matters. */
     fun decodeLeaseRenewal(status: Int): LeaseRenewal =
         when (status) {
             HttpStatus.OK -> LeaseRenewal.RENEWED
@@ -118,7 +118,7 @@
 
     // --- watches
 
-    /** The answer to a watch. */
+    /** Decodes the answer to a watch. */
     fun decodeWatch(
         status: Int,
         body: JsonNode?,
--- a/src/main/kotlin/burlridge/store/StorePaths.kt
+++ b/src/main/kotlin/burlridge/store/StorePaths.kt
@@ -5,10 +5,10 @@
     const val TRANSACTION: String = "/multi"
     const val LEASES: String = "/leases"
 
-    /** The row [key]. */
+    /** Path of the row [key]. */
     fun row(key: String): String = "/store/$key"
 
-    /** At most [limit] rows under [prefix], those after the key [after]; empty for the first. */
+    /** Path that lists at most [limit] rows under [prefix] whose keys follow [after]; an empty [after] lists from the first row. */
     fun listing(
         prefix: String,
         after: String,
@@ -18,7 +18,7 @@
         return "/store?starts=$prefix$from&limit=$limit"
     }
 
-    /** The changes under [prefix] after [revision]; without any, the answer comes after [blockMillis]. */
+    /** Path that watches for changes under [prefix] after [revision]; if there are none, the answer comes after [blockMillis]. */
     fun watch(
         prefix: String,
         revision: Long,
--- a/src/main/kotlin/burlridge/store/TokenBucket.kt
+++ b/src/main/kotlin/burlridge/store/TokenBucket.kt
@@ -1,13 +1,13 @@
 package burlridge.store
 
-/** A rate limiter whose tokens are refilled at a rate up to one second's worth, or to [burst] where that is more. */
+/** A token bucket for rate limiting. It is refilled at a given rate up to the tokens of one second, or to [burst] if that is more. */
 internal class TokenBucket(
     private val burst: Double,
 ) {
     private var tokens = burst
     private var refilledAt = 0.0
 
-    /** Adds the tokens of the time since the last refill, at [ratePerSecond]; [now] is in seconds. */
+    /** Adds the tokens for the time since the last refill, at [ratePerSecond]; [now] is in seconds. */
     fun refill(
         now: Double,
         ratePerSecond: Double,
@@ -16,17 +16,17 @@
         refilledAt = now
     }
 
-    /** Whether [amount] tokens can be taken. What costs more than [burst] can be taken once that many are there, on credit. */
+    /** Whether [amount] tokens can be taken. More than [burst] can be taken once [burst] are available; the balance becomes negative. */
     fun canTake(amount: Double): Boolean = tokens >= minOf(amount, burst)
 
-    /** Takes [amount] tokens if it can, and says whether it did. */
+    /** Takes [amount] tokens if possible, and returns whether it did. */
     fun take(amount: Double): Boolean {
         if (!canTake(amount)) return false
         tokens -= amount
         return true
     }
 
-    /** Leaves no tokens; debts remain. */
+    /** Removes all tokens; a negative balance remains. */
     fun drain() {
         tokens = minOf(tokens, 0.0)
     }
--- a/src/main/kotlin/burlridge/store/Transaction.kt
+++ b/src/main/kotlin/burlridge/store/Transaction.kt
@@ -8,11 +8,11 @@
     val modRevision: Long,
 )
 
-/** What a transaction does to the row [key]. */
+/** A change of the row [key] by a transaction. */
 internal sealed interface Change {
     val key: String
 
-    /** Writes [value]. The row is removed when the lease [leaseId] expires; null for a row that lasts. */
+    /** Writes [value]. The row is removed when the lease [leaseId] expires; null for a row without a lease. */
     data class Put(
         override val key: String,
         val value: JsonNode,
@@ -31,7 +31,7 @@
     val changes: List<Change>,
 )
 
-/** How a transaction ended. */
+/** Outcome of a transaction. */
 internal sealed interface TransactionResult {
     /** All changes were made, at [revision]. */
     data class Committed(
@@ -49,9 +49,9 @@
     /** Possibly executed, or still to be executed. */
     data object Unknown : TransactionResult
 
-    /** Larger than the key-value store accepts, so never sent: repeating it would never help. */
+    /** Never sent, because it is larger than the key-value store accepts; a retry cannot succeed. */
     data object TooLarge : TransactionResult
 
-    /** Not executed, whatever the conditions are: a lease that a row was to be attached to has expired. */
+    /** Not executed, regardless of the conditions: a lease that a row was to be attached to has expired. */
     data object LeaseNotFound : TransactionResult
 }
--- a/src/main/kotlin/burlridge/store/TransactionLimits.kt
+++ b/src/main/kotlin/burlridge/store/TransactionLimits.kt
@@ -12,7 +12,7 @@
     val allowed: Int,
 )
 
-/** What is limited in a transaction; [label] stands in the log. */
+/** A limited quantity of a transaction; [label] is its name in the log. */
 internal enum class TransactionLimit(
     val label: String,
 ) {
@@ -22,11 +22,11 @@
     BODY_BYTES("body_bytes"),
 }
 
-/** The one place where every transaction is checked against the limits, those announced for later included. */
+/** The single place that checks every transaction against the store's limits, including limits announced for the future. */
 internal class TransactionLimits(
     private val limits: StoreLimits,
 ) {
-    /** The first limit that [transaction], whose encoding is [body], exceeds; null where it keeps all. */
+    /** Returns the first limit that [transaction], whose encoding is [body], exceeds; null if it exceeds none. */
     fun exceededBy(
         transaction: Transaction,
         body: String,
@@ -44,7 +44,7 @@
     }
 
     private fun exceededByBody(body: String): LimitExceeded? {
-        // Nearly all characters take one byte, so that only long bodies are measured.
+        // Nearly all characters take one byte, so only bodies above half the limit are measured.
         if (body.length <= MAX_BODY_BYTES / 2) return null
         val bytes = Utf8.encodedLength(body)
         return if (bytes > MAX_BODY_BYTES) LimitExceeded(TransactionLimit.BODY_BYTES, bytes, MAX_BODY_BYTES) else null
@@ -56,7 +56,7 @@
     private fun encodedBytes(value: JsonNode): Int = Utf8.encodedLength(Json.write(value))
 
     internal companion object {
-        /** Conditions that a transaction may have for each change that it may have. */
+        /** Number of conditions that a transaction may have per change that it may have. */
         const val CONDITIONS_PER_CHANGE: Int = 4
         private const val MAX_BODY_BYTES = 64 * 1024
     }
--- a/src/test/kotlin/burlridge/leadership/FormerLeadersTest.kt
+++ b/src/test/kotlin/burlridge/leadership/FormerLeadersTest.kt
@@ -17,7 +17,7 @@
     private fun at(seconds: Double) = context.beginStep(seconds, WALL_MILLIS + (seconds * 1000).toLong())
 
     @Test
-    fun `a former leader may answer for the whole bound unless it confirms that it does not`() {
+    fun `a former leader may answer for the whole answer window unless it confirms that it does not`() {
         val other = others.first()
         at(10.0)
         formerLeaders.beginTerm(mapOf(other to WALL_MILLIS, member to WALL_MILLIS))
@@ -32,14 +32,14 @@
     }
 
     @Test
-    fun `with no former leader but this member itself nobody can be answering`() {
+    fun `no former leader can be answering if this member is the only former leader`() {
         at(10.0)
         formerLeaders.beginTerm(mapOf(member to WALL_MILLIS))
         assertEquals(10.0, formerLeaders.answerUntil)
     }
 
     @Test
-    fun `where the rows do not say who led any other member may have`() {
+    fun `any other member may be a former leader if the rows do not name them`() {
         assertTrue(others.isNotEmpty())
         at(10.0)
         formerLeaders.beginTerm(null)
@@ -52,7 +52,7 @@
     }
 
     @Test
-    fun `a former leader is forgotten after twice the bound`() {
+    fun `a former leader is dropped after twice the answer window`() {
         at(100.0)
         val now = context.wallMillis
         val retentionMillis = (2 * ANSWER_WINDOW_SECONDS * 1000).toLong()
--- a/src/test/kotlin/burlridge/store/RequestQueueTest.kt
+++ b/src/test/kotlin/burlridge/store/RequestQueueTest.kt
@@ -7,7 +7,7 @@
 import org.junit.jupiter.api.Assertions.assertTrue
 import org.junit.jupiter.api.Test
 
-/** What goes first, and what waits, while the rate limits bind. */
+/** Tests the order in which requests are sent while the rate limits hold them back. */
 internal class RequestQueueTest {
     private val context = StepContext(Settings.parse(ClassArchiveTraining.settings()), 1)
     private val queue = RequestQueue(context)
@@ -23,14 +23,14 @@
         maxWaitSeconds: Double = 100.0,
     ) = queue.enqueue(priority, changeCount, maxWaitSeconds, { dropped += name }) { sent += name }
 
-    /** No token is left and nothing is sent, until the pause is over. */
+    /** Removes all tokens and stops sending until the end of the pause. */
     private fun pause() {
         at(1.0)
         queue.pause()
     }
 
     @Test
-    fun `after a pause requests go by priority, whatever the order of their arrival`() {
+    fun `after a pause requests are sent by priority regardless of their order of arrival`() {
         pause()
         RequestPriority.entries.reversed().forEach { add(it.name, it) }
         queue.sendQueued()
@@ -41,9 +41,9 @@
         assertEquals(1, context.counters.getLong("store.requests.cleanup"))
     }
 
-    /** Polls went unanswered behind a burst of submissions. */
+    /** Guards against polls that go unanswered behind a burst of submissions. */
     @Test
-    fun `reads are not held up by writes that wait for tokens, and no write overtakes a more urgent one`() {
+    fun `reads do not wait for writes that lack tokens, and no write overtakes one of higher priority`() {
         at(0.0)
         repeat(1000) { add("submission $it", RequestPriority.USER, changeCount = 8) }
         val submissions = sent.size
--- a/src/test/kotlin/burlridge/store/StoreCodecTest.kt
+++ b/src/test/kotlin/burlridge/store/StoreCodecTest.kt
@@ -4,10 +4,10 @@
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Test
 
-/** The wire format of the key-value store; an answer that breaks the protocol is never taken for a success. */
+/** Tests the wire format of the key-value store; an answer that violates the protocol is never decoded as a success. */
 internal class StoreCodecTest {
     @Test
-    fun `a transaction is written as the protocol says`() {
+    fun `a transaction is encoded as the protocol specifies`() {
         val transaction =
             Transaction(
                 listOf(Condition("live/j-1", 0), Condition("term", 7)),
@@ -21,7 +21,7 @@
     }
 
     @Test
-    fun `only a certain answer settles a transaction`() {
+    fun `a transaction has a definite result only if the answer is unambiguous`() {
         fun result(
             status: Int,
             body: String,
@@ -39,7 +39,7 @@
     }
 
     @Test
-    fun `reads, listings and leases without a usable answer have failed`() {
+    fun `reads, listings and lease requests without a usable answer are decoded as failed`() {
         assertEquals(ReadResult.Absent, StoreCodec.decodeRow("term", 404, null))
         assertEquals(ReadResult.Failed, StoreCodec.decodeRow("term", 200, Json.parse("{}")))
         assertEquals(ListResult.Failed, StoreCodec.decodePage(200, Json.parse("""{"pairs":7}""")))
@@ -49,7 +49,7 @@
     }
 
     @Test
-    fun `a watch tells changes from a compacted history and from no answer`() {
+    fun `a watch answer is decoded as changes, compacted history or failure`() {
         val body = """{"ledgerRev":9,"events":[{"set":"live/1","value":7,"stamp":8},{"remove":"live/2","stamp":9}]}"""
         val events = listOf(WatchEvent.Put("live/1", Json.parse("7"), 8), WatchEvent.Delete("live/2", 9))
         assertEquals(WatchResult.Changes(9, events), StoreCodec.decodeWatch(200, Json.parse(body)))
