--- a/src/main/kotlin/burlridge/worker/HeartbeatRelay.kt
+++ b/src/main/kotlin/burlridge/worker/HeartbeatRelay.kt
@@ -42,7 +42,7 @@
         val cutOffWorker = previous?.takeIf { cannotReachLeader(it) }
         // If the leader reports that it receives no heartbeats from the zone, its workers are relayed without being redirected first. A
         // worker that has been relayed for the duration of a lease is redirected once, to test whether it can reach the leader again.
-        val relayWithoutRedirect = previous?.relayedSince == null && peers.leaderMissesZone(leader, heartbeat.zone.orEmpty())
+        val relayWithoutRedirect = previous?.relayedSince == null && peers.leaderLacksHeartbeatsFrom(leader, heartbeat.zone.orEmpty())
         val worker = cutOffWorker ?: RedirectedWorker(leader, context.now).also { redirected[heartbeat.machine] = it }
         if (cutOffWorker == null && !relayWithoutRedirect) return respond(WorkerApi.redirectTo(leader))
         worker.relayedSince = worker.relayedSince ?: context.now
