--- a/src/main/kotlin/burlridge/allocation/ActiveJobRow.kt
+++ b/src/main/kotlin/burlridge/allocation/ActiveJobRow.kt
@@ -17,7 +17,7 @@
         /** The id of the job whose row has [key]. */
         fun jobOf(key: String): String = key.substringAfter('/')
 
-        /** Holds while the row of [job] is as it was admitted, which it is until the job ends. */
+        /** Condition that the row of [job] is unchanged since the job was admitted, which it is until the job ends. */
         fun condition(job: Job): Condition = Condition(key(job.spec.id), job.modRevision)
     }
 }
--- a/src/main/kotlin/burlridge/allocation/AllocationBatchCleaner.kt
+++ b/src/main/kotlin/burlridge/allocation/AllocationBatchCleaner.kt
@@ -9,7 +9,7 @@
 import burlridge.store.StoreClient
 import burlridge.store.TransactionResult
 
-/** Keeps batch rows up to date: settled ones are offered for reuse and later removed, and lost allocations are marked in their rows. */
+/** Maintains the batch rows: obsolete rows are offered for reuse and later removed, and lost allocations are marked in their rows. */
 internal class AllocationBatchCleaner(
     private val context: StepContext,
     private val store: StoreClient,
@@ -19,29 +19,29 @@
 ) {
     private val fenced = FencedStore(store, leadership)
 
-    /** One pass: reuses, rewrites and removes batch rows where that is due. */
+    /** Offers newly obsolete batch rows for reuse, and removes or rewrites those that are due. */
     fun run() {
-        batches.all.filter { isNewlySettled(it) }.forEach {
-            it.settledAt = context.now
+        batches.all.filter { isNewlyObsolete(it) }.forEach {
+            it.obsoleteSince = context.now
             batches.reusable.addLast(it)
         }
-        val unused = batches.reusable.takeWhile { hasExpired(it) }.take(context.settings.store.changesPerTransaction)
+        val unused = batches.reusable.takeWhile { isDueForRemoval(it) }.take(context.settings.store.changesPerTransaction)
         if (unused.isNotEmpty()) remove(unused)
         batches.all
-            .filter { it.isStale && it.modRevision > 0 && !it.isWriting && it.settledAt == null }
+            .filter { it.isStale && it.modRevision > 0 && !it.isWriting && it.obsoleteSince == null }
             .take(MAX_REWRITES_PER_RUN)
             .forEach { rewrite(it) }
     }
 
-    private fun isNewlySettled(batch: AllocationBatch): Boolean =
-        batch.modRevision > 0 && !batch.isWriting && batch.settledAt == null && batch.allocations.all(::isSettled)
+    private fun isNewlyObsolete(batch: AllocationBatch): Boolean =
+        batch.modRevision > 0 && !batch.isWriting && batch.obsoleteSince == null && batch.allocations.all(::isObsolete)
 
-    /** Whether no later batch has reused the row of [batch] for a heartbeat interval. */
-    private fun hasExpired(batch: AllocationBatch): Boolean =
-        context.now > (batch.settledAt ?: context.now) + context.settings.workers.reportSeconds
+    /** Whether [batch], whose row may be reused, has been obsolete for more than a heartbeat interval. */
+    private fun isDueForRemoval(batch: AllocationBatch): Boolean =
+        context.now > (batch.obsoleteSince ?: context.now) + context.settings.workers.reportSeconds
 
-    /** Whether no leader needs to know of [allocation] any more: its task's end is persisted, or a later attempt is. */
-    private fun isSettled(allocation: Allocation): Boolean {
+    /** Whether no leader needs [allocation] any more: its job has ended, its task is persisted as done, or a later attempt is stored. */
+    private fun isObsolete(allocation: Allocation): Boolean {
         if (!allocation.hasEnded) return false
         val job = jobs[allocation.job] ?: return true
         if (job.persistedDone.get(allocation.task)) return true
@@ -49,14 +49,14 @@
         return open.attempt > allocation.attempt && open.phase != AllocationPhase.COMMITTING
     }
 
-    private fun remove(expired: List<AllocationBatch>) {
-        expired.forEach {
+    private fun remove(unused: List<AllocationBatch>) {
+        unused.forEach {
             it.isWriting = true
             batches.reusable.remove(it)
         }
-        fenced.commit(emptyList(), expired.map { Change.Delete(it.rowKey) }, RequestPriority.CLEANUP) { result ->
+        fenced.commit(emptyList(), unused.map { Change.Delete(it.rowKey) }, RequestPriority.CLEANUP) { result ->
             if (result is TransactionResult.Committed) {
-                expired.forEach { batches.remove(it) }
+                unused.forEach { batches.remove(it) }
             } else {
                 fenced.stepDown()
             }
@@ -64,13 +64,14 @@
     }
 
     /**
-     * Marks the lost allocations of [batch] in its row, and leaves out those that are settled. A row that was written under larger limits
-     * may still be too large for that: then it stays as it is, and a new leader learns of the losses from heartbeats.
+     * Marks the lost allocations of [batch] in its row, and leaves out obsolete allocations other than those of gangs. A row that was
+     * written under larger limits may still be too large to be rewritten: it then stays as it is, and a new leader learns of the losses
+     * from heartbeats.
      */
     private fun rewrite(batch: AllocationBatch) {
         batch.isStale = false
-        val unsettled = batch.allocations.filter { jobs[it.job]?.spec?.gang == true || !isSettled(it) }
-        val row = AllocationBatchCodec.encode(batch, leadership.term, AllocationBatchWriter.liveUntilMillis(context), unsettled)
+        val neededAllocations = batch.allocations.filter { jobs[it.job]?.spec?.gang == true || !isObsolete(it) }
+        val row = AllocationBatchCodec.encode(batch, leadership.term, AllocationBatchWriter.liveUntilMillis(context), neededAllocations)
         if (!store.fitsValueLimit(row)) {
             context.debug("batch row too large to rewrite", "row" to batch.rowKey)
             return
@@ -95,7 +96,7 @@
         }
     }
 
-    /** An earlier copy of the transaction may have been applied: the row is written again under the revision that it now has. */
+    /** Reads the row's current revision, to rewrite the row under it: an earlier copy of the transaction may have been applied. */
     private fun readRevision(batch: AllocationBatch) {
         store.get(batch.rowKey, RequestPriority.CLEANUP) { read ->
             (read as? ReadResult.Found)?.let { batch.modRevision = it.value.modRevision }
@@ -104,7 +105,7 @@
     }
 
     private companion object {
-        /** Bounds what marking losses takes of the store's write rate. */
+        /** Limits how much of the store's write rate is used for marking losses. */
         const val MAX_REWRITES_PER_RUN = 2
     }
 }
--- a/src/main/kotlin/burlridge/allocation/AllocationBatchCodec.kt
+++ b/src/main/kotlin/burlridge/allocation/AllocationBatchCodec.kt
@@ -8,18 +8,18 @@
 import com.google.common.hash.Hashing
 
 /**
- * Reads and writes the rows of allocation batches. A job's charge and its allocations stand together, and each zone stands once, so that a
- * row holds as many allocations as it can.
+ * Reads and writes the rows of allocation batches. Allocations are grouped by job, with the job's charge written once per group, and each
+ * zone name is written once per row, so that a row holds as many allocations as possible.
  */
 internal object AllocationBatchCodec {
-    // Places of the fields in a job's array, in the order in which they are written.
+    // Positions of the fields in a job's array, in the order in which they are written.
     private const val TEAM = 0
     private const val CPUS = 1
     private const val GPUS = 2
     private const val MEMORY_GB = 3
-    private const val STARTS = 4
+    private const val ALLOCATIONS = 4
 
-    // Places of the fields in a start's array, in the order in which they are written.
+    // Positions of the fields in an allocation's array, in the order in which they are written.
     private const val TASK = 0
     private const val ATTEMPT = 1
     private const val MACHINE = 2
@@ -35,18 +35,18 @@
     /** Key of the row in [slot]. */
     fun rowKey(slot: String): String = KEY_PREFIX + slot
 
-    /** The row of [batch] under fencing token [token], with [allocations] in it; it counts as live until [untilMillis]. */
+    /** The value of the row of [batch], written in [term] and holding [allocations]; it counts as live until [untilMillis]. */
     fun encode(
         batch: AllocationBatch,
-        token: Long,
+        term: Long,
         untilMillis: Long,
         allocations: List<Allocation> = batch.allocations,
     ): JsonNode =
         Json.obj {
             val zones = allocations.map { it.zone }.distinct()
             put("st", STATUS)
-            put("n", batch.number)
-            put("tok", token)
+            put("n", batch.batchId)
+            put("tok", term)
             put("until", untilMillis)
             putArray("zones").also { array -> zones.forEach(array::add) }
             val jobs = putObject("jobs")
@@ -55,19 +55,19 @@
         }
 
     private fun encodeJob(
-        row: ArrayNode,
+        jobEntry: ArrayNode,
         allocations: List<Allocation>,
         zones: List<String>,
     ) {
         val charge = allocations.first().charge
-        row
+        jobEntry
             .add(charge.team)
-            .add(charge.size.cpus)
-            .add(charge.size.gpus)
-            .add(charge.size.memoryGb)
-        val starts = row.addArray()
+            .add(charge.resources.cpus)
+            .add(charge.resources.gpus)
+            .add(charge.resources.memoryGb)
+        val allocationEntries = jobEntry.addArray()
         allocations.forEach {
-            starts
+            allocationEntries
                 .addArray()
                 .add(it.task)
                 .add(it.attempt)
@@ -85,42 +85,42 @@
             .toString()
             .take(FINGERPRINT_LENGTH)
 
-    /** The batch as a new leader finds it: it knows where each task may be, not how far its attempt has come. */
+    /** The batch in [row], for a new leader: it shows on which machine each task may be, but not how far its attempt has come. */
     fun decode(row: Row): AllocationBatch {
         val zones = row.value.path("zones").map { it.asText() }
         val allocations =
-            row.value.path("jobs").properties().flatMap { (id, entry) ->
-                val charge = decodeCharge(entry)
-                entry.path(STARTS).map { decodeAllocation(id, it, zones, charge) }
+            row.value.path("jobs").properties().flatMap { (id, jobEntry) ->
+                val charge = decodeCharge(jobEntry)
+                jobEntry.path(ALLOCATIONS).map { decodeAllocation(id, it, zones, charge) }
             }
-        return AllocationBatch(row.key.substringAfter('/'), numberOf(row), allocations)
+        return AllocationBatch(row.key.substringAfter('/'), batchIdOf(row), allocations)
     }
 
-    /** The [AllocationBatch.number] in [row]. */
-    fun numberOf(row: Row): String = row.value.path("n").asText()
+    /** The [AllocationBatch.batchId] in [row]. */
+    fun batchIdOf(row: Row): String = row.value.path("n").asText()
 
-    private fun decodeCharge(entry: JsonNode): QuotaCharge {
-        val size = Resources(entry.path(CPUS).asDouble(), entry.path(GPUS).asDouble(), entry.path(MEMORY_GB).asDouble())
-        return QuotaCharge(entry.path(TEAM).asText(), size)
+    private fun decodeCharge(jobEntry: JsonNode): QuotaCharge {
+        val resources = Resources(jobEntry.path(CPUS).asDouble(), jobEntry.path(GPUS).asDouble(), jobEntry.path(MEMORY_GB).asDouble())
+        return QuotaCharge(jobEntry.path(TEAM).asText(), resources)
     }
 
     private fun decodeAllocation(
         job: String,
-        start: JsonNode,
+        entry: JsonNode,
         zones: List<String>,
         charge: QuotaCharge,
     ): Allocation =
         Allocation(
             job,
-            task = start.path(TASK).asInt(),
-            attempt = start.path(ATTEMPT).asInt(),
-            machine = start.path(MACHINE).asText(),
-            agentEpoch = start.path(AGENT_EPOCH).asLong(),
-            zone = zones.getOrElse(start.path(ZONE_INDEX).asInt()) { "" },
+            task = entry.path(TASK).asInt(),
+            attempt = entry.path(ATTEMPT).asInt(),
+            machine = entry.path(MACHINE).asText(),
+            agentEpoch = entry.path(AGENT_EPOCH).asLong(),
+            zone = zones.getOrElse(entry.path(ZONE_INDEX).asInt()) { "" },
             charge,
             AllocationPhase.DISPATCHED,
         ).also {
-            it.isLost = start.path(LOST).asInt() == 1
+            it.isLost = entry.path(LOST).asInt() == 1
             it.isInherited = true
         }
 }
--- a/src/main/kotlin/burlridge/allocation/AllocationBatchSet.kt
+++ b/src/main/kotlin/burlridge/allocation/AllocationBatchSet.kt
@@ -1,10 +1,10 @@
 package burlridge.allocation
 
-/** The batches whose rows exist or are being written, in the order in which they were made or loaded. */
+/** The batches whose rows exist or are being written, in the order in which they were created or loaded. */
 internal class AllocationBatchSet {
     private val bySlot = LinkedHashMap<String, AllocationBatch>()
 
-    /** Settled batches, oldest first: a later batch overwrites the row of one, which saves removing it. */
+    /** Obsolete batches, oldest first. A later batch overwrites the row of one, which saves removing it. */
     val reusable: ArrayDeque<AllocationBatch> = ArrayDeque()
 
     val all: Collection<AllocationBatch> get() = bySlot.values
@@ -14,12 +14,12 @@
         bySlot[batch.slot] = batch
     }
 
-    /** Forgets [batch]. */
+    /** Removes [batch] from the set; its row is not changed. */
     fun remove(batch: AllocationBatch) {
         bySlot.remove(batch.slot)
     }
 
-    /** Forgets all batches: a new term begins, or this one has ended. */
+    /** Removes all batches from the set when a term begins or ends; their rows are not changed. */
     fun clear() {
         bySlot.clear()
         reusable.clear()
--- a/src/main/kotlin/burlridge/allocation/AllocationBatchWriter.kt
+++ b/src/main/kotlin/burlridge/allocation/AllocationBatchWriter.kt
@@ -10,7 +10,7 @@
 import burlridge.store.TransactionLimits
 import burlridge.store.TransactionResult
 
-/** Writes new batches of allocations, and learns which of them may be started. */
+/** Writes new batches of allocations, and determines which of them may be started. */
 internal class AllocationBatchWriter(
     private val context: StepContext,
     private val store: StoreClient,
@@ -20,41 +20,41 @@
     private val batches: AllocationBatchSet,
 ) {
     private val fenced = FencedStore(store, leadership)
-    private var nextNumber = 0L
+    private var nextSequenceNumber = 0L
 
-    /** Batches whose write has no known outcome yet. */
+    /** Number of batches whose write has no known outcome yet. */
     var pendingBatches: Int = 0
         private set
 
-    /** How many allocations fit into one row; fewer once a row has turned out too large. */
-    var maxStartsPerBatch: Int = 1
+    /** Maximum number of allocations in one row; halved when a row turns out to be too large. */
+    var maxAllocationsPerBatch: Int = 1
         private set
 
-    /** How many jobs one row and the conditions of its transaction may name; fewer once a row has turned out too large. */
+    /** Maximum number of jobs in one row and in the conditions of its transaction; halved when a row turns out to be too large. */
     var maxJobsPerBatch: Int = 1
         private set
 
-    /** Forgets this term's numbering and open writes. */
+    /** Resets the numbering of batches, the count of pending writes and the maximum batch size. */
     fun clear() {
-        nextNumber = 0
+        nextSequenceNumber = 0
         pendingBatches = 0
         val limits = context.settings.store
         val maxJobConditions = limits.changesPerTransaction * TransactionLimits.CONDITIONS_PER_CHANGE - OWN_CONDITIONS
-        maxStartsPerBatch = (limits.valueBytes / BYTES_PER_START).coerceAtLeast(1)
+        maxAllocationsPerBatch = (limits.valueBytes / BYTES_PER_ALLOCATION).coerceAtLeast(1)
         maxJobsPerBatch = minOf(maxJobConditions, limits.valueBytes / BYTES_PER_JOB).coerceAtLeast(1)
     }
 
     /**
-     * Takes the resources of [allocations] and writes their row. [onCommitted] receives those that may be started: the allocations of a
-     * gang only once all of its attempt are written, in however many rows.
+     * Reserves the resources of [allocations] and writes their row. [onCommitted] receives those that may be started: the allocations of a
+     * gang only once its whole attempt is written, which may take several rows.
      */
     fun write(
         allocations: List<Allocation>,
         onCommitted: (List<Allocation>) -> Unit,
     ) {
-        val number = "${leadership.term}-${nextNumber++}"
+        val batchId = "${leadership.term}-${nextSequenceNumber++}"
         val overwritten = batches.reusable.removeLastOrNull()
-        val batch = AllocationBatch(overwritten?.slot ?: number, number, allocations)
+        val batch = AllocationBatch(overwritten?.slot ?: batchId, batchId, allocations)
         batches.put(batch)
         allocations.forEach {
             it.batch = batch
@@ -89,7 +89,7 @@
                 when {
                     fenced.isFenced(result) -> fenced.stepDown()
 
-                    // An earlier copy of this very transaction was applied: only the leader writes this key.
+                    // Only the leader writes this key, so an earlier copy of this transaction was applied.
                     batch.rowKey in result.failed -> readBack(batch, overwritten, onCommitted)
 
                     // One of its jobs has ended, so nothing was written.
@@ -99,7 +99,7 @@
 
             else -> {
                 if (result is TransactionResult.TooLarge) {
-                    maxStartsPerBatch = (maxStartsPerBatch / 2).coerceAtLeast(1)
+                    maxAllocationsPerBatch = (maxAllocationsPerBatch / 2).coerceAtLeast(1)
                     maxJobsPerBatch = (maxJobsPerBatch / 2).coerceAtLeast(1)
                 }
                 discard(batch, overwritten)
@@ -120,7 +120,7 @@
 
     private fun startable(batch: AllocationBatch): List<Allocation> {
         batch.allocations.forEach { it.isPersisted = true }
-        // A job may have ended while the row was being written: nothing of it is started any more.
+        // A job may have ended while the row was being written: its allocations must not be started any more.
         batch.allocations.filter { it.job !in jobs }.forEach { index.release(it, isLost = true) }
         val gangs = batch.allocations.mapNotNull { allocation -> jobs[allocation.job]?.takeIf { it.spec.gang } }.distinct()
         val ofArrays = batch.allocations.filter { it.phase == AllocationPhase.COMMITTING && jobs[it.job]?.spec?.gang != true }
@@ -131,8 +131,8 @@
     private fun startableOfGang(job: Job): List<Allocation> {
         val attempt = job.allocations.values
         if (!attempt.all { it.isPersisted }) return emptyList()
-        if (attempt.size == job.spec.tasks) return attempt.toList()
-        // One of them was lost while the row was being written.
+        if (attempt.size == job.spec.taskCount) return attempt.toList()
+        // An allocation of the attempt was lost while the row was being written.
         index.abortAttempt(job)
         return emptyList()
     }
@@ -147,7 +147,7 @@
             if (!leadership.whileLeading(term)()) return@get
             val row = (read as? ReadResult.Found)?.value
             when {
-                row != null && AllocationBatchCodec.numberOf(row) == batch.number -> {
+                row != null && AllocationBatchCodec.batchIdOf(row) == batch.batchId -> {
                     onWritten(batch, row.modRevision, onCommitted)
                 }
 
@@ -164,7 +164,7 @@
         }
     }
 
-    /** Nothing of [batch] was written; its row, if there is one, is still that of [overwritten]. */
+    /** Releases the allocations of [batch], of which nothing was written; its row, if any, still holds the batch [overwritten]. */
     private fun discard(
         batch: AllocationBatch,
         overwritten: AllocationBatch?,
@@ -182,14 +182,14 @@
         private const val MILLIS_PER_SECOND = 1000
         private const val READ_RETRY_SECONDS = 1.0
 
-        /** Conditions of a batch's transaction beside those on its jobs: the fencing token and the row itself. */
+        /** Number of conditions of a batch's transaction besides those on its jobs: the fencing token and the row itself. */
         private const val OWN_CONDITIONS = 2
 
-        /** Upper bounds of what an allocation, and a job's charge, take of a row. */
-        private const val BYTES_PER_START = 54
+        /** Upper bounds of the bytes that an allocation, and a job with its charge, take in a row. */
+        private const val BYTES_PER_ALLOCATION = 54
         private const val BYTES_PER_JOB = 250
 
-        /** Until when a batch row that is written now counts as live, in milliseconds of the wall clock: a worker lease from now. */
+        /** The wall-clock time until which a batch row written now counts as live: one worker lease from now. */
         fun liveUntilMillis(context: StepContext): Long =
             context.wallMillis + (context.settings.workers.leaseSeconds * MILLIS_PER_SECOND).toLong()
     }
--- a/src/main/kotlin/burlridge/allocation/AllocationIndex.kt
+++ b/src/main/kotlin/burlridge/allocation/AllocationIndex.kt
@@ -3,7 +3,7 @@
 import burlridge.core.StepContext
 import burlridge.job.Resources
 
-/** The open allocations in memory, and the resources that they take of machines and team quotas. */
+/** The open allocations in memory, and the resources that they use on machines and of team quotas. */
 internal class AllocationIndex(
     private val context: StepContext,
     private val jobs: Map<String, Job>,
@@ -11,21 +11,21 @@
     /** Open allocations by machine and task name. */
     val byMachine: HashMap<String, LinkedHashMap<String, Allocation>> = HashMap()
 
-    /** What the open allocations of each team take. */
+    /** The resources that the open allocations of each team use. */
     val usageByTeam: HashMap<String, Resources> = HashMap()
     private val usageByMachine = HashMap<String, Resources>()
 
-    /** What the open allocations on [machine] take. */
+    /** The resources that the open allocations on [machine] use. */
     fun usageOn(machine: String): Resources = usageByMachine[machine] ?: Resources.NONE
 
-    /** Forgets all allocations: a new term begins, or this one has ended. */
+    /** Removes all allocations when a term begins or ends. */
     fun clear() {
         byMachine.clear()
         usageByTeam.clear()
         usageByMachine.clear()
     }
 
-    /** Takes the resources of [allocation], and makes it the open allocation of its task. */
+    /** Reserves the resources of [allocation], and makes it the open allocation of its task. */
     fun add(allocation: Allocation) {
         jobs[allocation.job]?.let { job ->
             job.allocations.put(allocation.task, allocation)
@@ -34,13 +34,13 @@
             job.recordAttempt(allocation)
         }
         putOnMachine(allocation)
-        usageByTeam.merge(allocation.charge.team, allocation.charge.size, Resources::plus)
-        usageByMachine.merge(allocation.machine, allocation.charge.size, Resources::plus)
+        usageByTeam.merge(allocation.charge.team, allocation.charge.resources, Resources::plus)
+        usageByMachine.merge(allocation.machine, allocation.charge.resources, Resources::plus)
     }
 
     /**
-     * Ends [allocation] and frees its resources: its task is known to be gone from the machine, and no start command for it can arrive any
-     * more. Where it [isLost] its task is not done; the loss of one task of a gang aborts the gang's attempt.
+     * Ends [allocation] and frees its resources. Its task must be known not to be on the machine any more, with no start command that can
+     * still arrive. If [isLost], its task is not done; the loss of a task of a gang's current attempt aborts that attempt.
      */
     fun release(
         allocation: Allocation,
@@ -58,11 +58,11 @@
             }
             if (isLost && job.spec.gang && allocation.attempt == job.highestAttempt) abortAttempt(job)
         }
-        usageByTeam.merge(allocation.charge.team, allocation.charge.size, Resources::minus)
-        usageByMachine.merge(allocation.machine, allocation.charge.size, Resources::minus)
+        usageByTeam.merge(allocation.charge.team, allocation.charge.resources, Resources::minus)
+        usageByMachine.merge(allocation.machine, allocation.charge.resources, Resources::minus)
     }
 
-    /** Ends the present attempt of the gang [job], one of whose tasks is gone. */
+    /** Aborts the current attempt of the gang [job], which has lost a task. */
     fun abortAttempt(job: Job) {
         if (job.isAbortingAttempt) return
         releaseAll(job, GangRules.abort(job))
@@ -78,7 +78,7 @@
         job.isAbortingAttempt = false
     }
 
-    /** Makes [allocation], whose resources are taken already, the open allocation of its task. */
+    /** Makes [allocation], whose resources are reserved already, the open allocation of its task. */
     fun restore(allocation: Allocation) {
         jobs[allocation.job]?.let {
             it.allocations.put(allocation.task, allocation)
--- a/src/main/kotlin/burlridge/allocation/AllocationPhase.kt
+++ b/src/main/kotlin/burlridge/allocation/AllocationPhase.kt
@@ -1,6 +1,6 @@
 package burlridge.allocation
 
-/** How far an allocation has come; the order of the constants is compared. */
+/** The phases of an allocation, in chronological order; they are compared by that order. */
 internal enum class AllocationPhase {
     /** The outcome of writing its batch row is not known yet. */
     COMMITTING,
@@ -8,13 +8,13 @@
     /** Its batch row is written, and no start command has been sent. */
     COMMITTED,
 
-    /** A start command has been sent, its outcome open. */
+    /** A start command has been sent, and its outcome is not known yet. */
     DISPATCHED,
 
-    /** The worker has accepted the task and fetches its image. */
+    /** The worker has accepted the task and is fetching its image. */
     FETCHING,
 
-    /** The worker has the image and waits for the rest of the gang. */
+    /** The worker has the image and is waiting for the rest of the gang. */
     AWAITING_GANG,
     RUNNING,
     CHECKPOINTING,
--- a/src/main/kotlin/burlridge/allocation/AllocationReconciler.kt
+++ b/src/main/kotlin/burlridge/allocation/AllocationReconciler.kt
@@ -3,14 +3,14 @@
 import burlridge.core.StepContext
 import burlridge.store.Row
 
-/** Rebuilds the open allocations of a new leader from the batch rows that it finds. */
+/** Rebuilds the open allocations of a new leader from the stored batch rows. */
 internal class AllocationReconciler(
     private val context: StepContext,
     private val jobs: Map<String, Job>,
     private val index: AllocationIndex,
     private val batches: AllocationBatchSet,
 ) {
-    /** Adds the batch in [row]; [reconcile] follows once all rows are loaded. */
+    /** Loads the batch in [row]; [reconcile] must be called once all rows are loaded. */
     fun load(row: Row) {
         val batch = AllocationBatchCodec.decode(row)
         batch.allocations.forEach { it.allocatedAt = context.now }
@@ -28,12 +28,12 @@
         }
     }
 
-    /** Of several attempts of one task only the latest can be open, and none of a task that is done. */
+    /** Releases outdated attempts: only the latest attempt of a task can be open, and none if the task is done. */
     fun reconcile() {
         for (batch in batches.all) {
             batch.allocations.forEach { releaseIfSuperseded(it) }
         }
-        // Rows are loaded in no order of time: an earlier attempt on the same machine that was loaded last has displaced the later one.
+        // Rows are not loaded in chronological order: an earlier attempt that was loaded last has replaced the later one in the index.
         for (batch in batches.all) {
             batch.allocations.filter { !it.hasEnded }.forEach { index.restore(it) }
         }
@@ -49,10 +49,10 @@
         }
     }
 
-    /** A gang attempt that was allocated in part never began; one that has lost a task is over. */
+    /** Releases partially allocated gang attempts, which never began, and aborts those that have lost a task. */
     private fun reconcileGangs() {
         for ((job, attempt) in latestGangAttempts()) {
-            // No allocation of an attempt is made before all tasks of the one before it are known to be gone.
+            // An attempt is allocated only after all tasks of the previous attempt are known to have ended.
             job.allocations.values
                 .filter { it.attempt < job.highestAttempt }
                 .forEach { index.release(it, isLost = true) }
--- a/src/main/kotlin/burlridge/allocation/AllocationTable.kt
+++ b/src/main/kotlin/burlridge/allocation/AllocationTable.kt
@@ -6,7 +6,7 @@
 import burlridge.store.Row
 import burlridge.store.StoreClient
 
-/** The allocations of a leader: those that are open, the resources that they take, and the batch rows that they are stored in. */
+/** The leader's open allocations, the resources that they use, and the batch rows that store them. */
 internal class AllocationTable(
     context: StepContext,
     store: StoreClient,
@@ -22,26 +22,26 @@
     /** Open allocations by machine and task name. */
     val byMachine: Map<String, Map<String, Allocation>> get() = index.byMachine
 
-    /** What the open allocations of each team take. */
+    /** The resources that the open allocations of each team use. */
     val usageByTeam: Map<String, Resources> get() = index.usageByTeam
 
-    /** Batches whose write has no known outcome yet. */
+    /** Number of batches whose write has no known outcome yet. */
     val pendingBatches: Int get() = writer.pendingBatches
 
-    /** How many allocations fit into one row. */
-    val maxStartsPerBatch: Int get() = writer.maxStartsPerBatch
+    /** Maximum number of allocations in one row. */
+    val maxAllocationsPerBatch: Int get() = writer.maxAllocationsPerBatch
 
-    /** How many jobs one row may name. */
+    /** Maximum number of jobs in one row. */
     val maxJobsPerBatch: Int get() = writer.maxJobsPerBatch
 
     init {
         clear()
     }
 
-    /** What the open allocations on [machine] take. */
+    /** The resources that the open allocations on [machine] use. */
     fun usageOn(machine: String): Resources = index.usageOn(machine)
 
-    /** Forgets everything: a new term begins, or this one has ended. */
+    /** Removes everything when a term begins or ends. */
     fun clear() {
         index.clear()
         batches.clear()
@@ -60,20 +60,20 @@
         isLost: Boolean,
     ) = index.release(allocation, isLost)
 
-    /** Ends the present attempt of the gang [job], one of whose tasks is gone. */
+    /** Aborts the current attempt of the gang [job], which has lost a task. */
     fun abortAttempt(job: Job) = index.abortAttempt(job)
 
-    /** Drops the entry of [machine], which is gone and has no open allocations. */
-    fun forgetMachine(machine: String) {
+    /** Removes the entry of [machine], which no longer exists and has no open allocations. */
+    fun removeMachine(machine: String) {
         index.byMachine.remove(machine)
     }
 
-    /** Adds a batch row that a new leader finds. */
+    /** Loads a batch row that a new leader has read. */
     fun loadBatch(row: Row) = reconciler.load(row)
 
-    /** Settles, once all rows are loaded, which of their allocations are open. */
+    /** Determines which of the loaded allocations are open; called once all rows are loaded. */
     fun reconcileLoaded() = reconciler.reconcile()
 
-    /** Removes or rewrites batch rows where that is due; called about once a second. */
+    /** Removes or rewrites the batch rows that are due; called about once a second. */
     fun cleanUp() = cleaner.run()
 }
--- a/src/main/kotlin/burlridge/allocation/FencedStore.kt
+++ b/src/main/kotlin/burlridge/allocation/FencedStore.kt
@@ -15,8 +15,8 @@
 ) {
     /**
      * Applies [changes] if the fencing token and all [conditions] hold, repeating the transaction until its outcome is known. [onResult] is
-     * not called once this controller no longer leads its present term. [onUncertain] receives true while a copy of the transaction may
-     * have been applied unseen, and false once that is excluded.
+     * not called once this controller has ceased to lead its current term. [onUncertain] receives true while a copy of the transaction may
+     * have been applied without its result being known, and false once that is ruled out.
      */
     fun commit(
         conditions: List<Condition>,
--- a/src/main/kotlin/burlridge/allocation/FinishedJobRow.kt
+++ b/src/main/kotlin/burlridge/allocation/FinishedJobRow.kt
@@ -3,9 +3,9 @@
 /** The row of a job that has ended. */
 internal data class FinishedJobRow(
     val jobState: JobState,
-    /** The fingerprint of its specification, by which a repeated submission is recognized. */
+    /** The fingerprint of its specification, used to recognize a repeated submission. */
     val fingerprint: String,
-    val tasks: Int,
+    val taskCount: Int,
 ) {
     internal companion object {
         private const val KEY_PREFIX = "over/"
--- a/src/main/kotlin/burlridge/allocation/Job.kt
+++ b/src/main/kotlin/burlridge/allocation/Job.kt
@@ -7,8 +7,8 @@
 import java.util.BitSet
 
 /**
- * An accepted job that has not ended, as its leader knows it. Tasks are numbered from 0. A job may have 100,000 tasks, so what is kept for
- * each task is a bit or an entry of a primitive map.
+ * An accepted job that has not ended, as the leader holds it in memory. Tasks are numbered from 0. A job may have 100,000 tasks, so the
+ * state of each task is a bit or an entry of a primitive map.
  */
 internal class Job(
     val spec: JobSpec,
@@ -19,16 +19,16 @@
     /** Tasks that are done. */
     val done: BitSet = BitSet()
 
-    /** Tasks that are done, and whose progress row says so. */
+    /** Done tasks that a stored progress row records as done. */
     val persistedDone: BitSet = BitSet()
 
-    /** Tasks that are done or allocated: those that placement need not look at. */
+    /** Tasks that are done or allocated; placement skips them. */
     val doneOrAllocated: BitSet = BitSet()
 
-    /** The keys of its progress rows, each with the mod revision that the row is known to have; 0 for one not known to be written. */
+    /** The last known mod revision of each of its progress rows, by row key; 0 for a row that is not known to be written. */
     val progressRevisions: LinkedHashMap<String, Long> = LinkedHashMap()
 
-    /** The open allocation of each task that has one. */
+    /** The open allocations, by task. */
     val allocations: Int2ObjectOpenHashMap<Allocation> = Int2ObjectOpenHashMap()
 
     /** The highest attempt number of each task that was ever allocated. */
@@ -37,51 +37,57 @@
     /** The highest attempt number of any task; for a gang, the number of its latest attempt. */
     var highestAttempt: Int = 0
 
-    /** The earliest time, in this leader's seconds, at which a task may be tried again. */
+    /** The earliest time at which a task may be retried, in seconds of this leader's steady clock; task 0 stands for a whole gang. */
     val notBeforeByTask: Int2DoubleOpenHashMap = Int2DoubleOpenHashMap()
 
-    /** When one of its tasks was last allocated, in this leader's seconds; null where none was. */
+    /** When an allocation of one of its tasks was last made or loaded, in seconds of this leader's steady clock; null if none was. */
     var allocatedAt: Double? = null
 
-    /** The allocations of a broken gang attempt are being released; guards against doing so recursively. */
+    /** Whether the allocations of a broken gang attempt are being released; prevents each release from aborting the attempt again. */
     var isAbortingAttempt: Boolean = false
 
     private val endListeners = ArrayList<(JobState) -> Unit>()
 
-    /** How many attempts of its tasks have failed. */
+    /** Number of failed attempts of its tasks that this leader has seen. */
     var failures: Int = 0
 
-    /** A progress row is being written or read. */
+    /** Whether a progress row is being written or read back. */
     var isPersistingProgress: Boolean = false
 
-    /** When the oldest task end that is not persisted yet became known, in this leader's seconds. */
+    /**
+     * When the first task end that is not persisted yet became known, or when the latest progress write began if that is later, in seconds
+     * of this leader's steady clock.
+     */
     var unpersistedSince: Double = 0.0
 
-    /** The final state that this leader is writing, or has written; null where there is none. */
-    var pendingEndState: JobState? = null
+    /** The final state that this leader is writing or has written; null if there is none. */
+    var pendingFinalState: JobState? = null
 
-    /** Whether this leader is writing a final state, or has. */
-    val isEnding: Boolean get() = pendingEndState != null
+    /** Whether this leader is writing or has written a final state. */
+    val isEnding: Boolean get() = pendingFinalState != null
 
-    /** Whether the final state that this leader is writing, or has written, is [JobState.CANCELLED]. */
-    val isCancelling: Boolean get() = pendingEndState == JobState.CANCELLED
+    /** Whether the final state that this leader is writing or has written is [JobState.CANCELLED]. */
+    val isCancelling: Boolean get() = pendingFinalState == JobState.CANCELLED
 
-    /** The final state that is stored, which may be another than [pendingEndState]; null while none is known to be. */
-    var endState: JobState? = null
+    /** The stored final state, which may differ from [pendingFinalState]; null until one is known to be stored. */
+    var finalState: JobState? = null
 
-    /** A transaction that ends the job may have been applied unseen: until that is settled only the rows can say whether it has ended. */
+    /**
+     * Whether a transaction that ends the job may have been applied without its result being known. Until the result is known, only the
+     * stored rows show whether the job has ended.
+     */
     var isEndUncertain: Boolean = false
 
     val jobState: JobState
-        get() = endState ?: if (runningCount > 0) JobState.RUNNING else JobState.QUEUED
+        get() = finalState ?: if (runningCount > 0) JobState.RUNNING else JobState.QUEUED
 
     val runningCount: Int get() = allocations.values.count { it.phase == AllocationPhase.RUNNING }
 
     /** Whether all tasks are done. */
-    val isComplete: Boolean get() = done.cardinality() == spec.tasks
+    val isComplete: Boolean get() = done.cardinality() == spec.taskCount
 
-    /** How many tasks are neither done nor allocated. */
-    val unallocatedCount: Int get() = spec.tasks - doneOrAllocated.cardinality()
+    /** Number of tasks that are neither done nor allocated. */
+    val unallocatedCount: Int get() = spec.taskCount - doneOrAllocated.cardinality()
 
     /** The total run time of the tasks that this leader saw both start and finish, and their number. */
     var finishedRunSeconds: Double = 0.0
@@ -89,12 +95,12 @@
 
     /** The mean run time of its tasks; null until enough of them have finished. */
     val meanRunSeconds: Double?
-        get() = if (finishedRunCount >= minOf(MIN_RUNS_FOR_MEAN, (spec.tasks + 1) / 2)) finishedRunSeconds / finishedRunCount else null
+        get() = if (finishedRunCount >= minOf(MIN_RUNS_FOR_MEAN, (spec.taskCount + 1) / 2)) finishedRunSeconds / finishedRunCount else null
 
     /** Whether any of its tasks has ever been allocated. */
     val hasBeenAllocated: Boolean get() = !done.isEmpty || lastAttemptByTask.isNotEmpty()
 
-    /** The time since its submission at [wallMillis]; it spans changes of leader. */
+    /** The time from its submission to [wallMillis]; a wall-clock time, since it spans changes of leader. */
     fun ageSeconds(wallMillis: Long): Double = (wallMillis - submittedMillis) / MILLIS_PER_SECOND
 
     /** Calls [listener] with the final state, once, when the job has ended. */
@@ -108,7 +114,7 @@
         endListeners.clear()
     }
 
-    /** Remembers the attempt number of [allocation], so that it is not used again. */
+    /** Records the attempt number of [allocation], so that it is not reused. */
     fun recordAttempt(allocation: Allocation) {
         lastAttemptByTask.put(allocation.task, maxOf(allocation.attempt, lastAttemptByTask.get(allocation.task)))
         highestAttempt = maxOf(highestAttempt, allocation.attempt)
@@ -120,7 +126,7 @@
         now: Double,
     ): Boolean = !done.get(task) && !allocations.containsKey(task) && notBeforeByTask.getOrDefault(task, 0.0) <= now
 
-    /** Keeps [task] from being tried again before [until]; a gang is delayed as a whole. */
+    /** Prevents a retry of [task] before [until]; a gang is delayed as a whole. */
     fun delayRetry(
         task: Int,
         until: Double,
@@ -131,7 +137,7 @@
     private companion object {
         const val MILLIS_PER_SECOND = 1000.0
 
-        /** A mean of fewer runs says too little, except in a small job, where half of its tasks do. */
+        /** A mean of fewer runs is not meaningful, except in a small job, for which half of its tasks are enough. */
         const val MIN_RUNS_FOR_MEAN = 4
     }
 }
--- a/src/main/kotlin/burlridge/allocation/JobFinisher.kt
+++ b/src/main/kotlin/burlridge/allocation/JobFinisher.kt
@@ -9,26 +9,26 @@
 import burlridge.store.StoreClient
 import burlridge.store.TransactionResult
 
-/** Ends jobs. One transaction moves a job's row from the active to the finished jobs, which decides between done and cancelled. */
+/** Ends jobs. A single transaction replaces a job's active row with its finished row, so a job ends either as done or as cancelled. */
 internal class JobFinisher(
     private val context: StepContext,
     private val store: StoreClient,
     private val leadership: Leadership,
-    /** Receives each job that has ended, with its row. */
+    /** Called with each job that has ended and its finished row. */
     private val onFinished: (Job, FinishedJobRow) -> Unit,
 ) {
     private val fenced = FencedStore(store, leadership)
 
-    /** Ends [job] as [jobState], unless an end of it is being written already. */
+    /** Ends [job] with [jobState], unless this leader is writing or has written a final state already. */
     fun finish(
         job: Job,
         jobState: JobState,
     ) {
         if (job.isEnding) return
-        job.pendingEndState = jobState
+        job.pendingFinalState = jobState
         val id = job.spec.id
         val row = finishedRow(job, jobState)
-        // Progress rows that this transaction cannot hold are removed afterwards, or by a later leader that finds them.
+        // Progress rows beyond the transaction's limit on changes are removed afterwards, or by a later leader that finds them.
         val removedKeys = job.progressRevisions.keys.take((context.settings.store.changesPerTransaction - OWN_CHANGES).coerceAtLeast(0))
         val ownChanges =
             listOf(Change.Delete(ActiveJobRow.key(id)), Change.Put(FinishedJobRow.key(id), JobRowCodec.encodeFinished(row)))
@@ -43,7 +43,7 @@
     private fun finishedRow(
         job: Job,
         jobState: JobState,
-    ) = FinishedJobRow(jobState, job.spec.fingerprint, job.spec.tasks)
+    ) = FinishedJobRow(jobState, job.spec.fingerprint, job.spec.taskCount)
 
     private fun onResult(
         job: Job,
@@ -62,13 +62,13 @@
             }
 
             else -> {
-                job.pendingEndState = null
+                job.pendingFinalState = null
                 job.isEndUncertain = false
             }
         }
     }
 
-    /** An earlier copy of this leader's own transaction may have been applied: the row says how the job has ended. */
+    /** Reads the finished row to see how the job ended: an earlier copy of this leader's own transaction may have been applied. */
     private fun readBack(job: Job) {
         val stillLeading = leadership.whileLeading(leadership.term)
         store.get(FinishedJobRow.key(job.spec.id), RequestPriority.FINISH) { read ->
@@ -85,7 +85,7 @@
     private companion object {
         const val READ_RETRY_SECONDS = 1.0
 
-        /** Changes of the transaction beside the removal of progress rows. */
+        /** Number of changes in the transaction besides the removal of progress rows. */
         const val OWN_CHANGES = 2
     }
 }
--- a/src/main/kotlin/burlridge/allocation/JobRegistry.kt
+++ b/src/main/kotlin/burlridge/allocation/JobRegistry.kt
@@ -8,7 +8,7 @@
 import burlridge.store.Row
 import burlridge.store.StoreClient
 
-/** The jobs that a leader knows, with their progress and allocations. Every change is written under the leader's fencing token. */
+/** The leader's jobs, with their progress and allocations. Every write is conditional on the leader's fencing token. */
 internal class JobRegistry(
     private val context: StepContext,
     store: StoreClient,
@@ -21,22 +21,22 @@
     private val progress = ProgressWriter(context, store, leadership)
     private val finisher = JobFinisher(context, store, leadership, ::onFinished)
 
-    /** The latest jobs known to have ended. An end never changes, so only those that are stored get in here. */
+    /** Rows of ended jobs, the least recently used dropped first. Only stored rows are added, since a stored end never changes. */
     private val finishedJobs = BoundedMap<String, FinishedJobRow>(MAX_FINISHED_JOBS)
     private var lastCleanUpAt = 0.0
 
-    /** How [job] has ended; null where it has not, or that is not known. */
-    fun endOf(job: String): FinishedJobRow? = finishedJobs[job]
+    /** The row of [job] if it is known to have ended, otherwise null. */
+    fun finishedJob(job: String): FinishedJobRow? = finishedJobs[job]
 
-    /** Remembers that [job] has ended; [row] is stored. */
-    fun recordEnd(
+    /** Records that [job] has ended; [row] must be stored already. */
+    fun recordFinished(
         job: String,
         row: FinishedJobRow,
     ) {
         finishedJobs[job] = row
     }
 
-    /** Forgets all that only a leader may know. Ended jobs are remembered. */
+    /** Clears the state that only a leader may hold; ended jobs are kept. */
     fun clear() {
         activeJobs.clear()
         allocations.clear()
@@ -46,17 +46,17 @@
     /** The condition that fences every write of this leader's term. */
     fun fenceCondition(): Condition = leadership.fenceCondition()
 
-    /** Settles what the loaded rows amount to, once all of them are loaded. */
+    /** Reconciles the loaded allocations and ends the jobs that are complete; called once all rows are loaded. */
     fun reconcileLoaded() {
         allocations.reconcileLoaded()
         jobs.values.toList().forEach { if (it.isComplete) finish(it, JobState.DONE) }
     }
 
-    /** Adds the active job that [row] holds; null where it has ended or the row cannot be read. */
+    /** Adds the active job stored in [row], unless it is there already; null if the job has ended or the row cannot be read. */
     fun admit(row: Row): Job? {
         val id = ActiveJobRow.jobOf(row.key)
         jobs[id]?.let { return it }
-        if (endOf(id) != null) return null
+        if (finishedJob(id) != null) return null
         val active =
             try {
                 JobRowCodec.decodeActive(row)
@@ -69,18 +69,18 @@
             "job admitted",
             "job" to id,
             "class" to spec.jobClass,
-            "tasks" to spec.tasks,
-            "cpus" to spec.size.cpus,
-            "estimate_seconds" to spec.estimateSeconds,
+            "tasks" to spec.taskCount,
+            "cpus" to spec.taskResources.cpus,
+            "estimate_seconds" to spec.estimatedRunSeconds,
             "deadline_seconds" to spec.deadlineSeconds,
         )
         return Job(spec, row.modRevision, active.submittedMillis).also { activeJobs[id] = it }
     }
 
-    /** Adds a progress row that a new leader finds. */
+    /** Loads a progress row that a new leader has read. */
     fun loadProgress(row: Row) = progress.load(row, jobs[ProgressCodec.jobOf(row)])
 
-    /** [task] of [job] is done; with its last task the job ends. */
+    /** Marks [task] of [job] as done; the job ends with its last task. */
     fun markDone(
         job: Job,
         task: Int,
@@ -88,14 +88,14 @@
         if (!job.done.get(task)) {
             if (job.done.cardinality() == job.persistedDone.cardinality()) job.unpersistedSince = context.now
             // The tasks of a gang complete together: if one is done, all are.
-            val (first, end) = if (job.spec.gang) 0 to job.spec.tasks else task to task + 1
+            val (first, end) = if (job.spec.gang) 0 to job.spec.taskCount else task to task + 1
             job.done.set(first, end)
             job.doneOrAllocated.set(first, end)
         }
         if (job.isComplete) finish(job, JobState.DONE)
     }
 
-    /** Ends [job] as [jobState], unless an end of it is being written already. */
+    /** Ends [job] with [jobState], unless this leader is writing or has written a final state already. */
     fun finish(
         job: Job,
         jobState: JobState,
@@ -106,25 +106,25 @@
         row: FinishedJobRow,
     ) {
         val id = job.spec.id
-        job.endState = row.jobState
+        job.finalState = row.jobState
         finishedJobs[id] = row
         activeJobs.remove(id)
-        progress.orphan(job)
-        // Allocations whose start command has not been sent are not started any more.
+        progress.addOrphanedRows(job)
+        // Allocations whose start command has not been sent must not be started any more.
         job.allocations.values
             .filter { it.phase == AllocationPhase.COMMITTED }
             .forEach { allocations.release(it, isLost = true) }
         val ageSeconds = job.ageSeconds(context.wallMillis).toLong()
-        context.info("job ended", "job" to id, "state" to row.jobState.wire, "age_seconds" to ageSeconds)
+        context.info("job ended", "job" to id, "state" to row.jobState.wireName, "age_seconds" to ageSeconds)
         job.notifyEnd(row.jobState)
     }
 
-    /** Does once a second what can wait: persists progress and cleans up rows. */
+    /** Persists progress and cleans up rows, at most once a second. */
     fun tick() {
         if (context.now - lastCleanUpAt < CLEAN_UP_INTERVAL_SECONDS) return
         lastCleanUpAt = context.now
         jobs.values.forEach { progress.persistIfDue(it) }
-        progress.removeOrphans()
+        progress.removeOrphanedRows()
         allocations.cleanUp()
     }
 
--- a/src/main/kotlin/burlridge/allocation/JobRowCodec.kt
+++ b/src/main/kotlin/burlridge/allocation/JobRowCodec.kt
@@ -8,7 +8,7 @@
 
 /** Reads and writes the rows of active and finished jobs. */
 internal object JobRowCodec {
-    /** The value of the row of an unfinished job. */
+    /** The value of the row of an active job. */
     fun encodeActive(row: ActiveJobRow): JsonNode =
         Json.obj {
             set<JsonNode>("job", JobSpecCodec.encode(row.spec))
@@ -16,23 +16,23 @@
             put("at", row.submittedMillis)
         }
 
-    /** Throws [InvalidJobException] where [row] holds no job that this version can run. */
+    /** Throws [InvalidJobException] if [row] holds no job that this version can run. */
     fun decodeActive(row: Row): ActiveJobRow = ActiveJobRow(JobSpecCodec.decode(row.value.path("job")), row.value.path("at").asLong())
 
-    /** The fingerprint in the active job's [row], which can be read even where the job cannot. */
+    /** The fingerprint in the active job's [row], which can be read even if the job cannot. */
     fun activeFingerprint(row: Row): String = row.value.path("fp").asText()
 
     /** The value of the row of a finished job. */
     fun encodeFinished(row: FinishedJobRow): JsonNode =
         Json.obj {
-            put("st", row.jobState.wire)
+            put("st", row.jobState.wireName)
             put("fp", row.fingerprint)
-            put("n", row.tasks)
+            put("n", row.taskCount)
         }
 
-    /** Null where [row] names a state that this version does not know. */
+    /** Returns null if the state in [row] is unknown to this version. */
     fun decodeFinished(row: Row): FinishedJobRow? {
-        val jobState = JobState.entries.firstOrNull { it.wire == row.value.path("st").asText() } ?: return null
+        val jobState = JobState.entries.firstOrNull { it.wireName == row.value.path("st").asText() } ?: return null
         return FinishedJobRow(jobState, row.value.path("fp").asText(), row.value.path("n").asInt())
     }
 }
--- a/src/main/kotlin/burlridge/allocation/JobState.kt
+++ b/src/main/kotlin/burlridge/allocation/JobState.kt
@@ -1,8 +1,8 @@
 package burlridge.allocation
 
-/** The state of a job; [wire] is its name in rows and in the answers to users. */
+/** The state of a job; [wireName] is its name in rows and in responses to users. */
 internal enum class JobState(
-    val wire: String,
+    val wireName: String,
 ) {
     QUEUED("queued"),
     RUNNING("running"),
--- a/src/main/kotlin/burlridge/allocation/ProgressCodec.kt
+++ b/src/main/kotlin/burlridge/allocation/ProgressCodec.kt
@@ -6,7 +6,7 @@
 import java.util.Base64
 import java.util.BitSet
 
-/** One progress row of a job: its key, and the tasks from [first] up to, not including, [end] that it covers. */
+/** One progress row of a job: its key, and the tasks that it covers, from [first] (inclusive) to [end] (exclusive). */
 internal data class ProgressRange(
     val key: String,
     val first: Int,
@@ -14,9 +14,10 @@
 )
 
 /**
- * Reads and writes progress rows, which hold a bit for each task. Where a value of [valueBytes] can hold what the job needs of
- * [TASKS_PER_ROW] tasks, a row covers that many and is keyed by its number. Where values are smaller a row covers fewer and is keyed by the
- * letter b and its first task; the version before does not read that form, and at worst starts done tasks again, which end at once.
+ * Reads and writes progress rows, which hold one bit per task. If a value of [valueBytes] can hold the bits of [TASKS_PER_ROW] tasks, or of
+ * all tasks of a smaller job, each row covers [TASKS_PER_ROW] tasks and its key ends with the number of the row. Otherwise each row covers
+ * fewer tasks and its key ends with the letter b and its first task. The previous version does not read that second form; at worst it
+ * starts done tasks again, which then end at once.
  */
 internal class ProgressCodec(
     valueBytes: Int,
@@ -29,14 +30,14 @@
         job: Job,
         task: Int,
     ): ProgressRange {
-        val fitsLargeRow = minOf(job.spec.tasks, TASKS_PER_ROW) <= tasksPerSmallRow
+        val fitsLargeRow = minOf(job.spec.taskCount, TASKS_PER_ROW) <= tasksPerSmallRow
         val tasksPerRow = if (fitsLargeRow) TASKS_PER_ROW else tasksPerSmallRow
         val first = task / tasksPerRow * tasksPerRow
         val name = if (fitsLargeRow) "${first / TASKS_PER_ROW}" else "$SMALL_ROW_PREFIX$first"
         return ProgressRange("$KEY_PREFIX${job.spec.id}/$name", first, first + tasksPerRow)
     }
 
-    /** The value of the row that says which tasks in [range] are [done]. */
+    /** The value of the row that records which tasks in [range] are [done]. */
     fun encode(
         done: BitSet,
         range: ProgressRange,
@@ -45,7 +46,7 @@
             put("bits", Base64.getEncoder().encodeToString(done.get(range.first, range.end).toByteArray()))
         }
 
-    /** The done tasks in [row], of either form; null for a key of neither. */
+    /** The done tasks in [row], whose key may have either form; null if it has neither. */
     fun decode(row: Row): BitSet? {
         val name = row.key.substringAfterLast('/')
         val isSmallRow = name.startsWith(SMALL_ROW_PREFIX)
--- a/src/main/kotlin/burlridge/allocation/ProgressWriter.kt
+++ b/src/main/kotlin/burlridge/allocation/ProgressWriter.kt
@@ -12,8 +12,8 @@
 import java.util.BitSet
 
 /**
- * Persists which tasks are done, and removes the progress rows of jobs that have ended. Progress is written late, and for a job that ends
- * before then not at all: a worker keeps an ended task until its end is persisted, so a task that is started again ends at once.
+ * Persists which tasks are done, and removes the progress rows of jobs that have ended. Progress is written with a delay, and not at all if
+ * the job ends before that: a worker keeps an ended task until its end is persisted, so a task that is started again ends at once.
  */
 internal class ProgressWriter(
     private val context: StepContext,
@@ -23,17 +23,17 @@
     private val fenced = FencedStore(store, leadership)
     private val codec = ProgressCodec(context.settings.store.valueBytes)
 
-    /** Keys of progress rows of jobs that have ended, still to be removed. */
+    /** Keys of the progress rows of ended jobs that are still to be removed. */
     private val orphanedKeys = LinkedHashSet<String>()
     private var pendingWrites = 0
 
-    /** Forgets everything: a new term begins, or this one has ended. */
+    /** Resets the state when a term begins or ends. */
     fun clear() {
         pendingWrites = 0
         orphanedKeys.clear()
     }
 
-    /** Adds the done tasks in [row], which a new leader finds, to [job]; where there is none any more, the row is to be removed. */
+    /** Adds the done tasks in [row], which a new leader has read, to [job]; if that is null, the row is removed later. */
     fun load(
         row: Row,
         job: Job?,
@@ -49,13 +49,13 @@
         job.progressRevisions[row.key] = row.modRevision
     }
 
-    /** The progress rows that [job], which has ended, still has are to be removed. */
-    fun orphan(job: Job) {
+    /** Schedules the remaining progress rows of [job], which has ended, for removal. */
+    fun addOrphanedRows(job: Job) {
         orphanedKeys += job.progressRevisions.keys
     }
 
-    /** Removes as many rows of ended jobs as one transaction can. */
-    fun removeOrphans() {
+    /** Removes as many progress rows of ended jobs as fit into one transaction. */
+    fun removeOrphanedRows() {
         if (orphanedKeys.isEmpty()) return
         val removed = orphanedKeys.take(context.settings.store.changesPerTransaction)
         orphanedKeys -= removed.toSet()
@@ -64,7 +64,7 @@
         }
     }
 
-    /** Writes one progress row of [job] where that is due. */
+    /** Writes one progress row of [job] if that is due. */
     fun persistIfDue(job: Job) {
         if (job.isPersistingProgress || job.isEnding || pendingWrites >= MAX_PENDING_WRITES) return
         if (job.done.cardinality() == job.persistedDone.cardinality()) return
@@ -83,7 +83,7 @@
         pendingWrites++
         context.count("intent.progress")
         job.unpersistedSince = context.now
-        // Under the row's own mod revision, or an earlier copy that is applied late would undo a later write.
+        // The condition on the row's mod revision keeps an earlier copy that is applied late from overwriting a later write.
         val modRevision = job.progressRevisions.getOrPut(range.key) { 0L }
         fenced.commit(
             listOf(ActiveJobRow.condition(job), Condition(range.key, modRevision)),
@@ -118,7 +118,7 @@
         }
     }
 
-    /** An earlier copy of this leader's own write was applied: the row says what is persisted. */
+    /** Reads what is persisted from the row: an earlier copy of this leader's own write was applied. */
     private fun readBack(
         job: Job,
         key: String,
@@ -136,7 +136,7 @@
     }
 
     private companion object {
-        /** Bounds what progress takes of the store's write rate. */
+        /** Limits how much of the store's write rate is used for progress. */
         const val MAX_PENDING_WRITES = 4
     }
 }
--- a/src/main/kotlin/burlridge/api/GangAdmission.kt
+++ b/src/main/kotlin/burlridge/api/GangAdmission.kt
@@ -34,7 +34,7 @@
         }
     }
 
-    private fun isKnown(id: String?): Boolean = id != null && (registry.endOf(id) != null || registry.jobs.containsKey(id))
+    private fun isKnown(id: String?): Boolean = id != null && (registry.finishedJob(id) != null || registry.jobs.containsKey(id))
 
     private fun onSupport(
         support: GangSupport,
--- a/src/main/kotlin/burlridge/api/JobCancellation.kt
+++ b/src/main/kotlin/burlridge/api/JobCancellation.kt
@@ -31,8 +31,8 @@
         isForwarded: Boolean,
         respond: (HttpResponse) -> Unit,
     ) {
-        if (!JobSpec.isId(id)) return respond(responses.notFound())
-        registry.endOf(id)?.let { return respond(responses.state(id, it.jobState)) }
+        if (!JobSpec.isValidId(id)) return respond(responses.notFound())
+        registry.finishedJob(id)?.let { return respond(responses.state(id, it.jobState)) }
         val leader = leadership.knownLeader
         when {
             lookup.isDeciding -> {
@@ -85,7 +85,7 @@
     ) {
         val job = if (leadership.term == term && lookup.isDeciding) registry.admit(row) else null
         if (job != null) return cancel(job, respond)
-        respond(registry.endOf(id)?.let { responses.state(id, it.jobState) } ?: HttpResponse.unavailable("try again"))
+        respond(registry.finishedJob(id)?.let { responses.state(id, it.jobState) } ?: HttpResponse.unavailable("try again"))
     }
 
     private fun cancel(
--- a/src/main/kotlin/burlridge/api/JobLookup.kt
+++ b/src/main/kotlin/burlridge/api/JobLookup.kt
@@ -26,7 +26,7 @@
 
     /** The answer to a submission of [spec] that this member can give by itself; null where it cannot. */
     fun responseToSubmission(spec: JobSpec): HttpResponse? {
-        registry.endOf(spec.id)?.let {
+        registry.finishedJob(spec.id)?.let {
             return if (it.fingerprint ==
                 spec.fingerprint
             ) {
@@ -44,7 +44,7 @@
 
     /** The answer to a query of [id] that this member can give by itself; null where it cannot. */
     fun responseToQuery(id: String): HttpResponse? {
-        registry.endOf(id)?.let { return responses.finished(id, it) }
+        registry.finishedJob(id)?.let { return responses.finished(id, it) }
         val job = registry.jobs[id] ?: return null
         return if (isDeciding && !job.isEndUncertain) responses.progress(job) else null
     }
@@ -54,7 +54,7 @@
         id: String,
         response: HttpResponse,
     ) {
-        JobResponses.decodeFinished(response)?.let { registry.recordEnd(id, it) }
+        JobResponses.decodeFinished(response)?.let { registry.recordFinished(id, it) }
     }
 
     /**
--- a/src/main/kotlin/burlridge/api/JobQuery.kt
+++ b/src/main/kotlin/burlridge/api/JobQuery.kt
@@ -25,7 +25,7 @@
         isForwarded: Boolean,
         respond: (HttpResponse) -> Unit,
     ) {
-        if (!JobSpec.isId(id)) return respond(responses.notFound())
+        if (!JobSpec.isValidId(id)) return respond(responses.notFound())
         lookup.responseToQuery(id)?.let { return respond(it) }
         val target = if (leadership.isLeader) peers.memberWithStore() else leadership.knownLeader ?: peers.memberWithStore()
         val mustReadRows = isForwarded || (lookup.isDeciding && lookup.isEndUncertain(id))
--- a/src/main/kotlin/burlridge/api/JobResponses.kt
+++ b/src/main/kotlin/burlridge/api/JobResponses.kt
@@ -49,8 +49,8 @@
         Json.write(
             Json.obj {
                 put("id", id)
-                put("standing", jobState.wire)
-                registry.endOf(id)?.let { put("fp", it.fingerprint) }
+                put("standing", jobState.wireName)
+                registry.finishedJob(id)?.let { put("fp", it.fingerprint) }
             },
         )
 
@@ -58,7 +58,7 @@
         Json.write(
             Json.obj {
                 put("id", job.spec.id)
-                put("standing", job.jobState.wire)
+                put("standing", job.jobState.wireName)
                 put("done", job.done.cardinality())
                 put("running", job.runningCount)
             },
@@ -71,8 +71,8 @@
         Json.write(
             Json.obj {
                 put("id", id)
-                put("standing", row.jobState.wire)
-                put("done", if (row.jobState == JobState.DONE) row.tasks else 0)
+                put("standing", row.jobState.wireName)
+                put("done", if (row.jobState == JobState.DONE) row.taskCount else 0)
                 put("running", 0)
                 put("fp", row.fingerprint)
             },
@@ -85,7 +85,7 @@
         /** How a job has ended, as another member's answer says; null where it does not say so. */
         fun decodeFinished(response: HttpResponse): FinishedJobRow? {
             val body = Json.parseOrNull(response.body) ?: return null
-            val jobState = END_STATES.firstOrNull { it.wire == body.path("standing").asText() } ?: return null
+            val jobState = END_STATES.firstOrNull { it.wireName == body.path("standing").asText() } ?: return null
             if (response.status != HttpStatus.OK || !body.path("fp").isTextual) return null
             return FinishedJobRow(jobState, body.path("fp").asText(), body.path("done").asInt())
         }
--- a/src/main/kotlin/burlridge/api/JobValidation.kt
+++ b/src/main/kotlin/burlridge/api/JobValidation.kt
@@ -40,8 +40,8 @@
     ): String? {
         val team = context.settings.teams[spec.team] ?: return "unknown team ${spec.team}"
         return when {
-            team.cpusMax > 0 && spec.size.cpus > team.cpusMax -> "a task needs more CPUs than the limit of ${team.name}"
-            team.gpusMax > 0 && spec.size.gpus > team.gpusMax -> "a task needs more GPUs than the limit of ${team.name}"
+            team.cpusMax > 0 && spec.taskResources.cpus > team.cpusMax -> "a task needs more CPUs than the limit of ${team.name}"
+            team.gpusMax > 0 && spec.taskResources.gpus > team.gpusMax -> "a task needs more GPUs than the limit of ${team.name}"
             catalog.allowed(spec).isEmpty() -> "a task fits no allowed machine type"
             !store.fitsValueLimit(activeRow(spec)) -> "the description is longer than the state service takes"
             spec.gang -> reasonAgainstGang(spec, team, catalog)
@@ -54,11 +54,11 @@
         team: Team,
         catalog: Catalog,
     ): String? {
-        val total = spec.size * spec.tasks
+        val total = spec.taskResources * spec.taskCount
         return when {
             team.cpusMax > 0 && total.cpus > team.cpusMax -> "all tasks together need more CPUs than the limit of ${team.name}"
             team.gpusMax > 0 && total.gpus > team.gpusMax -> "all tasks together need more GPUs than the limit of ${team.name}"
-            spec.spread && spec.tasks > 1 && !canSpread(spec, catalog) -> "its tasks can be in one zone only, and must be spread"
+            spec.spread && spec.taskCount > 1 && !canSpread(spec, catalog) -> "its tasks can be in one zone only, and must be spread"
             else -> null
         }
     }
--- a/src/main/kotlin/burlridge/api/StoredJobReader.kt
+++ b/src/main/kotlin/burlridge/api/StoredJobReader.kt
@@ -46,7 +46,7 @@
         row: Row,
     ): StoredJob {
         val end = JobRowCodec.decodeFinished(row) ?: return StoredJob.Unreadable
-        registry.recordEnd(id, end)
+        registry.recordFinished(id, end)
         return StoredJob.Finished(end)
     }
 }
--- a/src/main/kotlin/burlridge/api/SubmissionBody.kt
+++ b/src/main/kotlin/burlridge/api/SubmissionBody.kt
@@ -20,7 +20,7 @@
             ?.path("id")
             ?.takeIf { it.isTextual }
             ?.asText()
-            ?.takeIf(JobSpec::isId)
+            ?.takeIf(JobSpec::isValidId)
 
     /** The job; throws [InvalidJobException] where the body does not describe one. */
     fun parse(): JobSpec = JobSpecCodec.decode(json)
--- a/src/main/kotlin/burlridge/balance/DrainSafety.kt
+++ b/src/main/kotlin/burlridge/balance/DrainSafety.kt
@@ -94,6 +94,6 @@
                 ?.types
                 ?.get(machine.type)
                 ?.size ?: return false
-        return spec.size.fits(whole) && spec.allows(machine.type, machine.zone, machine.spot)
+        return spec.taskResources.fits(whole) && spec.allows(machine.type, machine.zone, machine.spot)
     }
 }
--- a/src/main/kotlin/burlridge/balance/GracefulEviction.kt
+++ b/src/main/kotlin/burlridge/balance/GracefulEviction.kt
@@ -91,7 +91,7 @@
             return when {
                 moves.isOpen(taskName) -> EvictionDelay.STOPPING
                 permission == MovePermission.NEVER -> EvictionDelay.NOT_PERMITTED
-                permission == MovePermission.SAVED && job.spec.checkpointSeconds <= 0 -> EvictionDelay.NO_CHECKPOINTS
+                permission == MovePermission.SAVED && job.spec.checkpointIntervalSeconds <= 0 -> EvictionDelay.NO_CHECKPOINTS
                 count > settings.movesPerTask -> EvictionDelay.MOVE_LIMIT_REACHED
                 moves.writing || planned.size >= moves.maxMovesPerRow -> EvictionDelay.OVER_BUDGET
                 else -> plan(machine, job, allocation, task, count)
@@ -106,7 +106,7 @@
             count: Int,
         ): EvictionDelay {
             val spec = job.spec
-            val tasks = if (spec.gang) spec.tasks else 1
+            val tasks = if (spec.gang) spec.taskCount else 1
             val move = Move(allocation.job, task, allocation.attempt, spec.team, spec.jobClass, machine.id, null, count, tasks)
             if (!moves.permits(move)) return EvictionDelay.OVER_BUDGET
             // A gang is placed as a whole once it has stopped, so no capacity is reserved for it.
@@ -142,7 +142,7 @@
                     allocation.phase == AllocationPhase.RUNNING
             }
         val ranSeconds = since?.let { context.now - it } ?: 0.0
-        val leftSeconds = (job.meanRunSeconds ?: job.spec.estimateSeconds) * ESTIMATE_MARGIN - ranSeconds
+        val leftSeconds = (job.meanRunSeconds ?: job.spec.estimatedRunSeconds) * ESTIMATE_MARGIN - ranSeconds
         return leftSeconds in 0.0..finishSeconds
     }
 
--- a/src/main/kotlin/burlridge/balance/HotspotMitigation.kt
+++ b/src/main/kotlin/burlridge/balance/HotspotMitigation.kt
@@ -133,7 +133,7 @@
         if (moves.isOpen(allocation.taskName)) return false
         return when (settings.permission(job.spec.jobClass)) {
             MovePermission.NEVER -> false
-            MovePermission.SAVED -> job.spec.checkpointSeconds > 0
+            MovePermission.SAVED -> job.spec.checkpointIntervalSeconds > 0
             MovePermission.REPEAT -> true
         }
     }
@@ -159,7 +159,7 @@
         val slowdown = loadTracker.slowdown(machine.id, context.now)
         // A task that should have ended by now may end at any moment: nothing is gained for certain.
         val remainingSeconds = (expectedSeconds - ranSeconds / slowdown).takeIf { it > 0.0 } ?: return null
-        val saves = job.spec.checkpointSeconds > 0
+        val saves = job.spec.checkpointIntervalSeconds > 0
         return MoveGain(
             remainingSeconds,
             slowdown,
--- a/src/main/kotlin/burlridge/balance/LoadTracker.kt
+++ b/src/main/kotlin/burlridge/balance/LoadTracker.kt
@@ -69,7 +69,7 @@
         if (!isPlausible(ranSeconds)) return
         expectedRunSeconds(job)?.let { addSample(machine, ranSeconds / it, COMPLETION_WEIGHT, now) }
         val runtime = classes.getOrPut(job.spec.jobClass) { ClassRuntime() }
-        val ratio = ranSeconds / job.spec.estimateSeconds.coerceAtLeast(1.0)
+        val ratio = ranSeconds / job.spec.estimatedRunSeconds.coerceAtLeast(1.0)
         runtime.samples++
         runtime.ratio += (ratio - runtime.ratio) * maxOf(COMPLETION_WEIGHT, 1.0 / runtime.samples)
     }
@@ -93,7 +93,7 @@
     fun expectedRunSeconds(job: Job): Double? {
         job.meanRunSeconds?.let { return it.coerceAtLeast(1.0) }
         val runtime = classes[job.spec.jobClass]?.takeIf { it.samples >= MIN_SAMPLES } ?: return null
-        return (job.spec.estimateSeconds * runtime.ratio).coerceAtLeast(1.0)
+        return (job.spec.estimatedRunSeconds * runtime.ratio).coerceAtLeast(1.0)
     }
 
     private fun addSample(
--- a/src/main/kotlin/burlridge/balance/MoveExecutor.kt
+++ b/src/main/kotlin/burlridge/balance/MoveExecutor.kt
@@ -134,7 +134,8 @@
         allocation: Allocation,
     ) {
         open.isStopSent = true
-        allocation.stopGraceSeconds = if (job.spec.checkpointSeconds > 0) job.spec.saveSeconds * GangRules.CHECKPOINT_GRACE_FACTOR else 0.0
+        allocation.stopGraceSeconds =
+            if (job.spec.checkpointIntervalSeconds > 0) job.spec.saveSeconds * GangRules.CHECKPOINT_GRACE_FACTOR else 0.0
         workers.machines[allocation.machine]?.let(workers::sendPendingCommands)
     }
 
--- a/src/main/kotlin/burlridge/fleet/CapacityDemand.kt
+++ b/src/main/kotlin/burlridge/fleet/CapacityDemand.kt
@@ -104,9 +104,9 @@
                 null,
                 oneZone = false,
                 spread = false,
-                spot = false,
-                estimateSeconds = type.bootSeconds,
-                checkpointSeconds = 0.0,
+                allowsSpot = false,
+                estimatedRunSeconds = type.bootSeconds,
+                checkpointIntervalSeconds = 0.0,
                 saveSeconds = 0.0,
                 deadlineSeconds = null,
             )
@@ -124,17 +124,17 @@
         val ageSeconds = (context.wallMillis - jobs.minOf { it.submittedMillis }) / MILLIS_PER_SECOND
         val observedSeconds = maxOf(ageSeconds, horizonSeconds / 2)
         val expectedJobs = jobs.size / observedSeconds * horizonSeconds
-        val tasksPerJob = jobs.map { it.spec.tasks }.average()
+        val tasksPerJob = jobs.map { it.spec.taskCount }.average()
         val runSeconds =
             jobs
                 .last()
                 .spec
-                .estimateSeconds
+                .estimatedRunSeconds
                 .coerceAtLeast(1.0)
         val freedTasks = allocatedTasks * minOf(1.0, horizonSeconds / runSeconds) / 2
         val likelyJobs = expectedJobs + Math.sqrt(expectedJobs) * operator.gangDeviations
         val likelyTasks = tasksPerJob * likelyJobs - freedTasks
-        return Math.ceil(maxOf(likelyTasks, jobs.maxOf { it.spec.tasks }.toDouble())).toInt()
+        return Math.ceil(maxOf(likelyTasks, jobs.maxOf { it.spec.taskCount }.toDouble())).toInt()
     }
 
     /** How long the tasks of [job] may still wait by the objectives of its class and its deadline; without any, not at all. */
@@ -143,7 +143,7 @@
         val objectives = context.settings.objectives.filter { it.jobClass == spec.jobClass }
         val startWithin = objectives.filter { it.kind == "wait" }.mapNotNull { it.withinSeconds }
         val finishWithin = objectives.filter { it.kind == "finished" }.mapNotNull { it.withinSeconds } + listOfNotNull(spec.deadlineSeconds)
-        val maxWaitSeconds = (startWithin + finishWithin.map { it - spec.estimateSeconds * LONG_RUN_FACTOR }).minOrNull() ?: 0.0
+        val maxWaitSeconds = (startWithin + finishWithin.map { it - spec.estimatedRunSeconds * LONG_RUN_FACTOR }).minOrNull() ?: 0.0
         return maxWaitSeconds - (context.wallMillis - job.submittedMillis) / MILLIS_PER_SECOND
     }
 
@@ -152,7 +152,7 @@
         waitObjectives.mapNotNull { objective ->
             val jobs = recentJobs.of(objective.jobClass)?.takeIf { !it.last().spec.gang && !recentJobs.hasStoppedArriving(it) }
             if (jobs == null) return@mapNotNull null
-            val tasksPerJob = jobs.map { it.spec.tasks }.average()
+            val tasksPerJob = jobs.map { it.spec.taskCount }.average()
             Need(jobs.last().spec, Math.ceil(tasksPerJob * operator.headroom).toInt(), Double.MAX_VALUE, 0)
         }
 
--- a/src/main/kotlin/burlridge/fleet/Catalog.kt
+++ b/src/main/kotlin/burlridge/fleet/Catalog.kt
@@ -24,7 +24,7 @@
     /** The types that a task of [spec] may run on and fits, in some zone that it allows. */
     fun allowed(spec: JobSpec): List<MachineType> =
         types.values.filter {
-            (spec.types == null || it.name in spec.types) && spec.size.fits(it.size) &&
+            (spec.machineTypes == null || it.name in spec.machineTypes) && spec.taskResources.fits(it.size) &&
                 (spec.zone == null || spec.zone in it.zones)
         }
 }
--- a/src/main/kotlin/burlridge/fleet/FreeCapacity.kt
+++ b/src/main/kotlin/burlridge/fleet/FreeCapacity.kt
@@ -15,7 +15,7 @@
     fun allows(spec: JobSpec): Boolean = spec.allows(offering.type, offering.zone, offering.spot)
 
     /** How many tasks of [size] fit. */
-    fun fitCount(size: Resources): Int = free.holds(size)
+    fun fitCount(size: Resources): Int = free.fitCount(size)
 
     /** Takes the resources of up to [maxTasks] tasks of [size]; returns of how many. */
     fun take(
--- a/src/main/kotlin/burlridge/fleet/PriceSelector.kt
+++ b/src/main/kotlin/burlridge/fleet/PriceSelector.kt
@@ -44,7 +44,7 @@
         return allowed.flatMap { type ->
             val factor = if (type.name in indispensableTypes && allowed.size > 1) INDISPENSABLE_FACTOR else 1.0
             type.zones.filter { spec.zone == null || it == spec.zone }.flatMap { zone ->
-                listOf(true, false).filter { !it || spec.spot }.map { spot ->
+                listOf(true, false).filter { !it || spec.allowsSpot }.map { spot ->
                     val price = if (spot) type.spotPrice else type.price
                     PricedOffering(InstanceOffering(type.name, zone, spot), price * factor / tasksPerMachine(type, spec))
                 }
@@ -56,8 +56,8 @@
         type: MachineType,
         spec: JobSpec,
     ): Double {
-        val byCpu = if (spec.size.cpus > 0) type.size.cpus / spec.size.cpus else UNBOUNDED_TASKS
-        val byMemory = if (spec.size.memoryGb > 0) type.size.memoryGb / spec.size.memoryGb else UNBOUNDED_TASKS
+        val byCpu = if (spec.taskResources.cpus > 0) type.size.cpus / spec.taskResources.cpus else UNBOUNDED_TASKS
+        val byMemory = if (spec.taskResources.memoryGb > 0) type.size.memoryGb / spec.taskResources.memoryGb else UNBOUNDED_TASKS
         return Math.floor(minOf(byCpu, byMemory)).coerceAtLeast(1.0)
     }
 }
--- a/src/main/kotlin/burlridge/fleet/RentalPlan.kt
+++ b/src/main/kotlin/burlridge/fleet/RentalPlan.kt
@@ -31,7 +31,7 @@
         var remaining = tasks
         for (capacity in capacities) {
             if (remaining == 0) break
-            if (capacity.allows(spec)) remaining -= capacity.take(spec.size, remaining)
+            if (capacity.allows(spec)) remaining -= capacity.take(spec.taskResources, remaining)
         }
         return remaining
     }
@@ -49,7 +49,7 @@
             if (!canAdd(offering)) break
             machineCounts.merge(offering, 1, Int::plus)
             val capacity = FreeCapacity(offering, catalog.types.getValue(offering.type).size)
-            remaining -= capacity.take(spec.size, remaining).coerceAtLeast(1)
+            remaining -= capacity.take(spec.taskResources, remaining).coerceAtLeast(1)
             capacities += capacity
         }
         return remaining
@@ -71,7 +71,7 @@
         val jobClass = need.spec.jobClass
         val servingTasks = need.allocatedTasks + (fittingTasks[jobClass] ?: 0) + need.tasks - remaining
         val queuedTasks = (waitingTasks[jobClass] ?: 0) + remaining
-        val waitSeconds = if (servingTasks <= 0) Double.MAX_VALUE else need.spec.estimateSeconds * queuedTasks / servingTasks
+        val waitSeconds = if (servingTasks <= 0) Double.MAX_VALUE else need.spec.estimatedRunSeconds * queuedTasks / servingTasks
         return waitSeconds * WAIT_SAFETY_FACTOR <= need.slackSeconds
     }
 
@@ -88,7 +88,7 @@
     private fun fitCount(
         capacity: FreeCapacity,
         spec: JobSpec,
-    ): Int = if (capacity.allows(spec)) capacity.fitCount(spec.size) else 0
+    ): Int = if (capacity.allows(spec)) capacity.fitCount(spec.taskResources) else 0
 
     private companion object {
         /** Run times are often half as long again as their estimate, and running tasks do not end evenly. */
--- a/src/main/kotlin/burlridge/job/InvalidJobException.kt
+++ b/src/main/kotlin/burlridge/job/InvalidJobException.kt
@@ -1,6 +1,6 @@
 package burlridge.job
 
-/** A submission does not describe a job; [reason] is the answer to its user. */
+/** Thrown if a submission or a row does not describe a valid job; [reason] is the answer to the user. */
 internal class InvalidJobException(
     val reason: String,
 ) : Exception(reason)
--- a/src/main/kotlin/burlridge/job/JobSpec.kt
+++ b/src/main/kotlin/burlridge/job/JobSpec.kt
@@ -3,7 +3,7 @@
 import burlridge.json.Json
 import com.google.common.hash.Hashing
 
-/** A job as its owner described it. */
+/** A job as its owner specified it. */
 internal data class JobSpec(
     val id: String,
     /** The class of jobs that it belongs to; the settings give the objectives of each. */
@@ -11,34 +11,34 @@
     /** The team whose quota the job counts against. */
     val team: String,
     val priority: Priority,
-    /** How many tasks the job has; they are numbered from 0. */
-    val tasks: Int,
-    /** What each task takes of its machine. */
-    val size: Resources,
+    /** Number of tasks; they are numbered from 0. */
+    val taskCount: Int,
+    /** Resources that each task uses on its machine. */
+    val taskResources: Resources,
     val image: String,
     val imageGb: Double,
     /** The machine types that tasks may run on; null for all. */
-    val types: List<String>?,
+    val machineTypes: List<String>?,
     /** The zone that tasks must run in; null for any. */
     val zone: String?,
-    /** All tasks run in the same zone, whichever it is. */
+    /** Whether all tasks must run in the same zone, whichever it is. */
     val oneZone: Boolean,
-    /** At most half of the tasks, rounded up, run in one zone. */
+    /** Whether at most half of the tasks, rounded up, may run in one zone. */
     val spread: Boolean,
-    /** Tasks may run on spot machines. */
-    val spot: Boolean,
-    /** How long a task runs, as its owner estimates. */
-    val estimateSeconds: Double,
-    /** The progress after which a running task saves a checkpoint by itself; 0 for a task that never saves. */
-    val checkpointSeconds: Double,
-    /** How long a task needs to save when it is stopped. */
+    /** Whether tasks may run on spot machines. */
+    val allowsSpot: Boolean,
+    /** Run time of a task as its owner estimates it. */
+    val estimatedRunSeconds: Double,
+    /** Seconds of progress after which a running task saves a checkpoint by itself; 0 if tasks never save. */
+    val checkpointIntervalSeconds: Double,
+    /** Time that a task needs to save when it is stopped. */
     val saveSeconds: Double,
-    /** Within which the job should be done after its submission; null for no deadline. */
+    /** Time after its submission within which the job should be done; null for no deadline. */
     val deadlineSeconds: Double?,
-    /** All tasks run at the same time or none does. */
+    /** Whether the job is a gang: all tasks run at the same time or none does. */
     val gang: Boolean = false,
 ) {
-    /** A hash of the specification, the same for every repetition of the same submission. */
+    /** Hash of the specification, by which a repeated submission is recognized. */
     val fingerprint: String by lazy {
         Hashing
             .sha256()
@@ -47,19 +47,19 @@
             .take(FINGERPRINT_CHARS)
     }
 
-    /** Whether its tasks may run on machines of [machineType] in [machineZone], spot machines or not. */
+    /** Whether its tasks may run on machines of [machineType] in [machineZone] that are spot machines if [isSpot]. */
     fun allows(
         machineType: String,
         machineZone: String,
         isSpot: Boolean,
-    ): Boolean = (types == null || machineType in types) && (zone == null || zone == machineZone) && (spot || !isSpot)
+    ): Boolean = (machineTypes == null || machineType in machineTypes) && (zone == null || zone == machineZone) && (allowsSpot || !isSpot)
 
     internal companion object {
         const val MAX_TASKS: Int = 100_000
         private const val FINGERPRINT_CHARS = 16
-        private val ID = Regex("j-[0-9]{1,18}")
+        private val ID_PATTERN = Regex("j-[0-9]{1,18}")
 
-        /** Whether [text] can be the id of a job. */
-        fun isId(text: String): Boolean = ID.matches(text)
+        /** Whether [text] has the form of a job id. */
+        fun isValidId(text: String): Boolean = ID_PATTERN.matches(text)
     }
 }
--- a/src/main/kotlin/burlridge/job/JobSpecCodec.kt
+++ b/src/main/kotlin/burlridge/job/JobSpecCodec.kt
@@ -13,32 +13,32 @@
     private const val MAX_TEXT_LENGTH = 200
     private const val MAX_TYPES = 30
 
-    /** The fields are always in this order: the fingerprint is a hash of the text. */
+    /** Writes the fields in a fixed order, since the fingerprint is a hash of the text. */
     fun encode(spec: JobSpec): JsonNode =
         Json.obj {
             put("id", spec.id)
             put("lane", spec.jobClass)
             put("crew", spec.team)
             put("shape", if (spec.gang) GANG else ARRAY)
-            put("urgency", spec.priority.wire)
-            put("pieces", spec.tasks)
-            put("vcpus", spec.size.cpus)
-            put("gpus", spec.size.gpus)
-            put("ramGb", spec.size.memoryGb)
+            put("urgency", spec.priority.wireName)
+            put("pieces", spec.taskCount)
+            put("vcpus", spec.taskResources.cpus)
+            put("gpus", spec.taskResources.gpus)
+            put("ramGb", spec.taskResources.memoryGb)
             put("bundle", spec.image)
             put("pullGb", spec.imageGb)
-            spec.types?.let { types -> putArray("breeds").also { array -> types.forEach(array::add) } }
+            spec.machineTypes?.let { types -> putArray("breeds").also { array -> types.forEach(array::add) } }
             spec.zone?.let { put("yard", it) }
             put("together", spec.oneZone)
             put("spread", spec.spread)
-            put("loaners", spec.spot)
-            put("guessS", spec.estimateSeconds)
-            put("markEveryS", spec.checkpointSeconds)
+            put("loaners", spec.allowsSpot)
+            put("guessS", spec.estimatedRunSeconds)
+            put("markEveryS", spec.checkpointIntervalSeconds)
             put("markCostS", spec.saveSeconds)
             spec.deadlineSeconds?.let { put("dueS", it) }
         }
 
-    /** Throws [InvalidJobException], with a reason for the user, where [body] is not a valid job; null stands for what is not JSON. */
+    /** Throws [InvalidJobException], with a reason for the user, if [body] is not a valid job; null stands for input that is not JSON. */
     fun decode(body: JsonNode?): JobSpec {
         if (body == null) throw InvalidJobException("the body is not JSON")
         if (!body.isObject) throw InvalidJobException("the body is not an object")
@@ -46,28 +46,28 @@
         return JobSpec(
             id = body.id(),
             gang = body.isGang(),
-            tasks = body.taskCount(),
-            size = Resources(body.amount("vcpus"), body.amount("gpus"), body.amount("ramGb")),
+            taskCount = body.taskCount(),
+            taskResources = Resources(body.nonNegativeNumber("vcpus"), body.nonNegativeNumber("gpus"), body.nonNegativeNumber("ramGb")),
             jobClass = body.text("lane"),
             team = body.text("crew"),
             priority = body.priority(),
             image = body.text("bundle"),
-            imageGb = body.amount("pullGb"),
-            types = body.machineTypes(),
+            imageGb = body.nonNegativeNumber("pullGb"),
+            machineTypes = body.machineTypes(),
             zone = body.fieldOrNull("yard")?.let { body.text("yard") },
             oneZone = body.flag("together"),
             spread = body.flag("spread"),
-            spot = body.flag("loaners"),
-            estimateSeconds = body.amount("guessS"),
-            checkpointSeconds = body.amount("markEveryS"),
-            saveSeconds = body.amount("markCostS"),
-            deadlineSeconds = body.fieldOrNull("dueS")?.let { body.amount("dueS") },
+            allowsSpot = body.flag("loaners"),
+            estimatedRunSeconds = body.nonNegativeNumber("guessS"),
+            checkpointIntervalSeconds = body.nonNegativeNumber("markEveryS"),
+            saveSeconds = body.nonNegativeNumber("markCostS"),
+            deadlineSeconds = body.fieldOrNull("dueS")?.let { body.nonNegativeNumber("dueS") },
         )
     }
 
     private fun JsonNode.id(): String {
         val id = text("id")
-        if (!JobSpec.isId(id)) throw InvalidJobException("id must look like j-000412")
+        if (!JobSpec.isValidId(id)) throw InvalidJobException("id must look like j-000412")
         return id
     }
 
@@ -85,7 +85,7 @@
     }
 
     private fun JsonNode.priority(): Priority =
-        Priority.of(text("urgency")) ?: throw InvalidJobException("urgency must be one of ${Priority.entries.map { it.wire }}")
+        Priority.of(text("urgency")) ?: throw InvalidJobException("urgency must be one of ${Priority.entries.map { it.wireName }}")
 
     private fun JsonNode.machineTypes(): List<String>? {
         val types = fieldOrNull("breeds") ?: return null
@@ -110,7 +110,7 @@
         return text
     }
 
-    private fun JsonNode.amount(name: String): Double {
+    private fun JsonNode.nonNegativeNumber(name: String): Double {
         val node = field(name)
         val value = node.asDouble()
         if (!node.isNumber || !value.isFinite() || value < 0) throw InvalidJobException("$name must be a number from 0")
--- a/src/main/kotlin/burlridge/job/Priority.kt
+++ b/src/main/kotlin/burlridge/job/Priority.kt
@@ -1,8 +1,8 @@
 package burlridge.job
 
-/** How urgent a job is, from the most to the least urgent; [wire] is its name in requests and rows. */
+/** The priority of a job, declared from highest to lowest; [wireName] is its name in requests and rows. */
 internal enum class Priority(
-    val wire: String,
+    val wireName: String,
 ) {
     PRODUCTION("prod"),
     HIGH("high"),
@@ -11,7 +11,7 @@
     ;
 
     internal companion object {
-        /** The priority named [wire]; null where there is none. */
-        fun of(wire: String): Priority? = entries.firstOrNull { it.wire == wire }
+        /** The priority named [wireName]; null if there is none. */
+        fun of(wireName: String): Priority? = entries.firstOrNull { it.wireName == wireName }
     }
 }
--- a/src/main/kotlin/burlridge/job/Resources.kt
+++ b/src/main/kotlin/burlridge/job/Resources.kt
@@ -1,26 +1,27 @@
 package burlridge.job
 
-/** An amount of what machines offer and tasks take. */
+/** Amounts of CPUs, GPUs and memory, as machines offer and tasks use them. */
 internal data class Resources(
     val cpus: Double,
     val gpus: Double,
     val memoryGb: Double,
 ) {
-    /** Whether this fits into [free], but for errors of rounding. */
-    fun fits(free: Resources): Boolean = cpus <= free.cpus + SLACK && gpus <= free.gpus + SLACK && memoryGb <= free.memoryGb + SLACK
-
-    /** How many tasks that take [size] fit into this. */
-    fun holds(size: Resources): Int {
-        val byCpus = quotient(cpus, size.cpus)
-        val byGpus = quotient(gpus, size.gpus)
-        val byMemory = quotient(memoryGb, size.memoryGb)
+    /** Whether this fits into [free], within the rounding tolerance. */
+    fun fits(free: Resources): Boolean =
+        cpus <= free.cpus + ROUNDING_TOLERANCE && gpus <= free.gpus + ROUNDING_TOLERANCE && memoryGb <= free.memoryGb + ROUNDING_TOLERANCE
+
+    /** Number of tasks that fit into this if each takes [taskResources]. */
+    fun fitCount(taskResources: Resources): Int {
+        val byCpus = quotient(cpus, taskResources.cpus)
+        val byGpus = quotient(gpus, taskResources.gpus)
+        val byMemory = quotient(memoryGb, taskResources.memoryGb)
         return minOf(byCpus, byGpus, byMemory).toInt().coerceAtLeast(0)
     }
 
     private fun quotient(
         free: Double,
-        taken: Double,
-    ): Double = if (taken > 0) (free + SLACK) / taken else UNLIMITED
+        required: Double,
+    ): Double = if (required > 0) (free + ROUNDING_TOLERANCE) / required else UNCONSTRAINED_COUNT
 
     operator fun minus(other: Resources): Resources = Resources(cpus - other.cpus, gpus - other.gpus, memoryGb - other.memoryGb)
 
@@ -31,10 +32,10 @@
     internal companion object {
         val NONE: Resources = Resources(0.0, 0.0, 0.0)
 
-        /** Tolerates the errors of rounding in sums and differences. */
-        private const val SLACK = 1e-9
+        /** Tolerance for rounding errors in sums and differences. */
+        private const val ROUNDING_TOLERANCE = 1e-9
 
-        /** How many tasks fit as far as a resource is concerned that they do not take. */
-        private const val UNLIMITED = 1e6
+        /** Number of tasks that fit as far as a resource that they do not use is concerned. */
+        private const val UNCONSTRAINED_COUNT = 1e6
     }
 }
--- a/src/main/kotlin/burlridge/placement/ArrayPlacement.kt
+++ b/src/main/kotlin/burlridge/placement/ArrayPlacement.kt
@@ -30,9 +30,9 @@
         if (!job.isEligible(reservation.task, context.now) || workers.hasOrphan(reservation.taskName)) return
         plan.release(reservation)
         val capacity = plan.capacityOn(reservation.machine.id) ?: return
-        val usage = plan.usageOf(spec.team) + spec.size
+        val usage = plan.usageOf(spec.team) + spec.taskResources
         if (!fit.fits(spec, plan.zonesOf(job), capacity) || quotas.isExceeded(spec.team, usage)) return
-        capacity.take(spec.size)
+        capacity.take(spec.taskResources)
         plan.setUsage(spec.team, usage)
         allocate(job, reservation.task, reservation.machine, plan)
         plan.markPlacedFromReservation(reservation.taskName)
@@ -55,7 +55,7 @@
         }
         task = fillByType(job, task, pools, zones, plan)
         if (task == NO_TASK) return
-        val isLimited = isBatchFull(plan) || quotas.isExceeded(spec.team, plan.usageOf(spec.team) + spec.size)
+        val isLimited = isBatchFull(plan) || quotas.isExceeded(spec.team, plan.usageOf(spec.team) + spec.taskResources)
         if (policy != null && objectives.hasStartObjective(spec.jobClass)) {
             task = fillSlowStarting(job, task, pools, zones, plan)
         }
@@ -80,7 +80,7 @@
         return task
     }
 
-    private fun isBatchFull(plan: PlacementPlan): Boolean = plan.allocations.size >= registry.allocations.maxStartsPerBatch
+    private fun isBatchFull(plan: PlacementPlan): Boolean = plan.allocations.size >= registry.allocations.maxAllocationsPerBatch
 
     /** Whether another job that asks for as much would find nothing either: withheld capacity may go to one that has waited longer. */
     private fun isCapacityExhausted(
@@ -117,7 +117,7 @@
     private fun canUse(
         job: Job,
         capacity: MachineCapacity,
-    ): Boolean = job.spec.size.fits(capacity.free) && (!capacity.isAvoided || canUseAvoided(job))
+    ): Boolean = job.spec.taskResources.fits(capacity.free) && (!capacity.isAvoided || canUseAvoided(job))
 
     private fun isFetchCritical(
         spec: JobSpec,
@@ -126,7 +126,7 @@
         if (objectives.isUrgent(spec.jobClass)) return true
         val slowestGbPerSecond = pools.minOfOrNull { fit.fetchGbPerSecond(it.first.type) } ?: return false
         return spec.deadlineSeconds != null && slowestGbPerSecond > 0 &&
-            spec.imageGb / slowestGbPerSecond > spec.estimateSeconds * MAX_FETCH_PART_OF_RUN
+            spec.imageGb / slowestGbPerSecond > spec.estimatedRunSeconds * MAX_FETCH_PART_OF_RUN
     }
 
     /** Places tasks of [job] from [firstTask] on on [candidates] while they fit; returns the next task, or [NO_TASK]. */
@@ -143,11 +143,11 @@
         val (idle, inUse) = candidates.partition { fleet.returnsIdleMachines && it.isIdle }
         val (idleLeft, shared) = idle.toMutableList() to inUse.toMutableList()
         while (task != NO_TASK && !isBatchFull(plan)) {
-            val usage = plan.usageOf(spec.team) + spec.size
+            val usage = plan.usageOf(spec.team) + spec.taskResources
             if (quotas.isExceeded(spec.team, usage)) break
             val capacity = fit.select(shared, spec, zones) ?: fit.select(idleLeft, spec, zones) ?: break
             if (idleLeft.isNotEmpty() && capacity.isIdle && idleLeft.remove(capacity)) shared += capacity
-            capacity.take(spec.size)
+            capacity.take(spec.taskResources)
             if (!capacity.hasUnlimitedStarts) capacity.remainingStarts--
             plan.setUsage(spec.team, usage)
             zones.merge(capacity.machine.zone, 1, Int::plus)
@@ -165,7 +165,7 @@
         plan: PlacementPlan,
     ): Int {
         var task = job.doneOrAllocated.nextClearBit(from)
-        while (task < job.spec.tasks) {
+        while (task < job.spec.taskCount) {
             val taskName = "${job.spec.id}/$task"
             if (job.isEligible(task, context.now) && !workers.hasOrphan(taskName) && !plan.isPlacedFromReservation(taskName)) return task
             task = job.doneOrAllocated.nextClearBit(task + 1)
--- a/src/main/kotlin/burlridge/placement/BestFitSelector.kt
+++ b/src/main/kotlin/burlridge/placement/BestFitSelector.kt
@@ -21,7 +21,8 @@
         zones: Map<String, Int>,
         capacity: MachineCapacity,
     ): Boolean =
-        (capacity.remainingStarts > 0 || spec.gang) && spec.size.fits(capacity.free) && isZoneAllowed(spec, zones, capacity.machine.zone)
+        (capacity.remainingStarts > 0 || spec.gang) && spec.taskResources.fits(capacity.free) &&
+            isZoneAllowed(spec, zones, capacity.machine.zone)
 
     private fun isZoneAllowed(
         spec: JobSpec,
@@ -29,7 +30,7 @@
         zone: String,
     ): Boolean {
         if (spec.oneZone && zones.keys.any { it != zone }) return false
-        return !spec.spread || (zones[zone] ?: 0) < (spec.tasks + 1) / 2
+        return !spec.spread || (zones[zone] ?: 0) < (spec.taskCount + 1) / 2
     }
 
     /**
@@ -72,7 +73,7 @@
         capacity: MachineCapacity,
         spec: JobSpec,
     ): Double {
-        val unused = capacity.free - spec.size
+        val unused = capacity.free - spec.taskResources
         val memoryGbPerCpu = capacity.total.memoryGb.coerceAtLeast(1.0) / capacity.total.cpus.coerceAtLeast(1.0)
         return unused.cpus + unused.gpus * CPUS_PER_GPU + unused.memoryGb / memoryGbPerCpu / 2 +
             expectedFetchSeconds(capacity.machine, spec) * CPUS_PER_FETCH_SECOND
--- a/src/main/kotlin/burlridge/placement/GangPlacement.kt
+++ b/src/main/kotlin/burlridge/placement/GangPlacement.kt
@@ -31,7 +31,7 @@
         plan: PlacementPlan,
     ) {
         val spec = job.spec
-        val usage = plan.usageOf(spec.team) + spec.size * spec.tasks
+        val usage = plan.usageOf(spec.team) + spec.taskResources * spec.taskCount
         if (quotas.isExceeded(spec.team, usage)) {
             // Its quota is held back as well, or single tasks would use every bit of it that becomes free.
             plan.setUsage(spec.team, usage)
@@ -39,15 +39,15 @@
         }
         val groups = candidateGroups(spec, plan)
         for (candidates in groups) {
-            if (fitCount(candidates, spec) < spec.tasks) continue
-            val assigned = assign(spec, spec.tasks, candidates)
-            if (assigned.size == spec.tasks) {
+            if (fitCount(candidates, spec) < spec.taskCount) continue
+            val assigned = assign(spec, spec.taskCount, candidates)
+            if (assigned.size == spec.taskCount) {
                 plan.setUsage(spec.team, usage)
                 val attempt = job.highestAttempt + 1
                 assigned.forEachIndexed { task, capacity -> plan.allocate(spec, task, attempt, capacity.machine) }
                 return
             }
-            assigned.forEach { it.release(spec.size) }
+            assigned.forEach { it.release(spec.taskResources) }
         }
         holdBackLargestGroup(spec, groups, plan)
     }
@@ -59,9 +59,9 @@
         plan: PlacementPlan,
     ) {
         groups
-            .filter { candidates -> idleFitCount(spec, plan, candidates) >= spec.tasks }
+            .filter { candidates -> idleFitCount(spec, plan, candidates) >= spec.taskCount }
             .maxByOrNull { fitCount(it, spec) }
-            ?.let { assign(spec, spec.tasks, it) }
+            ?.let { assign(spec, spec.taskCount, it) }
     }
 
     /** Holds back capacity for the gangs that are expected soon; never more than a part of the machines. */
@@ -76,7 +76,7 @@
     private fun fitCount(
         candidates: List<MachineCapacity>,
         spec: JobSpec,
-    ): Int = candidates.sumOf { it.fitCount(spec.size) }
+    ): Int = candidates.sumOf { it.fitCount(spec.taskResources) }
 
     /** How many tasks of [spec] would fit on the machines of the group of [candidates], full ones included, if all were idle. */
     private fun idleFitCount(
@@ -85,7 +85,10 @@
         candidates: List<MachineCapacity>,
     ): Int {
         val zone = candidates.firstOrNull()?.machine?.zone ?: return 0
-        return plan.poolsFor(spec).filter { !spec.oneZone || it.first.zone == zone }.sumOf { it.machineCount * it.total.holds(spec.size) }
+        return plan.poolsFor(spec).filter { !spec.oneZone || it.first.zone == zone }.sumOf {
+            it.machineCount *
+                it.total.fitCount(spec.taskResources)
+        }
     }
 
     /** Groups of machines that may hold the gang together: one for each zone where it must be in one, those that hold its image first. */
@@ -93,7 +96,7 @@
         spec: JobSpec,
         plan: PlacementPlan,
     ): List<List<MachineCapacity>> {
-        val candidates = plan.poolsFor(spec).flatMap { pool -> pool.candidates.filter { spec.size.fits(it.free) } }
+        val candidates = plan.poolsFor(spec).flatMap { pool -> pool.candidates.filter { spec.taskResources.fits(it.free) } }
         if (!spec.oneZone) return listOf(candidates)
 
         return candidates
@@ -101,7 +104,7 @@
             .values
             .sortedWith(
                 compareByDescending<List<MachineCapacity>> { zone ->
-                    minOf(spec.tasks, fitCount(zone.filter { spec.image in it.machine.images }, spec))
+                    minOf(spec.taskCount, fitCount(zone.filter { spec.image in it.machine.images }, spec))
                 }.thenByDescending { fitCount(it, spec) },
             )
     }
@@ -123,7 +126,7 @@
                 val capacity =
                     assigned.lastOrNull()?.takeIf { fit.fits(spec, zones, it) }
                         ?: fit.select(shared, spec, zones) ?: fit.select(idleLeft, spec, zones) ?: break
-                capacity.take(spec.size)
+                capacity.take(spec.taskResources)
                 zones.merge(capacity.machine.zone, 1, Int::plus)
                 assigned += capacity
             }
--- a/src/main/kotlin/burlridge/placement/JobQueue.kt
+++ b/src/main/kotlin/burlridge/placement/JobQueue.kt
@@ -62,15 +62,15 @@
 
     private fun willBeLate(job: Job): Boolean {
         val limitSeconds = job.spec.deadlineSeconds ?: objectives.finishSeconds(job.spec.jobClass) ?: return false
-        return job.ageSeconds(context.wallMillis) + job.spec.estimateSeconds * MIN_PART_OF_ESTIMATE > limitSeconds
+        return job.ageSeconds(context.wallMillis) + job.spec.estimatedRunSeconds * MIN_PART_OF_ESTIMATE > limitSeconds
     }
 
     /** With a deadline the earliest goes first, otherwise the least work, by which most jobs meet a common objective. */
     private fun rank(job: Job): Double {
         val spec = job.spec
         spec.deadlineSeconds?.let { return it - job.ageSeconds(context.wallMillis) }
-        val remainingTasks = spec.tasks - job.done.cardinality()
-        return remainingTasks * spec.estimateSeconds - job.ageSeconds(context.wallMillis)
+        val remainingTasks = spec.taskCount - job.done.cardinality()
+        return remainingTasks * spec.estimatedRunSeconds - job.ageSeconds(context.wallMillis)
     }
 
     private companion object {
--- a/src/main/kotlin/burlridge/placement/MachineCapacity.kt
+++ b/src/main/kotlin/burlridge/placement/MachineCapacity.kt
@@ -19,7 +19,7 @@
     val isIdle: Boolean get() = free == total
 
     /** How many tasks of [size] fit into what is free. */
-    fun fitCount(size: Resources): Int = free.holds(size)
+    fun fitCount(size: Resources): Int = free.fitCount(size)
 
     /** Takes [size] of what is free. */
     fun take(size: Resources) {
--- a/src/main/kotlin/burlridge/placement/MoveTargetFinder.kt
+++ b/src/main/kotlin/burlridge/placement/MoveTargetFinder.kt
@@ -27,7 +27,7 @@
     ): Machine? {
         val spec = job.spec
         // The task counts on both machines until it is gone from the present one.
-        if (quotas.isExceeded(spec.team, plan.usageOf(spec.team) + spec.size)) return null
+        if (quotas.isExceeded(spec.team, plan.usageOf(spec.team) + spec.taskResources)) return null
         val zones = plan.zonesOf(job)
         for (poolsOfType in plan.poolsFor(spec).groupBy { it.first.type }.values) {
             val candidates =
@@ -45,5 +45,5 @@
         capacity: MachineCapacity,
         job: Job,
         allocation: Allocation,
-    ): Boolean = !capacity.isAvoided && capacity.machine.id != allocation.machine && job.spec.size.fits(capacity.free)
+    ): Boolean = !capacity.isAvoided && capacity.machine.id != allocation.machine && job.spec.taskResources.fits(capacity.free)
 }
--- a/src/main/kotlin/burlridge/placement/Placement.kt
+++ b/src/main/kotlin/burlridge/placement/Placement.kt
@@ -47,14 +47,14 @@
     }
 
     private fun isFull(plan: PlacementPlan): Boolean =
-        plan.allocations.size >= registry.allocations.maxStartsPerBatch || plan.jobs.size >= registry.allocations.maxJobsPerBatch
+        plan.allocations.size >= registry.allocations.maxAllocationsPerBatch || plan.jobs.size >= registry.allocations.maxJobsPerBatch
 
     /** Stores the allocations of [plan], and sends their start commands once they are stored. */
     private fun commit(plan: PlacementPlan) {
         if (plan.allocations.isEmpty()) return
         context.debug("allocating tasks", "tasks" to plan.allocations.size, "jobs" to plan.jobs.size)
         // Only a gang may need more than one row: it starts once all of its rows are stored.
-        plan.allocations.chunked(registry.allocations.maxStartsPerBatch).forEach { batch ->
+        plan.allocations.chunked(registry.allocations.maxAllocationsPerBatch).forEach { batch ->
             registry.allocations.allocate(batch) { startable ->
                 startable.map { it.machine }.distinct().forEach { id -> workers.machines[id]?.let(workers::sendPendingCommands) }
             }
--- a/src/main/kotlin/burlridge/placement/PlacementPlan.kt
+++ b/src/main/kotlin/burlridge/placement/PlacementPlan.kt
@@ -49,7 +49,7 @@
         machine: Machine,
     ) {
         jobs += spec.id
-        val charge = QuotaCharge(spec.team, spec.size)
+        val charge = QuotaCharge(spec.team, spec.taskResources)
         allocations += Allocation(spec.id, task, attempt, machine.id, machine.agentEpoch, machine.zone, charge)
     }
 
@@ -64,17 +64,17 @@
     /** Takes capacity and quota for [reservation], if they are still free. */
     fun reserve(reservation: CapacityReservation) {
         val spec = reservation.job.spec
-        val capacity = capacityOn(reservation.machine.id)?.takeIf { spec.size.fits(it.free) } ?: return
-        capacity.take(spec.size)
-        usageByTeam.merge(spec.team, spec.size, Resources::plus)
+        val capacity = capacityOn(reservation.machine.id)?.takeIf { spec.taskResources.fits(it.free) } ?: return
+        capacity.take(spec.taskResources)
+        usageByTeam.merge(spec.team, spec.taskResources, Resources::plus)
         reservations += reservation
     }
 
     /** Returns what [reservation] takes: its task is about to be placed. */
     fun release(reservation: CapacityReservation) {
         val spec = reservation.job.spec
-        capacityOn(reservation.machine.id)?.release(spec.size)
-        usageByTeam.merge(spec.team, spec.size, Resources::minus)
+        capacityOn(reservation.machine.id)?.release(spec.taskResources)
+        usageByTeam.merge(spec.team, spec.taskResources, Resources::minus)
         reservations -= reservation
     }
 
@@ -100,5 +100,5 @@
 
     /** The pools whose machines [spec] may use and that are large enough. */
     fun poolsFor(spec: JobSpec): List<MachinePool> =
-        pools.filter { spec.size.fits(it.total) && spec.allows(it.first.type, it.first.zone, it.first.spot) }
+        pools.filter { spec.taskResources.fits(it.total) && spec.allows(it.first.type, it.first.zone, it.first.spot) }
 }
--- a/src/main/kotlin/burlridge/placement/PlacementPlanBuilder.kt
+++ b/src/main/kotlin/burlridge/placement/PlacementPlanBuilder.kt
@@ -60,7 +60,7 @@
         total: Resources,
     ): Resources {
         var free = total - registry.allocations.usageOn(machine.id)
-        machine.orphans.forEach { taskName -> registry.jobs[taskName.substringBefore('/')]?.let { free -= it.spec.size } }
+        machine.orphans.forEach { taskName -> registry.jobs[taskName.substringBefore('/')]?.let { free -= it.spec.taskResources } }
         return free
     }
 }
--- a/src/main/kotlin/burlridge/placement/ResourceRequest.kt
+++ b/src/main/kotlin/burlridge/placement/ResourceRequest.kt
@@ -13,9 +13,10 @@
     val size: Resources,
 ) {
     /** Whether a task of [spec] fits only where this request does: if no machine satisfies this one, none satisfies that. */
-    fun isImpliedBy(spec: JobSpec): Boolean = types == spec.types && zone == spec.zone && (spot || !spec.spot) && size.fits(spec.size)
+    fun isImpliedBy(spec: JobSpec): Boolean =
+        types == spec.machineTypes && zone == spec.zone && (spot || !spec.allowsSpot) && size.fits(spec.taskResources)
 
     internal companion object {
-        fun of(spec: JobSpec): ResourceRequest = ResourceRequest(spec.types, spec.zone, spec.spot, spec.size)
+        fun of(spec: JobSpec): ResourceRequest = ResourceRequest(spec.machineTypes, spec.zone, spec.allowsSpot, spec.taskResources)
     }
 }
--- a/src/main/kotlin/burlridge/worker/GangStopper.kt
+++ b/src/main/kotlin/burlridge/worker/GangStopper.kt
@@ -43,7 +43,7 @@
                 .mapNotNull { machines.byId[it.machine] }
                 .distinct()
         if (state == GangState.RUNNING) {
-            if (mustSave && job.spec.checkpointSeconds <= 0) return
+            if (mustSave && job.spec.checkpointIntervalSeconds <= 0) return
             if (!gangMachines.all { canReceiveStop(it) }) return
         }
         context.info(
--- a/src/main/kotlin/burlridge/worker/TaskCleanup.kt
+++ b/src/main/kotlin/burlridge/worker/TaskCleanup.kt
@@ -56,7 +56,7 @@
         if (allocationOf(machine, status) != null) return null
         // A repeated start may still arrive, and after the removal it would count as new. A task that is done ends at once again; any
         // other start must be fenced first, for the task may run elsewhere by then, or be cancelled.
-        val isRepeatHarmless = isDone && (job != null || registry.endOf(jobId)?.jobState == JobState.DONE)
+        val isRepeatHarmless = isDone && (job != null || registry.finishedJob(jobId)?.jobState == JobState.DONE)
         if (!isRepeatHarmless && machine.seenToken <= machine.lastStartToken) {
             if (machine.token <= machine.lastStartToken) machine.token = nextToken()
             return null
--- a/src/main/kotlin/burlridge/worker/TaskEviction.kt
+++ b/src/main/kotlin/burlridge/worker/TaskEviction.kt
@@ -53,7 +53,7 @@
         if (spec.gang) {
             gangStopper.stop(job, StopReason.MACHINE_SLOW, machine.id, mustSave = false)
         } else if (allocation.stopGraceSeconds == null) {
-            allocation.stopGraceSeconds = if (spec.checkpointSeconds > 0) saveGraceSeconds(spec) else 0.0
+            allocation.stopGraceSeconds = if (spec.checkpointIntervalSeconds > 0) saveGraceSeconds(spec) else 0.0
         }
     }
 
@@ -73,7 +73,7 @@
         allocation: Allocation,
         spec: JobSpec,
     ) {
-        val canSave = allocation.phase == AllocationPhase.RUNNING && spec.checkpointSeconds > 0
+        val canSave = allocation.phase == AllocationPhase.RUNNING && spec.checkpointIntervalSeconds > 0
         if (!canSave || allocation.stopGraceSeconds != null) return
         allocation.stopGraceSeconds = saveGraceSeconds(spec)
         context.info(
--- a/src/main/kotlin/burlridge/worker/WorkerManager.kt
+++ b/src/main/kotlin/burlridge/worker/WorkerManager.kt
@@ -139,7 +139,7 @@
         context.infoLimited("machine gone", "machine" to machine.id, "reason" to reason.text)
         machineRegistry.remove(machine)
         losses.loseAll(machine, reason)
-        registry.allocations.forgetMachine(machine.id)
+        registry.allocations.removeMachine(machine.id)
     }
 
     /** Sweeps over all machines, several times in a report interval. */
--- a/src/test/kotlin/burlridge/allocation/JobRegistryTest.kt
+++ b/src/test/kotlin/burlridge/allocation/JobRegistryTest.kt
@@ -40,13 +40,13 @@
         registry.admit(Row("live/$job", Json.parse(row), 1))
     }
 
-    /** Each of [starts] is task, attempt, machine, agent epoch, index of the zone, and 1 where it is lost. */
+    /** Each of [allocations] is task, attempt, machine, agent epoch, index of the zone, and 1 if it is lost. */
     private fun loadBatch(
         slot: String,
         job: String,
-        vararg starts: String,
+        vararg allocations: String,
     ) {
-        val jobs = """{"$job":["crew",1.0,0.0,1.0,[${starts.joinToString()}]]}"""
+        val jobs = """{"$job":["crew",1.0,0.0,1.0,[${allocations.joinToString()}]]}"""
         val value = """{"st":"claimed","n":"$slot","tok":1,"until":0,"zones":["a"],"jobs":$jobs}"""
         registry.allocations.loadBatch(Row("round/$slot", Json.parse(value), 5))
     }
@@ -56,9 +56,9 @@
             .orEmpty()
             .mapValues { it.value.attempt }
 
-    /** Found by random faults: the later attempt was missing from its machine's allocations, and its job never ended. */
+    /** Guards against a failure found by random fault injection: the later attempt was missing on its machine and its job never ended. */
     @Test
-    fun `of two attempts on one machine the later is open, in whatever order their rows are loaded`() {
+    fun `only the later of two attempts on one machine is open, even if its row is loaded first`() {
         admit("j-1", 1, "array")
         loadBatch("1-0", "j-1", """[0,2,"m-1",1,0,0]""")
         loadBatch("1-1", "j-1", """[0,1,"m-1",1,0,0]""")
@@ -73,7 +73,7 @@
     }
 
     @Test
-    fun `a partially allocated gang attempt is released, and its number is not used again`() {
+    fun `a partially allocated gang attempt is released, and its number is not reused`() {
         admit("j-1", 3, "ensemble")
         loadBatch("1-0", "j-1", """[0,4,"m-1",1,0,0]""", """[1,4,"m-2",1,0,0]""")
         registry.reconcileLoaded()
@@ -89,7 +89,7 @@
     }
 
     @Test
-    fun `a fully allocated gang attempt may be running, and one that has lost a task is to be stopped`() {
+    fun `a fully allocated gang attempt is restored, and one that has lost a task is marked to be stopped`() {
         admit("j-1", 2, "ensemble")
         admit("j-2", 2, "ensemble")
         loadBatch("1-0", "j-1", """[0,1,"m-1",1,0,0]""", """[1,1,"m-2",1,0,0]""")
--- a/src/test/kotlin/burlridge/allocation/LimitsTest.kt
+++ b/src/test/kotlin/burlridge/allocation/LimitsTest.kt
@@ -23,7 +23,7 @@
 import java.util.Base64
 import java.util.BitSet
 
-/** The largest transaction of each kind, against a key-value store that has lowered its limits. */
+/** The largest transactions of each kind, sent to a key-value store that has lowered its limits. */
 internal class LimitsTest {
     private val clock = Clock()
     private val state = StateService(clock).also { it.lower(valueKb = 2.0, changesPerTransaction = 4) }
@@ -50,8 +50,8 @@
 
     private val errors = ArrayList<String>()
 
-    /** Lets [seconds] pass, with the key-value store answering at once. */
-    private fun pass(seconds: Double) {
+    /** Advances the clock by [seconds], with the key-value store answering at once. */
+    private fun advance(seconds: Double) {
         repeat((seconds * 10).toInt()) {
             clock.runUntil(clock.now + 0.1)
             context.beginStep(clock.now, (clock.now * 1000).toLong())
@@ -59,11 +59,11 @@
             if (leadership.isLeader) registry.tick()
             context.runDue()
             store.pump()
-            answer()
+            answerCalls()
         }
     }
 
-    private fun answer() {
+    private fun answerCalls() {
         val calls = ArrayDeque(context.finishStep())
         while (calls.isNotEmpty()) {
             val effect = calls.removeFirst()
@@ -99,11 +99,14 @@
         return modRevision
     }
 
-    /** Guards the end of the largest job: with its four old progress rows it has six changes, and was repeated for ever. */
+    /**
+     * Guards against an endless retry: the transaction that ends the largest job, with its four progress rows of the old size, has six
+     * changes, which is more than the lowered limit allows.
+     */
     @Test
-    fun `the largest job's progress and end fit, beside rows that the old limits allowed`() {
-        pass(3.0)
-        val job = admit("j-1", JobSpecLimits.TASKS)
+    fun `progress and end of the largest job keep the lowered limits, even with progress rows of the old size`() {
+        advance(3.0)
+        val job = admit("j-1", JobSpecLimits.MAX_TASKS)
         val bits = Base64.getEncoder().encodeToString(BitSet().apply { set(0, ProgressCodec.TASKS_PER_ROW) }.toByteArray())
         repeat(2) { chunk ->
             // Written before the limits were lowered.
@@ -113,37 +116,37 @@
             registry.loadProgress(Row("prog/j-1/$chunk", Json.parse("""{"bits":"$bits"}"""), 1))
         }
         assertEquals(2 * ProgressCodec.TASKS_PER_ROW, job.persistedDone.cardinality())
-        (2 * ProgressCodec.TASKS_PER_ROW until JobSpecLimits.TASKS - 1).forEach { registry.markDone(job, it) }
-        pass(120.0)
-        assertEquals(JobSpecLimits.TASKS - 1, job.persistedDone.cardinality())
+        (2 * ProgressCodec.TASKS_PER_ROW until JobSpecLimits.MAX_TASKS - 1).forEach { registry.markDone(job, it) }
+        advance(120.0)
+        assertEquals(JobSpecLimits.MAX_TASKS - 1, job.persistedDone.cardinality())
         assertTrue(state.keys("prog/").size > 4)
-        registry.markDone(job, JobSpecLimits.TASKS - 1)
-        pass(20.0)
+        registry.markDone(job, JobSpecLimits.MAX_TASKS - 1)
+        advance(20.0)
         assertEquals(listOf("over/j-1"), state.keys("over/"))
         assertEquals(emptyList<String>(), state.keys("prog/") + state.keys("live/"))
         assertEquals(0, state.refusedAsTooLarge)
         assertEquals(emptyList<String>(), errors)
     }
 
-    /** Guards progress rows that a leader has not removed before it died: noListener else would. */
+    /** Guards against leaked progress rows: if a leader died before it removed them, nothing else would. */
     @Test
-    fun `progress rows of an ended job are removed by the leader that finds them`() {
-        pass(3.0)
+    fun `progress rows of an ended job are removed by the leader that loads them`() {
+        advance(3.0)
         repeat(6) { put("prog/j-9/b${it * 8}", """{"bits":"/w=="}""") }
         state.keys("prog/").forEach { registry.loadProgress(Row(it, Json.parse("""{"bits":"/w=="}"""), 1)) }
-        pass(10.0)
+        advance(10.0)
         assertEquals(emptyList<String>(), state.keys("prog/"))
         assertEquals(0, state.refusedAsTooLarge)
         assertEquals(emptyList<String>(), errors)
     }
 
-    /** Guards rows of 8 KiB that production wrote: marking a loss in one would be refused for ever. */
+    /** Guards against an endless retry: with the lowered limit, a loss cannot be marked in a row of 8 KiB that production wrote. */
     @Test
-    fun `a batch row of the old size is rewritten as soon as that fits, and removed at its end`() {
-        pass(3.0)
+    fun `a batch row of the old size is rewritten once it fits the lowered limit, and removed once all its tasks are done`() {
+        advance(3.0)
         val job = admit("j-1", 200)
-        val starts = (0 until 150).joinToString { "[$it,1,\"m-00000$it\",1,0,0]" }
-        val value = """{"st":"claimed","n":"1-0","tok":1,"until":0,"zones":["a"],"jobs":{"j-1":["crew",0.1,0.0,0.0,[$starts]]}}"""
+        val allocations = (0 until 150).joinToString { "[$it,1,\"m-00000$it\",1,0,0]" }
+        val value = """{"st":"claimed","n":"1-0","tok":1,"until":0,"zones":["a"],"jobs":{"j-1":["crew",0.1,0.0,0.0,[$allocations]]}}"""
         state.lower(valueKb = 8.0, changesPerTransaction = 8)
         put("round/1-0", value)
         state.lower(valueKb = 2.0, changesPerTransaction = 4)
@@ -152,8 +155,8 @@
 
         fun allocationsOf(tasks: IntRange) = tasks.map { job.allocations.get(it) }
         allocationsOf(0..0).forEach { registry.allocations.release(it, isLost = true) }
-        pass(5.0)
-        // Of 149 nothing is known yet: too much for a row.
+        advance(5.0)
+        // 149 allocations are still open, which is too many for a row to be rewritten.
         assertEquals(1, AllocationBatchCodec.decode(Row("round/1-0", Json.parse(value), 1)).allocations.count { it.task == 0 })
         allocationsOf(1..130).forEach {
             registry.allocations.release(it, isLost = false)
@@ -161,19 +164,19 @@
             job.persistedDone.set(it.task)
         }
         allocationsOf(131..131).forEach { registry.allocations.release(it, isLost = true) }
-        pass(5.0)
+        advance(5.0)
         var row = ""
         state.handle("GET", "/store/round/1-0", "") { _, body -> row = body }
         assertTrue("[131,1,\"m-00000131\",1,0,1]" in row, row)
         (0 until 200).forEach { if (!job.done.get(it)) registry.markDone(job, it) }
         allocationsOf(132..149).forEach { it?.let { allocation -> registry.allocations.release(allocation, isLost = false) } }
-        pass(20.0)
+        advance(20.0)
         assertEquals(emptyList<String>(), state.keys("round/"))
         assertEquals(0, state.refusedAsTooLarge)
         assertEquals(emptyList<String>(), errors)
     }
 
     private object JobSpecLimits {
-        const val TASKS = JobSpec.MAX_TASKS
+        const val MAX_TASKS = JobSpec.MAX_TASKS
     }
 }
--- a/src/test/kotlin/burlridge/allocation/ProductionTest.kt
+++ b/src/test/kotlin/burlridge/allocation/ProductionTest.kt
@@ -16,7 +16,10 @@
 import org.junit.jupiter.api.Test
 import java.util.HexFormat
 
-/** Rows and messages kept from the version in production (see README.md beside them): read, and for arrays written alike. */
+/**
+ * Compatibility with the version in production, whose rows and messages are kept in `src/test/resources/production` (see the README.md
+ * there): they are read, and those of job arrays are written back identically.
+ */
 internal class ProductionTest {
     private fun lines(name: String): List<String> =
         checkNotNull(javaClass.getResource("/production/$name")).readText().lines().filter { it.isNotEmpty() }
@@ -34,7 +37,7 @@
     private fun rows(prefix: String): List<Row> = rowsOf("rows.jsonl", prefix)
 
     @Test
-    fun `a job of production is read, and an array is written byte for byte as it writes it`() {
+    fun `an active row of a job array from production is read, and written back byte for byte`() {
         for (row in rows("live/")) {
             val spec = JobSpecCodec.decode(row.value.path("job"))
             assertEquals(row.value.path("fp").asText(), spec.fingerprint)
@@ -45,7 +48,7 @@
     }
 
     @Test
-    fun `the end of a job of production is read, and written byte for byte as it writes it`() {
+    fun `a finished job row from production is read, and written back byte for byte`() {
         for (row in rows("over/")) {
             val finished = checkNotNull(JobRowCodec.decodeFinished(row))
             assertEquals(Json.write(row.value), Json.write(JobRowCodec.encodeFinished(finished)))
@@ -53,7 +56,7 @@
     }
 
     @Test
-    fun `a batch row of production is read, and written byte for byte as it writes it`() {
+    fun `a batch row from production is read, and written back byte for byte`() {
         for (row in rows("round/")) {
             val batch = AllocationBatchCodec.decode(row)
             assertTrue(batch.allocations.size > 100)
@@ -63,7 +66,7 @@
     }
 
     @Test
-    fun `progress of production is read, and written alike where a value holds it`() {
+    fun `a progress row from production is read, and written back identically if the value limit allows it`() {
         val row = rows("prog/").single()
         val large = ProgressCodec(8 * 1024)
         val done = assertNotNull(large.decode(row)).let { large.decode(row) } ?: return
@@ -73,9 +76,9 @@
         assertEquals(Json.write(row.value), Json.write(large.encode(done, range)))
     }
 
-    /** Guards progress under the limits to come: rows of the old form are too large, and the old version must not misread the new. */
+    /** Covers progress rows under the announced limits: the old form is too large, and production must not misread the new form. */
     @Test
-    fun `where values are smaller progress is kept in a form that production passes over`() {
+    fun `with a smaller value limit, progress rows have a form that production ignores`() {
         val small = ProgressCodec(2 * 1024)
         val done = java.util.BitSet().apply { set(0, 40_000) }
         val read = java.util.BitSet()
@@ -94,42 +97,42 @@
 
     private fun job(tasks: Int): Job {
         val body = rows("live/").first().value.path("job")
-        return Job(JobSpecCodec.decode(body).copy(id = "j-000090", tasks = tasks), 1, 0)
+        return Job(JobSpecCodec.decode(body).copy(id = "j-000090", taskCount = tasks), 1, 0)
     }
 
     @Test
-    fun `every message of production is read, and written byte for byte alike`() {
+    fun `every message from production is read, and written back byte for byte`() {
         for (line in lines("messages.txt")) {
-            val (hex, says) = line.split("  ", limit = 2)
+            val (hex, expectedText) = line.split("  ", limit = 2)
             val bytes = HexFormat.of().parseHex(hex)
             val message = PeerMessage.decode(bytes)
-            // What this version adds is absent from what production writes, and printed as such.
-            assertEquals(says, message.toString().replace(ABSENT_FAILOVER, ""))
+            // A field that this version adds is missing from messages of production, and printed as null.
+            assertEquals(expectedText, message.toString().replace(ABSENT_FAILOVER, ""))
             assertEquals(message is PeerMessage.Status, ABSENT_FAILOVER in message.toString())
             assertArrayEquals(bytes, PeerMessage.encode(message))
         }
     }
 
-    /** Guards the links: production ends one on a kind that it does not know, so none is sent; and none ends ours. */
+    /** Covers connections between members: production closes one on an unknown kind, so it is sent none; this version keeps its open. */
     @Test
-    fun `a message of a kind or with a field that is not known yet ends nothing`() {
+    fun `a message of an unknown kind decodes to null, and an unknown field is ignored`() {
         val known = HexFormat.of().parseHex(lines("messages.txt").last().substringBefore(' '))
-        val kindOfLater = known.clone().also { it[2] = 'z'.code.toByte() }
-        assertNull(PeerMessage.decodeOrNull(kindOfLater))
+        val unknownKind = known.clone().also { it[2] = 'z'.code.toByte() }
+        assertNull(PeerMessage.decodeOrNull(unknownKind))
         // Field 9 of the message itself, a number.
-        val longer = known.clone().also { it[4] = (it[4] + 2).toByte() } + byteArrayOf(0x48, 0x01)
-        assertEquals(PeerMessage.decode(known), PeerMessage.decodeOrNull(longer))
+        val withUnknownField = known.clone().also { it[4] = (it[4] + 2).toByte() } + byteArrayOf(0x48, 0x01)
+        assertEquals(PeerMessage.decode(known), PeerMessage.decodeOrNull(withUnknownField))
     }
 
     @Test
-    fun `rows of drains and moves are read, and written byte for byte alike`() {
-        for (row in laterRows("drain/")) assertEquals(Json.write(row.value), Json.write(checkNotNull(Drain.decode(row)).encode()))
-        for (row in laterRows("move/")) assertEquals(Json.write(row.value), Json.write(checkNotNull(MoveBatch.decode(row)).encode()))
+    fun `rows of drains and moves are read, and written back byte for byte`() {
+        for (row in failoverRows("drain/")) assertEquals(Json.write(row.value), Json.write(checkNotNull(Drain.decode(row)).encode()))
+        for (row in failoverRows("move/")) assertEquals(Json.write(row.value), Json.write(checkNotNull(MoveBatch.decode(row)).encode()))
     }
 
     @Test
-    fun `a term with a history names those who led before it`() {
-        for (row in laterRows("term")) {
+    fun `a term row with a history names the former leaders`() {
+        for (row in failoverRows("term")) {
             assertTrue(row.value.path("led").size() >= 2)
             assertTrue(row.value.path("by").isTextual)
             row.value.path("led").forEach { assertTrue(it.isIntegralNumber) }
@@ -137,8 +140,8 @@
     }
 
     @Test
-    fun `a term is read, and written byte for byte alike`() {
-        val all = rows("term") + laterRows("term")
+    fun `a term row is read, and written back byte for byte`() {
+        val all = rows("term") + failoverRows("term")
         assertTrue(all.size >= 3)
         for (row in all) {
             val term = TermRow.decode(row.value)
@@ -150,7 +153,7 @@
     }
 
     @Test
-    fun `a leader row of production is read, and written byte for byte alike`() {
+    fun `a leader row from production is read, and written back byte for byte`() {
         for (row in rows("leader")) {
             val leader = LeaderRow.decode(row.value)
             assertEquals(LeaderRow("drover-0", 1), leader)
@@ -158,19 +161,19 @@
         }
     }
 
-    /** Guards the bound on answers: where a row does not say who led, any member may have. */
+    /** Covers the bound on how long former leaders may answer workers: if a row does not name them, any member may have led. */
     @Test
-    fun `a term row that does not say who led differs from one whose list is empty`() {
-        val silent = TermRow.decode(Json.parse("""{"n":4,"by":"drover-0"}"""))
-        val first = TermRow.decode(Json.parse("""{"n":4,"by":"drover-0","led":{}}"""))
-        assertNull(silent.formerLeaders)
-        assertEquals(emptyMap<String, Long>(), first.formerLeaders)
-        assertEquals("""{"n":4,"by":"drover-0"}""", Json.write(silent.encode()))
-        assertEquals("""{"n":4,"by":"drover-0","led":{}}""", Json.write(first.encode()))
+    fun `a term row without former leaders differs from one whose list of former leaders is empty`() {
+        val withoutList = TermRow.decode(Json.parse("""{"n":4,"by":"drover-0"}"""))
+        val withEmptyList = TermRow.decode(Json.parse("""{"n":4,"by":"drover-0","led":{}}"""))
+        assertNull(withoutList.formerLeaders)
+        assertEquals(emptyMap<String, Long>(), withEmptyList.formerLeaders)
+        assertEquals("""{"n":4,"by":"drover-0"}""", Json.write(withoutList.encode()))
+        assertEquals("""{"n":4,"by":"drover-0","led":{}}""", Json.write(withEmptyList.encode()))
     }
 
     @Test
-    fun `messages of failover are read, and written byte for byte alike`() {
+    fun `failover messages are read, and written back byte for byte`() {
         for (line in lines("messages-failover.txt")) {
             val bytes = HexFormat.of().parseHex(line.substringBefore("  "))
             val message = PeerMessage.decode(bytes)
@@ -179,15 +182,15 @@
         }
     }
 
-    private fun laterRows(prefix: String): List<Row> = rowsOf("rows-failover-balance.jsonl", prefix)
+    private fun failoverRows(prefix: String): List<Row> = rowsOf("rows-failover-balance.jsonl", prefix)
 
     private companion object {
         const val ABSENT_FAILOVER = ", failover=null"
     }
 
     @Test
-    fun `ends and terms of production are what this version looks for`() {
-        rows("over/").forEach { row -> assertTrue(JobState.entries.any { it.wire == row.value.path("st").asText() }) }
+    fun `finished job rows and term rows from production have the fields that this version reads`() {
+        rows("over/").forEach { row -> assertTrue(JobState.entries.any { it.wireName == row.value.path("st").asText() }) }
         rows("term").forEach { row -> assertTrue(row.value.path("n").isIntegralNumber && row.value.path("led").isObject) }
     }
 }
--- a/src/test/kotlin/burlridge/balance/BalanceMeasurement.kt
+++ b/src/test/kotlin/burlridge/balance/BalanceMeasurement.kt
@@ -109,7 +109,7 @@
             tasks,
             runSeconds = runSeconds,
             jobClass = SWEEP,
-        ).copy(image = "img-sweep", imageGb = 4.0, checkpointSeconds = 10.0, saveSeconds = 1.0)
+        ).copy(image = "img-sweep", imageGb = 4.0, checkpointIntervalSeconds = 10.0, saveSeconds = 1.0)
 
     private fun SimulatedCluster.previews(
         from: Double,
--- a/src/test/kotlin/burlridge/balance/MoveTest.kt
+++ b/src/test/kotlin/burlridge/balance/MoveTest.kt
@@ -202,7 +202,7 @@
         val jobs = cluster.submitAll((0 until 10).map { cluster.savingJob(it, 4, runSeconds = 100.0) }, 20.0)
         val kept =
             cluster.submitAll(
-                listOf(cluster.savingJob(50, 4, runSeconds = 100.0).copy(checkpointSeconds = 0.0, saveSeconds = 0.0)),
+                listOf(cluster.savingJob(50, 4, runSeconds = 100.0).copy(checkpointIntervalSeconds = 0.0, saveSeconds = 0.0)),
                 20.0,
             )
         cluster.clock.after(40.0) { cluster.drainZone("a") }
--- a/src/test/kotlin/burlridge/balance/OperatorActions.kt
+++ b/src/test/kotlin/burlridge/balance/OperatorActions.kt
@@ -39,7 +39,7 @@
     tasks: Int,
     runSeconds: Double = 40.0,
     cpus: Double = 1.0,
-): JobSpec = job(number, tasks, cpus = cpus, runSeconds = runSeconds).copy(checkpointSeconds = 5.0, saveSeconds = 1.0)
+): JobSpec = job(number, tasks, cpus = cpus, runSeconds = runSeconds).copy(checkpointIntervalSeconds = 5.0, saveSeconds = 1.0)
 
 internal fun SimulatedCluster.submitAll(
     jobs: List<JobSpec>,
--- a/src/test/kotlin/burlridge/loopback/BalanceLoopbackTest.kt
+++ b/src/test/kotlin/burlridge/loopback/BalanceLoopbackTest.kt
@@ -68,7 +68,7 @@
     private fun savingJob(
         cluster: LoopbackCluster,
         number: Int,
-    ) = cluster.job(number, 1 + number % 3, runSeconds = 20.0 + number % 5).copy(checkpointSeconds = 1.0, saveSeconds = 0.3)
+    ) = cluster.job(number, 1 + number % 3, runSeconds = 20.0 + number % 5).copy(checkpointIntervalSeconds = 1.0, saveSeconds = 0.3)
 
     /** Asks until it is accepted, as an operator would. */
     private fun drain(
--- a/src/test/kotlin/burlridge/loopback/LoopbackCluster.kt
+++ b/src/test/kotlin/burlridge/loopback/LoopbackCluster.kt
@@ -274,9 +274,9 @@
             null,
             oneZone = false,
             spread = false,
-            spot = true,
-            estimateSeconds = runSeconds,
-            checkpointSeconds = 0.0,
+            allowsSpot = true,
+            estimatedRunSeconds = runSeconds,
+            checkpointIntervalSeconds = 0.0,
             saveSeconds = 0.0,
             deadlineSeconds = null,
         )
--- a/src/test/kotlin/burlridge/simulation/GangBarrier.kt
+++ b/src/test/kotlin/burlridge/simulation/GangBarrier.kt
@@ -52,7 +52,7 @@
         val attempt = attempts.getOrPut(job to run) { Attempt() }
         seat.becomes("gathering")
         attempt.seats += seat
-        if (attempt.runningSince == null && !attempt.failed && attempt.seats.size == spec.tasks) return begin(job, run, attempt)
+        if (attempt.runningSince == null && !attempt.failed && attempt.seats.size == spec.taskCount) return begin(job, run, attempt)
         cluster.clock.after(cluster.gangWaitSeconds) {
             if (attempt.runningSince == null && seat in attempt.seats) {
                 attempt.seats -= seat
@@ -71,7 +71,7 @@
         attempt.slowness = attempt.seats.maxOf { it.slowness }
         begun += Triple(job, run, cluster.clock.now)
         attempt.seats.forEach { it.becomes("running") }
-        cluster.clock.after((spec.estimateSeconds - progress(job)) * attempt.slowness) {
+        cluster.clock.after((spec.estimatedRunSeconds - progress(job)) * attempt.slowness) {
             if (!attempt.failed && !attempt.ended && attempt.firstHaltAt == null) {
                 attempt.ended = true
                 attempt.seats.toList().forEach { it.exits("done") }
@@ -99,8 +99,8 @@
         if (attempt.failed) return
         attempt.failed = true
         val spec = cluster.invariants.spec(job) ?: return
-        if (spec.checkpointSeconds > 0 && attempt.firstHaltAt == null) {
-            saved[job] = Math.floor((progress(job) + ranSeconds(attempt)) / spec.checkpointSeconds) * spec.checkpointSeconds
+        if (spec.checkpointIntervalSeconds > 0 && attempt.firstHaltAt == null) {
+            saved[job] = Math.floor((progress(job) + ranSeconds(attempt)) / spec.checkpointIntervalSeconds) * spec.checkpointIntervalSeconds
         }
         attempt.seats.toList().forEach { seat ->
             cluster.clock.after(cluster.random.nextDouble() * cluster.gangPeerSeconds) {
--- a/src/test/kotlin/burlridge/simulation/InvariantChecker.kt
+++ b/src/test/kotlin/burlridge/simulation/InvariantChecker.kt
@@ -95,7 +95,7 @@
         for (job in acceptedAt.keys) {
             val spec = jobs[job] ?: continue
             val limit = teamCpus[spec.team] ?: 0.0
-            val atLimit = limit > 0 && teamUse(spec.team).cpus + spec.size.cpus > limit + 1e-6
+            val atLimit = limit > 0 && teamUse(spec.team).cpus + spec.taskResources.cpus > limit + 1e-6
             val waits = told[job] == null && on.keys.none { it.substringBefore('/') == job } && !atLimit && room(spec)
             if (!waits) {
                 waitingSince.remove(job)
@@ -128,7 +128,7 @@
         when (standing) {
             "done" -> {
                 if ((completed[job]?.size ?: 0) <
-                    (jobs[job]?.tasks ?: 0)
+                    (jobs[job]?.taskCount ?: 0)
                 ) {
                     breach("not_done", "$job has ${completed[job]?.size ?: 0} tasks done")
                 }
@@ -160,9 +160,9 @@
         val spec = jobs[job] ?: return breach("wrong_place", "$taskName belongs to no job")
         val others = on.values.flatten()
         on[taskName]?.firstOrNull()?.let { breach("ran_twice", "$taskName starts on ${worker.id} while on ${it.machine.id}") }
-        if (spec.types != null && worker.type !in spec.types) breach("wrong_place", "$taskName on type ${worker.type}")
+        if (spec.machineTypes != null && worker.type !in spec.machineTypes) breach("wrong_place", "$taskName on type ${worker.type}")
         if (spec.zone != null && worker.zone != spec.zone) breach("wrong_place", "$taskName in zone ${worker.zone}")
-        if (worker.spot && !spec.spot) breach("wrong_place", "$taskName on a spot machine")
+        if (worker.spot && !spec.allowsSpot) breach("wrong_place", "$taskName on a spot machine")
         val siblings =
             on
                 .filterKeys { it.substringBefore('/') == job }
@@ -171,7 +171,7 @@
                 .map { it.machine.zone }
         if (spec.oneZone && siblings.any { it != worker.zone }) breach("wrong_place", "$taskName apart from its job's other tasks")
         if (spec.spread &&
-            siblings.count { it == worker.zone } + 1 > (spec.tasks + 1) / 2
+            siblings.count { it == worker.zone } + 1 > (spec.taskCount + 1) / 2
         ) {
             breach("wrong_place", "$taskName crowds ${worker.zone}")
         }
@@ -194,7 +194,7 @@
     private fun teamUse(team: String): Resources =
         on.entries.fold(Resources.NONE) { sum, (taskName, machines) ->
             val spec = jobs[taskName.substringBefore('/')]?.takeIf { it.team == team }
-            if (spec == null) sum else machines.fold(sum) { s, _ -> s + spec.size }
+            if (spec == null) sum else machines.fold(sum) { s, _ -> s + spec.taskResources }
         }
 
     fun ended(
--- a/src/test/kotlin/burlridge/simulation/InvariantCheckerTest.kt
+++ b/src/test/kotlin/burlridge/simulation/InvariantCheckerTest.kt
@@ -66,7 +66,7 @@
     @Test
     fun `a team above its limit of GPUs`() {
         val gpus = InvariantChecker(cluster.clock, 54.0, emptyMap(), mapOf("crew-y" to 1.0))
-        gpus.submitted(cluster.job(1, 2).let { it.copy(size = it.size.copy(gpus = 1.0)) })
+        gpus.submitted(cluster.job(1, 2).let { it.copy(taskResources = it.taskResources.copy(gpus = 1.0)) })
         gpus.started("j-000001/0", one)
         assertEquals(emptyList<String>(), gpus.broken)
         gpus.started("j-000001/1", two)
--- a/src/test/kotlin/burlridge/simulation/ScaleInOutTest.kt
+++ b/src/test/kotlin/burlridge/simulation/ScaleInOutTest.kt
@@ -38,7 +38,7 @@
         assertEquals(MACHINES, cluster.cloud.names().size)
         jobs.forEach {
             val waited = cluster.invariants.firstStart(it.id) - 30.0 - 2 * jobs.indexOf(it)
-            assertTrue(waited < MUST_BEGIN_SECONDS, "${it.id} of ${it.tasks} tasks waited $waited s")
+            assertTrue(waited < MUST_BEGIN_SECONDS, "${it.id} of ${it.taskCount} tasks waited $waited s")
         }
         // What is over leaves its end and nothing else, and the state service never sees more than it allows.
         assertEquals(jobs.size, cluster.state.keys("over/").size)
--- a/src/test/kotlin/burlridge/simulation/ScaleTest.kt
+++ b/src/test/kotlin/burlridge/simulation/ScaleTest.kt
@@ -39,7 +39,7 @@
         assertEquals(emptyList<String>(), cluster.invariants.broken)
         assertEquals(emptyList<String>(), jobs.map { it.id }.filterNot { cluster.invariants.finished(it) }, "not over")
         assertEquals(machines / 12 * 12, cluster.cloud.names().size)
-        val tasks = jobs.sumOf { it.tasks }
+        val tasks = jobs.sumOf { it.taskCount }
         val work = cluster.work(cluster.leader().orEmpty())
         assertEquals(tasks, cluster.invariants.starts)
         assertTrue(work.getValue("intent.rows") < tasks / 8, "claim rows: $work")
--- a/src/test/kotlin/burlridge/simulation/SimulatedUsers.kt
+++ b/src/test/kotlin/burlridge/simulation/SimulatedUsers.kt
@@ -50,7 +50,7 @@
     oneZone: Boolean = true,
 ): JobSpec =
     job(number, tasks, cpus, runSeconds, team, jobClass = "gang", spot = spot, oneZone = oneZone)
-        .copy(gang = true, checkpointSeconds = 5.0, saveSeconds = 2.0)
+        .copy(gang = true, checkpointIntervalSeconds = 5.0, saveSeconds = 2.0)
 
 /** Submits until accepted, then polls until the job is over, and sometimes after. */
 internal fun SimulatedCluster.submit(
--- a/src/test/kotlin/burlridge/simulation/SubmissionTest.kt
+++ b/src/test/kotlin/burlridge/simulation/SubmissionTest.kt
@@ -44,7 +44,7 @@
     /** Guards the state service's value size: such a row would be refused at every retry. */
     @Test
     fun `a description longer than a row can never run`() {
-        val long = cluster().job(1, 2).copy(types = listOf("small") + (1..29).map { "type-%0195d".format(it) })
+        val long = cluster().job(1, 2).copy(machineTypes = listOf("small") + (1..29).map { "type-%0195d".format(it) })
         assertEquals(setOf(422), cluster().verdicts(long))
     }
 
--- a/src/test/kotlin/burlridge/simulation/Worker.kt
+++ b/src/test/kotlin/burlridge/simulation/Worker.kt
@@ -92,11 +92,12 @@
             active.sumOf { t ->
                 cluster.invariants
                     .spec(t.job)
-                    ?.size
+                    ?.taskResources
                     ?.cpus ?: 0.0
             }
-        val fits = used + spec.size.cpus <= cluster.types.getValue(type).cpus + 1e-6
-        return alive && !hung && token > 0 && recalledAt == null && fits && (spec.spot || !spot) && (spec.zone == null || spec.zone == zone)
+        val fits = used + spec.taskResources.cpus <= cluster.types.getValue(type).cpus + 1e-6
+        return alive && !hung && token > 0 && recalledAt == null && fits && (spec.allowsSpot || !spot) &&
+            (spec.zone == null || spec.zone == zone)
     }
 
     private var hungUntil = 0.0
@@ -329,13 +330,13 @@
             active.sumOf {
                 cluster.invariants
                     .spec(it.taskName.substringBefore('/'))
-                    ?.size
+                    ?.taskResources
                     ?.cpus ?: 0.0
             }
         if (cpus > cluster.types.getValue(type).cpus + 1e-6) return exit(task, "full")
         cluster.clock.after(cluster.fetchSeconds(this, spec)) {
             images += spec.image
-            whenAwake { fetched(key, task, spec.estimateSeconds) }
+            whenAwake { fetched(key, task, spec.estimatedRunSeconds) }
         }
     }
 
