--- a/src/main/kotlin/burlridge/placement/GangPlacement.kt
+++ b/src/main/kotlin/burlridge/placement/GangPlacement.kt
@@ -85,10 +85,10 @@
         candidates: List<MachineCapacity>,
     ): Int {
         val zone = candidates.firstOrNull()?.machine?.zone ?: return 0
-        return plan.poolsFor(spec).filter { !spec.oneZone || it.first.zone == zone }.sumOf {
-            it.machineCount *
-                it.total.fitCount(spec.taskResources)
-        }
+        return plan
+            .poolsFor(spec)
+            .filter { !spec.oneZone || it.first.zone == zone }
+            .sumOf { it.machineCount * it.total.fitCount(spec.taskResources) }
     }
 
     /** Groups of machines that may hold the gang together: one for each zone where it must be in one, those that hold its image first. */
