--- a/src/main/kotlin/burlridge/api/JobQuery.kt
+++ b/src/main/kotlin/burlridge/api/JobQuery.kt
@@ -25,7 +25,7 @@
         isForwarded: Boolean,
         respond: (HttpResponse) -> Unit,
     ) {
-        if (!JobSpec.isId(id)) return respond(responses.notFound())
+        if (!JobSpec.isValidId(id)) return respond(responses.notFound())
         lookup.responseToQuery(id)?.let { return respond(it) }
         val target = if (leadership.isLeader) peers.memberReachingStore() else leadership.knownLeader ?: peers.memberReachingStore()
         val mustReadRows = isForwarded || (lookup.isDeciding && lookup.isEndUncertain(id))
--- a/src/main/kotlin/burlridge/worker/TaskCleanup.kt
+++ b/src/main/kotlin/burlridge/worker/TaskCleanup.kt
@@ -57,7 +57,7 @@
         // A duplicate of the start command may still arrive, and after the removal the worker would execute it as a new start. A task that
         // is done would end again at once. For any other task the start must be fenced first, since by then the task may run elsewhere or
         // be cancelled.
-        val isRepeatHarmless = isDone && (job != null || registry.endOf(jobId)?.jobState == JobState.DONE)
+        val isRepeatHarmless = isDone && (job != null || registry.finishedJob(jobId)?.jobState == JobState.DONE)
         if (!isRepeatHarmless && machine.seenToken <= machine.lastStartToken) {
             if (machine.token <= machine.lastStartToken) machine.token = nextToken()
             return null
--- a/src/main/kotlin/burlridge/worker/WorkerManager.kt
+++ b/src/main/kotlin/burlridge/worker/WorkerManager.kt
@@ -145,7 +145,7 @@
         context.infoLimited("machine gone", "machine" to machine.id, "reason" to reason.text)
         machineRegistry.remove(machine)
         losses.markAllLost(machine, reason)
-        registry.allocations.forgetMachine(machine.id)
+        registry.allocations.removeMachine(machine.id)
     }
 
     /** Sweeps over all machines [SWEEPS_PER_HEARTBEAT_INTERVAL] times per heartbeat interval. */
