--- a/src/main/kotlin/burlridge/api/JobValidation.kt
+++ b/src/main/kotlin/burlridge/api/JobValidation.kt
@@ -42,7 +42,7 @@
         return when {
             team.cpusMax > 0 && spec.size.cpus > team.cpusMax -> "a task needs more CPUs than the limit of ${team.name}"
             team.gpusMax > 0 && spec.size.gpus > team.gpusMax -> "a task needs more GPUs than the limit of ${team.name}"
-            catalog.allowed(spec).isEmpty() -> "a task fits no allowed machine type"
+            catalog.eligibleTypes(spec).isEmpty() -> "a task fits no allowed machine type"
             !store.fitsValueLimit(activeRow(spec)) -> "the description is longer than the state service takes"
             spec.gang -> reasonAgainstGang(spec, team, catalog)
             else -> null
@@ -67,7 +67,7 @@
         spec: JobSpec,
         catalog: Catalog,
     ): Boolean {
-        val zones = catalog.allowed(spec).flatMapTo(HashSet()) { it.zones }
+        val zones = catalog.eligibleTypes(spec).flatMapTo(HashSet()) { it.zones }
         return !spec.oneZone && zones.size > 1
     }
 
--- a/src/main/kotlin/burlridge/app/LeaderStateLoader.kt
+++ b/src/main/kotlin/burlridge/app/LeaderStateLoader.kt
@@ -86,7 +86,7 @@
         activeJobs.rows.forEach { registry.admit(it) }
         listings.getValue(ProgressCodec.KEY_PREFIX).rows.forEach { registry.loadProgress(it) }
         listings.getValue(AllocationBatchCodec.KEY_PREFIX).rows.forEach { registry.allocations.loadBatch(it) }
-        listings.getValue(RENTALS).rows.forEach { fleet.load(it) }
+        listings.getValue(RENTALS).rows.forEach { fleet.loadRental(it) }
         balance?.load(listings)
         registry.reconcileLoaded()
         failover?.onRowsLoaded(listings.values.sumOf { it.rows.size }, fromReplica)
--- a/src/main/kotlin/burlridge/balance/Balance.kt
+++ b/src/main/kotlin/burlridge/balance/Balance.kt
@@ -76,8 +76,8 @@
     override fun fetchSeconds(
         machine: Machine,
         spec: JobSpec,
-        aloneSeconds: Double,
-    ): Double = if (settings.coldReports > 0) slowStart.fetchSeconds(machine, spec, aloneSeconds) else aloneSeconds
+        uncontendedSeconds: Double,
+    ): Double = if (settings.coldReports > 0) slowStart.fetchSeconds(machine, spec, uncontendedSeconds) else uncontendedSeconds
 
     private fun rebuildIndex() {
         index.rebuild(drains.all)
@@ -131,7 +131,7 @@
 
     /** A new leader may not know yet which machines exist, nor where those are that are known from allocations only. */
     private fun isEmptied(drain: Drain): Boolean {
-        if (drain in progress || !dependencies.fleet.isListed) return false
+        if (drain in progress || !dependencies.fleet.isInventoryCurrent) return false
         // A machine known from allocations only, with none left, is gone and never reports again.
         val withTasks =
             workers.machines.values.filter {
--- a/src/main/kotlin/burlridge/balance/Cordons.kt
+++ b/src/main/kotlin/burlridge/balance/Cordons.kt
@@ -38,7 +38,7 @@
         }
         // The cloud cannot be told in which network to put machines, so its kind is not rented again for a while.
         if (drain.target is DrainTarget.Network && machine.idleSince >= machine.knownSince && heldOffMachines.add(machine.id)) {
-            fleet.holdOff(machine)
+            fleet.backOff(machine)
         }
     }
 
--- a/src/main/kotlin/burlridge/fleet/CapacityDemand.kt
+++ b/src/main/kotlin/burlridge/fleet/CapacityDemand.kt
@@ -6,7 +6,7 @@
 import burlridge.job.JobSpec
 import burlridge.job.Priority
 
-/** How many tasks need capacity now, and for how many more it should be there before they come. */
+/** Determines how many tasks need capacity now, and for how many expected tasks it should be provided in advance. */
 internal class CapacityDemand(
     private val context: StepContext,
     private val registry: JobRegistry,
@@ -17,8 +17,8 @@
     private val recentJobs = RecentJobs(context, registry)
 
     /**
-     * Whether all machines that can be had are kept: where no team has a guaranteed quota, nobody accounts for what a team uses, and no
-     * objective is about cost. Where there are guarantees, machines are rented for work that is there or surely comes.
+     * Whether all machines that the cloud rents out are kept. This is so if no team has a guaranteed quota: then the usage of teams is not
+     * accounted for, and no objective is about cost. With guarantees, machines are rented only for waiting work and work that is expected.
      */
     val keepsAllMachines: Boolean =
         context.settings.teams.values
@@ -28,19 +28,22 @@
     data class Need(
         val spec: JobSpec,
         val tasks: Int,
-        /** How long they may still wait by the objectives; negative if they are late. */
+        /** How long they may still wait without missing an objective; negative if they are late. */
         val slackSeconds: Double,
-        /** How many tasks of their job class have an allocation already. */
+        /** Number of tasks of their job class that already have an allocation. */
         val allocatedTasks: Int,
     )
 
-    /** Takes note of the jobs that are new, from which coming ones are predicted. */
+    /** Records new jobs, from which future ones are predicted. */
     fun observe() = recentJobs.observe()
 
-    /** Types that some kind of recent job cannot do without. */
+    /** Machine types that are the only choice for the newest job of some class. */
     fun indispensableTypes(catalog: Catalog): Set<String> = recentJobs.indispensableTypes(catalog)
 
-    /** All needs, in the order in which placement serves them: capacity that is reserved for gangs is not there for job arrays. */
+    /**
+     * All needs, in the order in which placement serves them: gangs come before job arrays, which cannot use the capacity reserved for
+     * gangs.
+     */
     fun needs(catalog: Catalog): List<Need> {
         val unfinished = registry.jobs.values.filter { !it.isEnding }
         val allocatedTasks = allocatedTasksByClass { true }
@@ -61,18 +64,19 @@
     }
 
     /**
-     * Gangs that are likely to come while a machine boots, or, where machines are kept anyway, while others become free; and two machines
-     * for each job class that is to start at once and has had no job yet.
+     * Gangs that are likely to arrive while a machine boots or, if all machines are kept anyway, while machines become free. Also two
+     * machines for each job class that has had no job yet and whose start objective is shorter than the boot of the
+     * cheapest machine type.
      */
     fun expectedGangs(catalog: Catalog): List<Need> {
         if (context.settings.workers.gang == null) return emptyList()
         val cheapest = catalog.types.values.minByOrNull { it.price } ?: return emptyList()
         val allocatedTasks = allocatedTasksByClass { it.spec.gang }
         return waitObjectives.distinctBy { it.jobClass }.mapNotNull { objective ->
-            val jobs = recentJobs.of(objective.jobClass)
+            val jobs = recentJobs.ofClass(objective.jobClass)
             val withinSeconds = objective.withinSeconds ?: Double.MAX_VALUE
             when {
-                jobs == null -> needOfNewClass(objective.jobClass.orEmpty(), cheapest).takeIf { withinSeconds < cheapest.bootSeconds }
+                jobs == null -> needForNewClass(objective.jobClass.orEmpty(), cheapest).takeIf { withinSeconds < cheapest.bootSeconds }
                 !jobs.last().spec.gang || recentJobs.hasStoppedArriving(jobs) -> null
                 else -> expectedGangs(jobs, allocatedTasks[objective.jobClass] ?: 0, cheapest.bootSeconds)
             }
@@ -85,7 +89,7 @@
         bootSeconds: Double,
     ): Need = Need(jobs.last().spec, expectedGangTasks(jobs, allocatedTasks, bootSeconds), Double.MAX_VALUE, 0)
 
-    private fun needOfNewClass(
+    private fun needForNewClass(
         jobClass: String,
         type: MachineType,
     ): Need {
@@ -96,7 +100,7 @@
                 context.settings.teams.keys
                     .first(),
                 Priority.LOW,
-                NEW_CLASS_MACHINES,
+                MACHINES_FOR_NEW_CLASS,
                 type.size,
                 "",
                 0.0,
@@ -110,17 +114,20 @@
                 saveSeconds = 0.0,
                 deadlineSeconds = null,
             )
-        return Need(spec, NEW_CLASS_MACHINES, Double.MAX_VALUE, 0)
+        return Need(spec, MACHINES_FOR_NEW_CLASS, Double.MAX_VALUE, 0)
     }
 
-    /** How many tasks of gangs like [jobs] are likely to come before more machines can be had, beyond what running ones will free. */
+    /**
+     * Number of tasks of gangs like [jobs] that are likely to arrive before more machines are available, less the tasks whose capacity will
+     * be free by then; at least the tasks of the largest gang.
+     */
     private fun expectedGangTasks(
         jobs: List<Job>,
         allocatedTasks: Int,
         bootSeconds: Double,
     ): Int {
         val horizonSeconds =
-            if (keepsAllMachines) context.settings.workers.reportSeconds * HORIZON_REPORTS else bootSeconds * LONG_BOOT_FACTOR
+            if (keepsAllMachines) context.settings.workers.reportSeconds * HORIZON_HEARTBEAT_INTERVALS else bootSeconds * BOOT_SAFETY_FACTOR
         val ageSeconds = (context.wallMillis - jobs.minOf { it.submittedMillis }) / MILLIS_PER_SECOND
         val observedSeconds = maxOf(ageSeconds, horizonSeconds / 2)
         val expectedJobs = jobs.size / observedSeconds * horizonSeconds
@@ -137,34 +144,40 @@
         return Math.ceil(maxOf(likelyTasks, jobs.maxOf { it.spec.tasks }.toDouble())).toInt()
     }
 
-    /** How long the tasks of [job] may still wait by the objectives of its class and its deadline; without any, not at all. */
+    /**
+     * How long the tasks of [job] may still wait to meet the objectives of its class and its deadline; without any of these they should not
+     * wait at all.
+     */
     private fun slackSeconds(job: Job): Double {
         val spec = job.spec
         val objectives = context.settings.objectives.filter { it.jobClass == spec.jobClass }
         val startWithin = objectives.filter { it.kind == "wait" }.mapNotNull { it.withinSeconds }
         val finishWithin = objectives.filter { it.kind == "finished" }.mapNotNull { it.withinSeconds } + listOfNotNull(spec.deadlineSeconds)
-        val maxWaitSeconds = (startWithin + finishWithin.map { it - spec.estimateSeconds * LONG_RUN_FACTOR }).minOrNull() ?: 0.0
+        val maxWaitSeconds = (startWithin + finishWithin.map { it - spec.estimateSeconds * RUN_TIME_SAFETY_FACTOR }).minOrNull() ?: 0.0
         return maxWaitSeconds - (context.wallMillis - job.submittedMillis) / MILLIS_PER_SECOND
     }
 
-    /** For each class of job arrays with a wait objective, capacity for part of a usual job, as long as jobs of it come. */
+    /**
+     * Spare capacity for each class of job arrays with a start objective, as long as its jobs keep arriving: the tasks of an average job
+     * times the setting `headroom`.
+     */
     private fun headroom(): List<Need> =
         waitObjectives.mapNotNull { objective ->
-            val jobs = recentJobs.of(objective.jobClass)?.takeIf { !it.last().spec.gang && !recentJobs.hasStoppedArriving(it) }
+            val jobs = recentJobs.ofClass(objective.jobClass)?.takeIf { !it.last().spec.gang && !recentJobs.hasStoppedArriving(it) }
             if (jobs == null) return@mapNotNull null
             val tasksPerJob = jobs.map { it.spec.tasks }.average()
             Need(jobs.last().spec, Math.ceil(tasksPerJob * operator.headroom).toInt(), Double.MAX_VALUE, 0)
         }
 
     private companion object {
-        const val NEW_CLASS_MACHINES = 2
+        const val MACHINES_FOR_NEW_CLASS = 2
 
-        /** Boots take up to so many times their type's figure. */
-        const val LONG_BOOT_FACTOR = 1.5
-        const val HORIZON_REPORTS = 4
+        /** A boot takes up to this many times the boot time of its machine type. */
+        const val BOOT_SAFETY_FACTOR = 1.5
+        const val HORIZON_HEARTBEAT_INTERVALS = 4
         const val MILLIS_PER_SECOND = 1000.0
 
-        /** Run times are often so many times their estimate. */
-        const val LONG_RUN_FACTOR = 1.5
+        /** Run times are often this many times their estimate. */
+        const val RUN_TIME_SAFETY_FACTOR = 1.5
     }
 }
--- a/src/main/kotlin/burlridge/fleet/CapacityPlanner.kt
+++ b/src/main/kotlin/burlridge/fleet/CapacityPlanner.kt
@@ -30,7 +30,7 @@
 
     private fun rentNeeded(catalog: Catalog) {
         val plan = RentalPlan(catalog, freeCapacities(catalog), scaleOut, demand.indispensableTypes(catalog))
-        demand.needs(catalog).forEach { plan.meet(it) }
+        demand.needs(catalog).forEach { plan.addNeed(it) }
         plan.machineCounts.forEach { (offering, count) -> rent(offering, count) }
         scaleIn.returnIdle(plan.capacities, catalog)
     }
@@ -44,7 +44,7 @@
         }
     }
 
-    /** What is free, or will be, on each machine that takes tasks; the fullest first. */
+    /** Free resources of each machine that takes tasks, now or once it has joined; the fullest machine first. */
     private fun freeCapacities(catalog: Catalog): MutableList<FreeCapacity> {
         val capacities = ArrayList<FreeCapacity>()
         for (machine in workers.machines.values) {
--- a/src/main/kotlin/burlridge/fleet/Catalog.kt
+++ b/src/main/kotlin/burlridge/fleet/Catalog.kt
@@ -12,7 +12,7 @@
     val fetchGbPerSecond: Double,
     val price: Double,
     val spotPrice: Double,
-    /** How long a machine usually takes to come up. */
+    /** How long a machine usually takes to boot. */
     val bootSeconds: Double,
     val zones: List<String>,
 )
@@ -21,8 +21,8 @@
 internal class Catalog(
     val types: Map<String, MachineType>,
 ) {
-    /** The types that a task of [spec] may run on and fits, in some zone that it allows. */
-    fun allowed(spec: JobSpec): List<MachineType> =
+    /** The machine types that [spec] allows, that a task of it fits on and that are available in a zone that it allows. */
+    fun eligibleTypes(spec: JobSpec): List<MachineType> =
         types.values.filter {
             (spec.types == null || it.name in spec.types) && spec.size.fits(it.size) &&
                 (spec.zone == null || spec.zone in it.zones)
--- a/src/main/kotlin/burlridge/fleet/CatalogCache.kt
+++ b/src/main/kotlin/burlridge/fleet/CatalogCache.kt
@@ -26,12 +26,12 @@
     private var isReading = false
     private var isStored = false
 
-    /** Has the next catalog stored again, when leadership ends. */
+    /** Called when leadership ends, so that this member stores the catalog again in its next term. */
     fun clear() {
         isStored = false
     }
 
-    /** Reads the catalog, if it is time; every member needs it to validate submissions. */
+    /** Reads the catalog if that is due; every member needs it to validate submissions. */
     fun tick() {
         val intervalSeconds = if (catalog == null) RETRY_SECONDS else REFRESH_SECONDS
         if (isReading || context.now < readAt + intervalSeconds) return
--- a/src/main/kotlin/burlridge/fleet/CatalogRow.kt
+++ b/src/main/kotlin/burlridge/fleet/CatalogRow.kt
@@ -4,7 +4,7 @@
 import burlridge.json.Json
 import com.fasterxml.jackson.databind.JsonNode
 
-/** The cloud's catalog together with its JSON, which is stored as it came. */
+/** The cloud's catalog together with its JSON, which is stored unchanged. */
 internal class CatalogRow private constructor(
     val catalog: Catalog,
     val value: JsonNode,
@@ -13,10 +13,10 @@
         /** The key of the stored catalog. */
         const val KEY: String = "catalog"
 
-        /** Null if [body] is no catalog. */
+        /** Returns null if [body] is not a catalog. */
         fun decode(body: String): CatalogRow? = Json.parseOrNull(body)?.let { decode(it) }
 
-        /** Null if [value] is no catalog. Entries without a name or a number of CPUs are left out. */
+        /** Returns null if [value] is not a catalog. Entries without a name or a number of CPUs are skipped. */
         fun decode(value: JsonNode): CatalogRow? {
             val entries = value.get("breeds")?.takeIf { it.isArray && it.size() > 0 } ?: return null
             val types = entries.mapNotNull { decodeType(it) }
--- a/src/main/kotlin/burlridge/fleet/CloudApi.kt
+++ b/src/main/kotlin/burlridge/fleet/CloudApi.kt
@@ -5,29 +5,32 @@
 import burlridge.core.StepContext
 import burlridge.leadership.Leadership
 
-/** How a call to rent machines ended. */
+/** Outcome of a call to rent machines. */
 internal sealed interface RentResult {
-    /** The cloud rents out the machines [ids], which may be fewer than requested. */
+    /** The cloud has rented out the machines [ids], which may be fewer than requested. */
     data class Granted(
         val ids: List<String>,
     ) : RentResult
 
-    /** No machine was rented; [status] is null where no connection was made. */
+    /** No machine was rented; [status] is null if no connection was made. */
     data class Refused(
         val status: Int?,
         val body: String,
     ) : RentResult
 
-    /** Machines may have been rented, or may still be. */
+    /** Machines may have been rented, or may still be rented later. */
     data object Unknown : RentResult
 }
 
-/** The calls of the cloud's API. */
+/** Client of the cloud's API. */
 internal class CloudApi(
     private val context: StepContext,
     private val leadership: Leadership,
 ) {
-    /** Reads one page of the machines, from the first after [afterId]; [onResult] gets null if there is no answer or no such page. */
+    /**
+     * Reads the page of the machine list that follows [afterId], or the first page if that is null; [onResult] receives null if there is no
+     * answer or no valid page.
+     */
     fun listMachines(
         afterId: String?,
         limit: Int,
@@ -40,14 +43,14 @@
         }
     }
 
-    /** Reads the catalog of machine types; [onResult] gets null if there is no answer or no valid catalog. */
+    /** Reads the catalog of machine types; [onResult] receives null if there is no answer or no valid catalog. */
     fun readCatalog(onResult: (CatalogRow?) -> Unit) {
         context.call(context.settings.cloud, "GET", CATALOG_PATH, null, TIMEOUT_SECONDS) { outcome ->
             onResult(bodyOfOk(outcome)?.let { CatalogRow.decode(it) })
         }
     }
 
-    /** Rents machines; the cloud recognizes a repeated call by the step of the [rental]. */
+    /** Rents machines; the cloud recognizes a repeated call by the id of the [rental]. */
     fun rent(
         rental: Rental,
         onResult: (RentResult) -> Unit,
@@ -71,7 +74,7 @@
         return RentResult.Granted(ids)
     }
 
-    /** Returns the machines [ids]; [onResult] gets whether the cloud has confirmed that they are gone. */
+    /** Returns the machines [ids]; [onResult] receives whether the cloud has confirmed that they no longer exist. */
     fun returnMachines(
         ids: List<String>,
         onResult: (isConfirmed: Boolean) -> Unit,
@@ -92,7 +95,7 @@
     private fun bodyOfOk(outcome: CallOutcome): String? = (outcome as? CallOutcome.Responded)?.takeIf { it.status == HttpStatus.OK }?.body
 
     internal companion object {
-        /** After so long without an answer, the outcome of a call is unknown. */
+        /** Timeout of a call, after which its outcome is unknown. */
         const val TIMEOUT_SECONDS: Double = 3.0
         private const val RETURN_TIMEOUT_SECONDS = TIMEOUT_SECONDS * 2
         private const val CATALOG_PATH = "/catalog"
--- a/src/main/kotlin/burlridge/fleet/CloudApiCodec.kt
+++ b/src/main/kotlin/burlridge/fleet/CloudApiCodec.kt
@@ -7,7 +7,7 @@
     fun rentRequest(rental: Rental): String =
         Json.write(
             Json.obj {
-                put("hire", "r-${rental.step}")
+                put("hire", "r-${rental.id}")
                 put("breed", rental.offering.type)
                 put("yard", rental.offering.zone)
                 put("loaners", rental.offering.spot)
--- a/src/main/kotlin/burlridge/fleet/Fleet.kt
+++ b/src/main/kotlin/burlridge/fleet/Fleet.kt
@@ -8,7 +8,7 @@
 import burlridge.worker.Machine
 import burlridge.worker.WorkerManager
 
-/** The machines of the cloud: their types, the list of those that are rented, and the renting and returning of them. */
+/** Facade for the machines of the cloud: their types, the list of the rented ones, and renting and returning them. */
 internal class Fleet(
     private val context: StepContext,
     store: StoreClient,
@@ -28,11 +28,11 @@
     /** Null until it has been read. */
     val catalog: Catalog? get() = catalogs.catalog
 
-    /** Whether operators want no machines in a zone: then none is rented there. */
+    /** Returns whether operators have drained a zone, so that no machines are rented there. */
     var isZoneDrained: (String) -> Boolean by scaleOut::isZoneDrained
 
-    /** Whether the machines of the cloud have been taken over from a list that was read in this leader's term. */
-    val isListed: Boolean get() = inventory.isCurrent
+    /** Whether a complete list of the cloud's machines, read in this leader's term, has been applied. */
+    val isInventoryCurrent: Boolean get() = inventory.isCurrent
 
     /** Whether idle machines that are not needed are returned. */
     val returnsIdleMachines: Boolean get() = !demand.keepsAllMachines
@@ -41,10 +41,10 @@
         workers.outcomes.cacheGbOfType = { type -> catalog?.types?.get(type)?.cacheGb ?: 0.0 }
     }
 
-    /** Keeps the catalog fresh; on every member. */
+    /** Refreshes the catalog if that is due; called on every member. */
     fun tickCatalog() = catalogs.tick()
 
-    /** Keeps the list of machines fresh, and rents and returns machines; on the leader alone. */
+    /** Refreshes the list of machines, and rents and returns machines; called on the leader only. */
     fun tick() {
         inventory.tick()
         scaleOut.settle()
@@ -53,16 +53,16 @@
         catalog?.let { planner.plan(it) }
     }
 
-    /** Gangs that surely come soon, and for which capacity is to be reserved. */
+    /** Gangs that are expected soon and for which capacity is to be reserved. */
     fun expectedGangs(): List<CapacityDemand.Need> = catalog?.let { demand.expectedGangs(it) }.orEmpty()
 
-    /** Requests no more machines like [machine] for a while. */
-    fun holdOff(machine: Machine) = scaleOut.backOff(machine.offering)
+    /** Requests no more machines of the offering of [machine] until a backoff time has passed. */
+    fun backOff(machine: Machine) = scaleOut.backOff(machine.offering)
 
-    /** Takes over the rental of an earlier leader in [row]. */
-    fun load(row: Row) = scaleOut.load(row)
+    /** Loads the rental of an earlier leader from [row]. */
+    fun loadRental(row: Row) = scaleOut.loadRental(row)
 
-    /** Forgets everything but the catalog, when leadership ends. */
+    /** Discards all state but the catalog, when leadership ends. */
     fun clear() {
         scaleOut.clear()
         inventory.clear()
--- a/src/main/kotlin/burlridge/fleet/FreeCapacity.kt
+++ b/src/main/kotlin/burlridge/fleet/FreeCapacity.kt
@@ -3,7 +3,7 @@
 import burlridge.job.JobSpec
 import burlridge.job.Resources
 
-/** The free resources of one machine, which may be still to come. */
+/** Free resources of one machine, which may not have joined yet. */
 internal class FreeCapacity(
     val offering: InstanceOffering,
     free: Resources,
@@ -11,13 +11,13 @@
     var free: Resources = free
         private set
 
-    /** Whether tasks of [spec] may run there at all. */
+    /** Whether [spec] allows machines of this offering. */
     fun allows(spec: JobSpec): Boolean = spec.allows(offering.type, offering.zone, offering.spot)
 
-    /** How many tasks of [size] fit. */
+    /** Number of tasks of [size] that fit. */
     fun fitCount(size: Resources): Int = free.holds(size)
 
-    /** Takes the resources of up to [maxTasks] tasks of [size]; returns of how many. */
+    /** Takes the resources of up to [maxTasks] tasks of [size]; returns the number of tasks that fit. */
     fun take(
         size: Resources,
         maxTasks: Int,
--- a/src/main/kotlin/burlridge/fleet/InventorySync.kt
+++ b/src/main/kotlin/burlridge/fleet/InventorySync.kt
@@ -7,7 +7,7 @@
 import burlridge.worker.Machine
 import burlridge.worker.WorkerManager
 
-/** Reads the cloud's list of machines, page by page, and takes it over into the machines that the leader knows. */
+/** Reads the cloud's list of machines, page by page, and applies it to the machines that the leader knows. */
 internal class InventorySync(
     private val context: StepContext,
     private val leadership: Leadership,
@@ -20,22 +20,23 @@
     private var readAt = Machine.NEVER
     private var pageCount = 1
 
-    /** Whether a whole list has been taken over since [clear]. */
+    /** Whether a complete list has been applied since [clear]. */
     var hasList: Boolean = false
         private set
 
-    /** Whether a whole list has been taken over that was read in this leader's term. */
+    /** Whether a complete list that was read in this leader's term has been applied. */
     val isCurrent: Boolean get() = hasList && readAt > leadership.electedAt
 
-    /** Forgets the list, when leadership ends. */
+    /** Marks the list as not read, when leadership ends. */
     fun clear() {
         readAt = Machine.NEVER
         hasList = false
     }
 
-    /** Begins to read the list, if it is time. */
+    /** Starts to read the list if that is due. */
     fun tick() {
-        // A long list takes a good part of a small controller's time, and is never fresher than its lag.
+        // Reading a long list takes a good part of the time of a controller with little CPU, and reading it more often does not help, since
+        // it is never fresher than its lag.
         val intervalSeconds = listLagSeconds * maxOf(1.0, pageCount * LAGS_PER_PAGE)
         if (isReading || context.now < readAt + intervalSeconds) return
         isReading = true
@@ -66,12 +67,12 @@
             } else {
                 isReading = false
                 pageCount = (found.size + PAGE_SIZE - 1) / PAGE_SIZE
-                onListed(found)
+                applyList(found)
             }
         }
     }
 
-    private fun onListed(found: List<ListedMachine>) {
+    private fun applyList(found: List<ListedMachine>) {
         hasList = true
         val ids = HashSet<String>()
         for (listed in found) {
@@ -100,16 +101,17 @@
         if (machine.address == null) machine.address = listed.address
     }
 
-    /** Removes machines that every list must have if they still exist. */
+    /** Removes machines that are not in the list although every list must contain them if they still exist. */
     private fun removeUnlisted(listedIds: Set<String>) {
         val maxListAgeSeconds = listLagSeconds * MAX_LIST_AGE_LAGS
-        // A machine that only the allocations of an earlier leader name is older than that leader's end.
-        val showsInherited = readAt > leadership.electedAt + maxListAgeSeconds
+        // A machine that is known only from allocations of an earlier leader was rented before that leader's term ended, so a list that is
+        // certainly newer than this leader's election must contain it.
+        val coversInherited = readAt > leadership.electedAt + maxListAgeSeconds
         for (machine in workers.machines.values.toList()) {
             if (machine.id in listedIds) continue
-            // A list may be older than the one before, so only a machine that is older than any list can be missed from it.
+            // A list may be older than the one before it. Only a machine whose age exceeds the age of any list must be in all of them.
             val isOlderThanList = machine.isListed && machine.listedAgeSeconds > maxListAgeSeconds
-            if ((showsInherited && isOnlyInherited(machine)) || isOlderThanList) {
+            if ((coversInherited && isOnlyInherited(machine)) || isOlderThanList) {
                 workers.onMachineGone(machine, LossReason.NOT_LISTED)
             }
         }
@@ -123,11 +125,11 @@
                 ?.any { it.isInherited } == true
 
     internal companion object {
-        /** A list is at most twice its usual lag old; the rest is margin. */
+        /** Maximum age of a list, in lags. A list is at most twice its usual lag old; the rest is a safety margin. */
         const val MAX_LIST_AGE_LAGS: Double = 3.0
         private const val PAGE_SIZE = 500
 
-        /** The list is read at most once in so many lags for each of its pages. */
+        /** Interval between two reads of the list, in lags for each of its pages; it is at least one lag. */
         private const val LAGS_PER_PAGE = 0.5
     }
 }
--- a/src/main/kotlin/burlridge/fleet/MachinePage.kt
+++ b/src/main/kotlin/burlridge/fleet/MachinePage.kt
@@ -17,9 +17,9 @@
     val type: String? = null,
     val zone: String? = null,
     val spot: Boolean? = null,
-    /** The state as the cloud spells it; only [STARTING] and [FAILED] are acted on. */
+    /** The state, in the spelling of the cloud; only [STARTING] and [FAILED] have an effect. */
     val state: String = "",
-    /** Seconds since the rental was asked for, at the time that the list describes. */
+    /** Seconds from the rental request to the time that the list describes. */
     val ageSeconds: Double = 0.0,
 ) {
     internal companion object {
@@ -35,12 +35,12 @@
     val isTruncated: Boolean,
 ) {
     internal companion object {
-        /** Null for anything but such a page. */
+        /** Returns null if [body] is not such a page. */
         fun decode(body: String): MachinePage? = JsonStream.decodeObject(body, ::readPage)
     }
 }
 
-/** Where a field occurs twice, the last one counts. */
+/** Reads one page. If a field occurs twice, the last one counts. */
 private fun readPage(parser: JsonParser): MachinePage? {
     var machines: List<ListedMachine>? = null
     var truncated = false
--- a/src/main/kotlin/burlridge/fleet/OfferingBackoff.kt
+++ b/src/main/kotlin/burlridge/fleet/OfferingBackoff.kt
@@ -2,7 +2,10 @@
 
 import burlridge.core.StepContext
 
-/** Which offerings the cloud has refused, and until when they are not requested again: the longer, the more often that happened. */
+/**
+ * Backoff for offerings that the cloud has refused: they are not requested again until a time has passed that grows with the number of
+ * consecutive refusals.
+ */
 internal class OfferingBackoff(
     private val context: StepContext,
 ) {
@@ -17,18 +20,18 @@
     fun isBackedOff(offering: InstanceOffering): Boolean = context.now < (backoffUntil[offering] ?: 0.0)
 
     fun recordRefusal(offering: InstanceOffering) {
-        // Several rentals that were requested together are refused for the same reason, and count once.
+        // Rentals that were requested together are refused for the same reason, so their refusals count as one.
         if (isBackedOff(offering)) return
         val count = refusalCounts.merge(offering, 1, Int::plus) ?: 1
         backoffUntil[offering] = context.now + minOf(BACKOFF_SECONDS * count, BACKOFF_SECONDS * MAX_BACKOFF_FACTOR)
     }
 
-    /** The cloud has rented out some of [offering]; the next refusal counts as the first. */
+    /** Records that the cloud has granted machines of [offering]; the next refusal counts as the first. */
     fun recordGrant(offering: InstanceOffering) {
         refusalCounts.remove(offering)
     }
 
-    /** Machines of [offering] were returned, so that they can be rented again. */
+    /** Ends the backoff of [offering]: machines of it were returned, and can be rented again. */
     fun reset(offering: InstanceOffering) {
         backoffUntil.remove(offering)
         refusalCounts.remove(offering)
--- a/src/main/kotlin/burlridge/fleet/PriceSelector.kt
+++ b/src/main/kotlin/burlridge/fleet/PriceSelector.kt
@@ -2,15 +2,15 @@
 
 import burlridge.job.JobSpec
 
-/** Chooses the offering whose machines cost the least for each task that they hold. */
+/** Chooses the offering with the lowest price per task: the price of a machine divided by the number of tasks that fit on it. */
 internal object PriceSelector {
-    /** An offering that costs so many times as much as the cheapest one is expensive. */
-    const val EXPENSIVE_FACTOR: Double = 2.0
+    /** An offering is expensive if it costs more than this many times as much as the cheapest one. */
+    const val EXPENSIVE_PRICE_FACTOR: Double = 2.0
 
-    /** So many times its price an indispensable type counts for jobs that can do without it. */
-    private const val INDISPENSABLE_FACTOR = 3.0
+    /** Factor on the price of an indispensable type for jobs that can use another type. */
+    private const val INDISPENSABLE_PRICE_FACTOR = 3.0
 
-    /** Tasks that a machine holds of a resource that they do not use. */
+    /** Number of tasks that fit on a machine as far as a resource is concerned that the tasks do not use. */
     private const val UNBOUNDED_TASKS = 1e3
 
     private class PricedOffering(
@@ -19,20 +19,21 @@
     )
 
     /**
-     * The cheapest offering for a task of [spec] that [isRefused] lets through; null if there is none. An expensive one, compared with the
-     * cheapest whether refused or not, is chosen only if the task cannot wait for a cheaper machine ([canWait]).
+     * Returns the cheapest offering for a task of [spec] among those that are not [isUnavailable], or null if there is none. An offering
+     * that is expensive compared with the cheapest one, available or not, is returned only if the task cannot wait for a cheaper machine
+     * ([canWait]).
      */
     fun cheapest(
         catalog: Catalog,
         spec: JobSpec,
         indispensableTypes: Set<String>,
-        isRefused: (InstanceOffering) -> Boolean,
+        isUnavailable: (InstanceOffering) -> Boolean,
         canWait: () -> Boolean,
     ): InstanceOffering? {
         val priced = pricedOfferings(catalog, spec, indispensableTypes)
         val lowestPrice = priced.minOfOrNull { it.pricePerTask } ?: return null
-        val cheapest = priced.filterNot { isRefused(it.offering) }.minByOrNull { it.pricePerTask } ?: return null
-        return cheapest.offering.takeIf { cheapest.pricePerTask <= lowestPrice * EXPENSIVE_FACTOR || !canWait() }
+        val cheapest = priced.filterNot { isUnavailable(it.offering) }.minByOrNull { it.pricePerTask } ?: return null
+        return cheapest.offering.takeIf { cheapest.pricePerTask <= lowestPrice * EXPENSIVE_PRICE_FACTOR || !canWait() }
     }
 
     private fun pricedOfferings(
@@ -40,9 +41,9 @@
         spec: JobSpec,
         indispensableTypes: Set<String>,
     ): List<PricedOffering> {
-        val allowed = catalog.allowed(spec)
-        return allowed.flatMap { type ->
-            val factor = if (type.name in indispensableTypes && allowed.size > 1) INDISPENSABLE_FACTOR else 1.0
+        val eligibleTypes = catalog.eligibleTypes(spec)
+        return eligibleTypes.flatMap { type ->
+            val factor = if (type.name in indispensableTypes && eligibleTypes.size > 1) INDISPENSABLE_PRICE_FACTOR else 1.0
             type.zones.filter { spec.zone == null || it == spec.zone }.flatMap { zone ->
                 listOf(true, false).filter { !it || spec.spot }.map { spot ->
                     val price = if (spot) type.spotPrice else type.price
--- a/src/main/kotlin/burlridge/fleet/Rental.kt
+++ b/src/main/kotlin/burlridge/fleet/Rental.kt
@@ -3,44 +3,44 @@
 import burlridge.json.Json
 import com.fasterxml.jackson.databind.JsonNode
 
-/** What can be rented: machines of one type, in one zone, as spot machines or not. */
+/** An offering of the cloud: machines of one type, in one zone, as spot machines or not. */
 internal data class InstanceOffering(
     val type: String,
     val zone: String,
     val spot: Boolean,
 )
 
-/** Why machines are rented; [text] stands for it in log lines. */
+/** Why machines are rented; [text] is written to log lines. */
 internal enum class RentReason(
     val text: String,
 ) {
-    /** No team is guaranteed anything, so that as many machines as possible are kept. */
+    /** No team has a guaranteed quota, so as many machines as possible are kept. */
     KEEP_ALL("keep_all"),
 
-    /** Waiting and expected tasks do not fit the machines that there are. */
+    /** Waiting and expected tasks do not fit on the existing machines. */
     CAPACITY_NEEDED("capacity_needed"),
 }
 
-/** One call for machines, recorded in a row before the cloud is called. */
+/** One call to rent machines, recorded in a row before the cloud is called. */
 internal class Rental(
-    /** Unique over all leaders: the key of the row, and what the cloud recognizes a repeated call by. */
-    val step: String,
+    /** Unique across all leaders; part of the row's key, and the id by which the cloud recognizes a repeated call. */
+    val id: String,
     val offering: InstanceOffering,
     val count: Int,
 ) {
     /** The revision of the row; 0 before it is written and once it is being deleted. */
     var modRevision: Long = 0
 
-    /** When the cloud was called, or may have been by an earlier leader; 0 before. */
+    /** When the cloud was called; when the row was loaded, if an earlier leader wrote it and may have made the call; 0 before. */
     var calledAt: Double = 0.0
 
-    /** When the outcome was known, or the cloud's list had to show it; null before. */
+    /** When the outcome became known or the cloud's list had to show it; null before. */
     var settledAt: Double? = null
 
-    /** Machines that may still come and are not known yet. */
+    /** Number of machines that may still be granted and are not known yet. */
     var expectedMachines: Int = count
 
-    val rowKey: String get() = "$KEY_PREFIX$step"
+    val rowKey: String get() = "$KEY_PREFIX$id"
 
     internal companion object {
         private const val KEY_PREFIX = "rental/"
--- a/src/main/kotlin/burlridge/fleet/RentalPlan.kt
+++ b/src/main/kotlin/burlridge/fleet/RentalPlan.kt
@@ -2,29 +2,29 @@
 
 import burlridge.job.JobSpec
 
-/** Fits the needs into the free [capacities] one after the other, and adds the machines to be rented for what does not fit. */
+/** Fits needs into the free [capacities], one after the other, and adds machines to be rented for the tasks that do not fit. */
 internal class RentalPlan(
     private val catalog: Catalog,
     val capacities: MutableList<FreeCapacity>,
     private val scaleOut: ScaleOut,
     private val indispensableTypes: Set<String>,
 ) {
-    /** How many machines of each offering are to be rented. */
+    /** Number of machines to be rented of each offering. */
     val machineCounts: LinkedHashMap<InstanceOffering, Int> = LinkedHashMap()
 
-    /** By job class: the tasks of earlier needs that fit, and those that are left to wait. */
+    /** By job class: the number of tasks of earlier needs that fit, and of those that have to wait. */
     private val fittingTasks = HashMap<String, Int>()
     private val waitingTasks = HashMap<String, Int>()
 
-    fun meet(need: CapacityDemand.Need) {
-        val spec = inOneZone(need)
-        val unfitted = rentFor(need, spec, fitFree(spec, need.tasks))
-        waitingTasks.merge(spec.jobClass, unfitted, Int::plus)
-        fittingTasks.merge(spec.jobClass, need.tasks - unfitted, Int::plus)
+    fun addNeed(need: CapacityDemand.Need) {
+        val spec = specBoundToZone(need)
+        val waiting = rentFor(need, spec, fitIntoFreeCapacity(spec, need.tasks))
+        waitingTasks.merge(spec.jobClass, waiting, Int::plus)
+        fittingTasks.merge(spec.jobClass, need.tasks - waiting, Int::plus)
     }
 
-    /** Fits up to [tasks] tasks into what is free; returns how many did not fit. */
-    private fun fitFree(
+    /** Fits up to [tasks] tasks into the free capacities; returns how many did not fit. */
+    private fun fitIntoFreeCapacity(
         spec: JobSpec,
         tasks: Int,
     ): Int {
@@ -36,7 +36,7 @@
         return remaining
     }
 
-    /** Adds machines for [tasks] tasks; returns how many are left to wait. */
+    /** Adds machines to be rented for [tasks] tasks; returns how many tasks have to wait. */
     private fun rentFor(
         need: CapacityDemand.Need,
         spec: JobSpec,
@@ -45,7 +45,7 @@
         var remaining = tasks
         while (remaining > 0) {
             val offering =
-                PriceSelector.cheapest(catalog, spec, indispensableTypes, scaleOut::isRefused) { canWait(need, remaining) } ?: break
+                PriceSelector.cheapest(catalog, spec, indispensableTypes, scaleOut::isUnavailable) { canWait(need, remaining) } ?: break
             if (!canAdd(offering)) break
             machineCounts.merge(offering, 1, Int::plus)
             val capacity = FreeCapacity(offering, catalog.types.getValue(offering.type).size)
@@ -61,8 +61,8 @@
     }
 
     /**
-     * Whether [remaining] tasks, which come after those of their job class that wait already, are served in time by the capacity that
-     * tasks of the class have or were fitted into.
+     * Whether the [remaining] tasks of [need], queued behind the tasks of their job class that already have to wait, can start in time on
+     * the capacity that tasks of the class have or were fitted into.
      */
     private fun canWait(
         need: CapacityDemand.Need,
@@ -75,11 +75,11 @@
         return waitSeconds * WAIT_SAFETY_FACTOR <= need.slackSeconds
     }
 
-    /** The spec of [need]; if it is a gang that must be in one zone, bound to the zone that has the most capacity for it already. */
-    private fun inOneZone(need: CapacityDemand.Need): JobSpec {
+    /** Returns the spec of [need]; a gang that must run in one zone is bound to the zone that has the most free capacity for it. */
+    private fun specBoundToZone(need: CapacityDemand.Need): JobSpec {
         val spec = need.spec
         if (!spec.gang || !spec.oneZone || spec.zone != null) return spec
-        val zones = catalog.allowed(spec).flatMap { it.zones }.distinct()
+        val zones = catalog.eligibleTypes(spec).flatMap { it.zones }.distinct()
         if (zones.size < 2) return spec
         val fitCounts = zones.associateWith { zone -> capacities.sumOf { if (it.offering.zone == zone) fitCount(it, spec) else 0 } }
         return spec.copy(zone = zones.maxBy { minOf(need.tasks, fitCounts.getValue(it)) })
@@ -91,7 +91,7 @@
     ): Int = if (capacity.allows(spec)) capacity.fitCount(spec.size) else 0
 
     private companion object {
-        /** Run times are often half as long again as their estimate, and running tasks do not end evenly. */
+        /** Run times are often 1.5 times their estimate, and running tasks do not end at regular intervals. */
         const val WAIT_SAFETY_FACTOR = 2.0
     }
 }
--- a/src/main/kotlin/burlridge/fleet/RentalRows.kt
+++ b/src/main/kotlin/burlridge/fleet/RentalRows.kt
@@ -8,12 +8,12 @@
 import burlridge.store.Transaction
 import burlridge.store.TransactionResult
 
-/** Writes and deletes the rows of rentals, under the leader's fence. */
+/** Writes and deletes the rows of rentals, under the leader's fencing condition. */
 internal class RentalRows(
     private val store: StoreClient,
     private val leadership: Leadership,
 ) {
-    /** Writes the row of [rental]; [onResult] gets whether it exists now. Nothing is called if leadership has ended. */
+    /** Writes the row of [rental]; [onResult] receives whether it exists now, and is not called if leadership has ended. */
     fun write(
         rental: Rental,
         onResult: (isWritten: Boolean) -> Unit,
@@ -64,7 +64,7 @@
     }
 
     private companion object {
-        /** Of a row that exists, where its revision is not known; rows are deleted whatever their revision. */
+        /** Stands for the unknown revision of a row that exists; rows are deleted whatever their revision. */
         const val UNKNOWN_REVISION = 1L
     }
 }
--- a/src/main/kotlin/burlridge/fleet/ScaleIn.kt
+++ b/src/main/kotlin/burlridge/fleet/ScaleIn.kt
@@ -9,7 +9,7 @@
 import burlridge.worker.WorkerManager
 import burlridge.worker.hasAllocationsOn
 
-/** The offering that a machine is of. */
+/** The offering that this machine was rented from. */
 internal val Machine.offering: InstanceOffering get() = InstanceOffering(type, zone, spot)
 
 /** Returns machines to the cloud: those that are lost or drained, and those that are idle and not needed. */
@@ -24,7 +24,7 @@
     private val workerSettings = context.settings.workers
     private val idleSeconds = workerSettings.reportSeconds * context.settings.operator.idleReports
 
-    /** Returns machines that are dead, cut off, overdue, or drained and empty. */
+    /** Returns machines that are dead, partitioned, overdue, or drained and empty. */
     fun returnLost(catalog: Catalog) {
         val reportingZones = reportingZones()
         for (machine in workers.machines.values) {
@@ -32,20 +32,23 @@
             val isZoneReporting = machine.zone in reportingZones
             val isOverdue = isOverdue(machine, type)
             if (isZoneReporting) {
-                if (isSilentAndUnreachable(machine)) giveUpSilent(machine)
-                giveUpIfUnresponsive(machine)
+                if (isSilentAndUnreachable(machine)) declareSilentDead(machine)
+                declareDeadIfUnresponsive(machine)
             }
             if (isOverdue && !machine.isDraining) drainOverdue(machine)
         }
-        // Hundreds may be due at once, and each second counts for the tasks on them.
+        // Hundreds of machines may be due at once, and every second of delay matters to the tasks on them.
         workers.machines.values
-            .filter { !it.isReturning && (it.isDead || isDrainedEmpty(it)) }
+            .filter { !it.isReturning && (it.isDead || isDrainedAndEmpty(it)) }
             .chunked(MAX_MACHINES_PER_CALL)
             .take(MAX_CALLS_PER_PLAN)
             .forEach { returnMachines(it) }
     }
 
-    /** To a new leader every machine is silent at first, so only one that the cloud still calls starting is overdue. */
+    /**
+     * Whether [machine] has taken too long to boot. At first a new leader has received no heartbeat from any machine, so only a machine
+     * that is still starting according to the cloud can be overdue.
+     */
     private fun isOverdue(
         machine: Machine,
         type: MachineType,
@@ -58,7 +61,7 @@
         machine.drainReason = DrainReason.OVERDUE
     }
 
-    private fun giveUpSilent(machine: Machine) {
+    private fun declareSilentDead(machine: Machine) {
         context.infoLimited(
             "machine silent and unreachable, returning it",
             "machine" to machine.id,
@@ -67,7 +70,7 @@
         machine.isDead = true
     }
 
-    private fun giveUpIfUnresponsive(machine: Machine) {
+    private fun declareDeadIfUnresponsive(machine: Machine) {
         val unresponsiveSince = machine.unresponsiveSince
         if (machine.isDead || unresponsiveSince == null || context.now <= unresponsiveSince + workerSettings.leaseSeconds / 2) return
         context.infoLimited(
@@ -80,15 +83,18 @@
 
     private fun secondsSince(time: Double): Int = (context.now - time).toInt()
 
-    /** A drain by operators waits until the ends of tasks that only the worker keeps are stored. */
-    private fun isDrainedEmpty(machine: Machine): Boolean {
+    /**
+     * Whether [machine] is drained and has no allocations. A machine that operators drain is kept until the outcomes of tasks that only its
+     * worker knows are stored, or its lease has expired.
+     */
+    private fun isDrainedAndEmpty(machine: Machine): Boolean {
         if (!machine.isDraining || registry.hasAllocationsOn(machine)) return false
         return machine.drainReason != DrainReason.OPERATOR || machine.reportedTasks.isEmpty() || machine.isLeaseExpired
     }
 
     /**
-     * Whether [machine] has fallen silent and does not answer commands: it is dead or cut off, and returning it ends its tasks for certain,
-     * well before its worker's lease would.
+     * Whether [machine] sends no heartbeats and does not answer commands: it is dead or partitioned. Returning it guarantees that its tasks
+     * have ended, well before the lease of its worker expires.
      */
     private fun isSilentAndUnreachable(machine: Machine): Boolean {
         val isExpected = machine.isUp || registry.hasAllocationsOn(machine)
@@ -98,7 +104,10 @@
         return workers.receivesHeartbeatsFrom(machine.zone) && context.now > silentUntil
     }
 
-    /** The zones most of whose machines report. Elsewhere the fault is more likely this member's or the network's than a machine's. */
+    /**
+     * Zones in which at least half of the machines report. In other zones the fault is more likely in this member or in the network than in
+     * a machine.
+     */
     private fun reportingZones(): Set<String> =
         workers.machines.values
             .filter { it.isUp && !it.isLeaseExpired }
@@ -122,7 +131,7 @@
         cloud.returnMachines(ids) { isConfirmed ->
             if (!isStillLeading()) return@returnMachines
             if (isConfirmed) {
-                machines.forEach { onReturned(it, isRentedAgain = it !in drainedByOperator) }
+                machines.forEach { onReturned(it, mayRentAgain = it !in drainedByOperator) }
             } else {
                 machines.forEach { machine -> context.schedule(RETRY_SECONDS) { machine.isReturning = false } }
             }
@@ -131,20 +140,23 @@
 
     private fun onReturned(
         machine: Machine,
-        isRentedAgain: Boolean,
+        mayRentAgain: Boolean,
     ) {
         workers.onMachineGone(machine, LossReason.RETURNED)
-        if (isRentedAgain) scaleOut.onReturned(machine.offering)
+        if (mayRentAgain) scaleOut.onReturned(machine.offering)
     }
 
-    /** Returns idle machines that the expected tasks leave empty; [remaining] is what is free once those tasks have their capacity. */
+    /**
+     * Returns idle machines that neither waiting nor expected tasks need; [remaining] is the capacity that is still free once these tasks
+     * are fitted in.
+     */
     fun returnIdle(
         remaining: List<FreeCapacity>,
         catalog: Catalog,
     ) {
         val inService = workers.machines.values.filter { it.isUp && !it.isDraining }
-        val patienceSeconds = patienceSeconds(inService.size)
-        val idle = inService.filter { isIdle(it, patienceSeconds) }
+        val maxIdleSeconds = maxIdleSeconds(inService.size)
+        val idle = inService.filter { isIdle(it, maxIdleSeconds) }
         if (idle.isEmpty()) return
         val unneeded =
             remaining
@@ -163,19 +175,19 @@
 
     private fun isIdle(
         machine: Machine,
-        patienceSeconds: Double,
+        maxIdleSeconds: Double,
     ): Boolean {
-        val priceFactor = if (machine.spot) 1.0 else PriceSelector.EXPENSIVE_FACTOR
-        return machine.idleSince > 0 && context.now > machine.idleSince + patienceSeconds / priceFactor &&
+        val priceFactor = if (machine.spot) 1.0 else PriceSelector.EXPENSIVE_PRICE_FACTOR
+        return machine.idleSince > 0 && context.now > machine.idleSince + maxIdleSeconds / priceFactor &&
             !registry.hasAllocationsOn(machine)
     }
 
     /**
-     * How long a machine may be idle. The more machines there are, the less the work on them varies against its mean, and the sooner an
-     * idle one is not needed.
+     * How long a machine may be idle before it is returned. The more machines there are, the less their load varies relative to its mean,
+     * and the sooner an idle machine is known not to be needed.
      */
-    private fun patienceSeconds(machineCount: Int): Double {
-        val factor = PATIENCE_SHORTENS_FROM_ROOT / Math.sqrt(machineCount.coerceAtLeast(1).toDouble())
+    private fun maxIdleSeconds(machineCount: Int): Double {
+        val factor = SQRT_OF_MACHINES_AT_FULL_IDLE_TIME / Math.sqrt(machineCount.coerceAtLeast(1).toDouble())
         return idleSeconds * minOf(1.0, factor)
     }
 
@@ -187,10 +199,10 @@
         const val MIN_COMMAND_FAILURES = 2
         const val MIN_REPORTING_SHARE = 0.5
 
-        /** A boot that takes so many times its type's figure is given up. */
+        /** A boot is given up after this many times the boot time of the machine type. */
         const val OVERDUE_BOOT_FACTOR = 3.0
 
-        /** The square root of the number of machines from which on the patience gets shorter. */
-        const val PATIENCE_SHORTENS_FROM_ROOT = 5.0
+        /** Square root of the number of machines above which the allowed idle time gets shorter. */
+        const val SQRT_OF_MACHINES_AT_FULL_IDLE_TIME = 5.0
     }
 }
--- a/src/main/kotlin/burlridge/placement/ArrayPlacement.kt
+++ b/src/main/kotlin/burlridge/placement/ArrayPlacement.kt
@@ -8,19 +8,22 @@
 import burlridge.worker.Machine
 import burlridge.worker.WorkerManager
 
-/** Places the tasks of job arrays, each by itself. */
+/** Places the tasks of job arrays, each task independently of the others. */
 internal class ArrayPlacement(
     private val context: StepContext,
     private val registry: JobRegistry,
     private val workers: WorkerManager,
     private val fleet: Fleet,
-    private val fit: BestFitSelector,
+    private val selector: BestFitSelector,
     private val objectives: PlacementObjectives,
     private val quotas: TeamQuotas,
 ) {
-    private val policy: PlacementPolicy? get() = fit.policy
+    private val policy: PlacementPolicy? get() = selector.policy
 
-    /** Places a task that is gone from its former machine where capacity is reserved for it. Where that is too little it stays queued. */
+    /**
+     * Places the task of [reservation], once it has left its former machine, on the machine where capacity is reserved for it. If the task
+     * does not fit there or would exceed its team's quota, it stays queued.
+     */
     fun placeReserved(
         reservation: CapacityReservation,
         plan: PlacementPlan,
@@ -31,7 +34,7 @@
         plan.release(reservation)
         val capacity = plan.capacityOn(reservation.machine.id) ?: return
         val usage = plan.usageOf(spec.team) + spec.size
-        if (!fit.fits(spec, plan.zonesOf(job), capacity) || quotas.isExceeded(spec.team, usage)) return
+        if (!selector.fits(spec, plan.taskCountByZone(job), capacity) || quotas.isExceeded(spec.team, usage)) return
         capacity.take(spec.size)
         plan.setUsage(spec.team, usage)
         allocate(job, reservation.task, reservation.machine, plan)
@@ -45,74 +48,78 @@
         plan: PlacementPlan,
     ) {
         val spec = job.spec
-        val zones = if (spec.oneZone || spec.spread) plan.zonesOf(job) else HashMap()
+        val taskCountByZone = if (spec.oneZone || spec.spread) plan.taskCountByZone(job) else HashMap()
         val pools = plan.poolsFor(spec)
         var task = nextEligible(job, 0, plan)
-        // The design samples blindly; in a hurry, a fetch takes too much of the time while another machine holds the image.
+        // If a fetch would take too much time, machines that hold the image are tried first: random sampling may miss them.
         if (isFetchCritical(spec, pools)) {
             val imageHolders = pools.flatMap { pool -> pool.candidates.filter { spec.image in it.machine.images && canUse(job, it) } }
-            task = fill(job, task, imageHolders, zones, plan)
+            task = placeOn(job, task, imageHolders, taskCountByZone, plan)
         }
-        task = fillByType(job, task, pools, zones, plan)
+        task = placeByType(job, task, pools, taskCountByZone, plan)
         if (task == NO_TASK) return
-        val isLimited = isBatchFull(plan) || quotas.isExceeded(spec.team, plan.usageOf(spec.team) + spec.size)
+        val limitReached = isBatchFull(plan) || quotas.isExceeded(spec.team, plan.usageOf(spec.team) + spec.size)
         if (policy != null && objectives.hasStartObjective(spec.jobClass)) {
-            task = fillSlowStarting(job, task, pools, zones, plan)
+            task = placeOnSlowStarting(job, task, pools, taskCountByZone, plan)
         }
-        if (task != NO_TASK && !isLimited && !spec.oneZone && !spec.spread && isCapacityExhausted(job, pools)) plan.markUnplaceable(spec)
+        if (task != NO_TASK && !limitReached && !spec.oneZone && !spec.spread && isCapacityExhausted(job, pools)) plan.markUnplaceable(spec)
     }
 
-    /** Fills one machine type after the other; returns the next task, or [NO_TASK] if all are placed. */
-    private fun fillByType(
+    /** Places tasks on one machine type after the other; returns the next eligible task, or [NO_TASK] if there is none. */
+    private fun placeByType(
         job: Job,
-        first: Int,
+        firstTask: Int,
         pools: List<MachinePool>,
-        zones: HashMap<String, Int>,
+        taskCountByZone: HashMap<String, Int>,
         plan: PlacementPlan,
     ): Int {
-        var task = first
-        // Where idle machines are returned, the expensive ones of a type are filled last, so that they are the ones to fall idle.
-        for (group in pools.groupBy { it.first.type to (fleet.returnsIdleMachines && it.first.spot) }.values) {
+        var task = firstTask
+        // If idle machines are returned, the on-demand machines of a type are filled last: they are more expensive than the spot machines,
+        // so they should be the ones that become idle.
+        for (group in pools.groupBy { it.representative.type to (fleet.returnsIdleMachines && it.representative.spot) }.values) {
             if (task == NO_TASK) return task
             context.count("placement.candidates", group.sumOf { it.candidates.size })
-            task = fill(job, task, group.flatMap { pool -> pool.candidates.filter { canUse(job, it) } }, zones, plan)
+            task = placeOn(job, task, group.flatMap { pool -> pool.candidates.filter { canUse(job, it) } }, taskCountByZone, plan)
         }
         return task
     }
 
     private fun isBatchFull(plan: PlacementPlan): Boolean = plan.allocations.size >= registry.allocations.maxStartsPerBatch
 
-    /** Whether another job that asks for as much would find nothing either: withheld capacity may go to one that has waited longer. */
+    /**
+     * Whether another job with the same request would find no capacity either. False while capacity is withheld from [job] (on avoided
+     * machines or machines at their start limit) that a job that has waited longer may use.
+     */
     private fun isCapacityExhausted(
         job: Job,
         pools: List<MachinePool>,
     ): Boolean =
         policy == null || canUseAvoided(job) || pools.none { pool -> pool.candidates.any { it.isAvoided || it.remainingStarts <= 0 } }
 
-    /** Places tasks of a class with a start objective also on machines that have just joined, beyond their limit of starts. */
-    private fun fillSlowStarting(
+    /** Places tasks of a class with a start objective on machines that have just joined (slow start) too, beyond their start limit. */
+    private fun placeOnSlowStarting(
         job: Job,
         firstTask: Int,
         pools: List<MachinePool>,
-        zones: HashMap<String, Int>,
+        taskCountByZone: HashMap<String, Int>,
         plan: PlacementPlan,
     ): Int {
         val slowStarting = pools.flatMap { pool -> pool.candidates.filter { !it.hasUnlimitedStarts && canUse(job, it) } }
         if (slowStarting.isEmpty()) return firstTask
-        val limits = slowStarting.associateWith { it.remainingStarts }
+        val startLimits = slowStarting.associateWith { it.remainingStarts }
         slowStarting.forEach { it.remainingStarts = MachineCapacity.UNLIMITED_STARTS }
-        val placedBefore = plan.allocations.size
-        val nextTask = fill(job, firstTask, slowStarting, zones, plan)
-        limits.forEach { (capacity, remainingStarts) -> capacity.remainingStarts = remainingStarts }
-        plan.allocations.drop(placedBefore).forEach {
+        val allocationsBefore = plan.allocations.size
+        val nextTask = placeOn(job, firstTask, slowStarting, taskCountByZone, plan)
+        startLimits.forEach { (capacity, remainingStarts) -> capacity.remainingStarts = remainingStarts }
+        plan.allocations.drop(allocationsBefore).forEach {
             policy?.onPlaced(it.taskName, it.machine, PlacementReason.SLOW_STARTING_FOR_OBJECTIVE)
         }
         return nextTask
     }
 
-    /** Halfway to the longest allowed wait a job may use avoided machines as well. */
+    /** Whether [job] may use avoided machines too: it may after half of the longest allowed wait. */
     private fun canUseAvoided(job: Job): Boolean =
-        (job.allocatedAt?.let { context.now - it } ?: job.ageSeconds(context.wallMillis)) > MAX_WAIT_BESIDE_CAPACITY_SECONDS / 2
+        (job.allocatedAt?.let { context.now - it } ?: job.ageSeconds(context.wallMillis)) > MAX_WAIT_WITH_USABLE_CAPACITY_SECONDS / 2
 
     private fun canUse(
         job: Job,
@@ -124,33 +131,36 @@
         pools: List<MachinePool>,
     ): Boolean {
         if (objectives.isUrgent(spec.jobClass)) return true
-        val slowestGbPerSecond = pools.minOfOrNull { fit.fetchGbPerSecond(it.first.type) } ?: return false
+        val slowestGbPerSecond = pools.minOfOrNull { selector.fetchGbPerSecond(it.representative.type) } ?: return false
         return spec.deadlineSeconds != null && slowestGbPerSecond > 0 &&
-            spec.imageGb / slowestGbPerSecond > spec.estimateSeconds * MAX_FETCH_PART_OF_RUN
+            spec.imageGb / slowestGbPerSecond > spec.estimateSeconds * MAX_FETCH_FRACTION_OF_RUN
     }
 
-    /** Places tasks of [job] from [firstTask] on on [candidates] while they fit; returns the next task, or [NO_TASK]. */
-    private fun fill(
+    /**
+     * Places tasks of [job], starting with [firstTask], on [candidates] as long as they fit; returns the next eligible task, or [NO_TASK]
+     * if there is none.
+     */
+    private fun placeOn(
         job: Job,
         firstTask: Int,
         candidates: List<MachineCapacity>,
-        zones: HashMap<String, Int>,
+        taskCountByZone: HashMap<String, Int>,
         plan: PlacementPlan,
     ): Int {
         val spec = job.spec
         var task = firstTask
-        // Where idle machines are returned, those in use are filled first, so that others fall idle.
+        // If idle machines are returned, machines in use are filled first, so that the idle ones stay idle.
         val (idle, inUse) = candidates.partition { fleet.returnsIdleMachines && it.isIdle }
-        val (idleLeft, shared) = idle.toMutableList() to inUse.toMutableList()
+        val (fallback, preferred) = idle.toMutableList() to inUse.toMutableList()
         while (task != NO_TASK && !isBatchFull(plan)) {
             val usage = plan.usageOf(spec.team) + spec.size
             if (quotas.isExceeded(spec.team, usage)) break
-            val capacity = fit.select(shared, spec, zones) ?: fit.select(idleLeft, spec, zones) ?: break
-            if (idleLeft.isNotEmpty() && capacity.isIdle && idleLeft.remove(capacity)) shared += capacity
+            val capacity = selector.select(preferred, spec, taskCountByZone) ?: selector.select(fallback, spec, taskCountByZone) ?: break
+            if (fallback.isNotEmpty() && capacity.isIdle && fallback.remove(capacity)) preferred += capacity
             capacity.take(spec.size)
             if (!capacity.hasUnlimitedStarts) capacity.remainingStarts--
             plan.setUsage(spec.team, usage)
-            zones.merge(capacity.machine.zone, 1, Int::plus)
+            taskCountByZone.merge(capacity.machine.zone, 1, Int::plus)
             allocate(job, task, capacity.machine, plan)
             if (capacity.isAvoided) policy?.onPlaced("${spec.id}/$task", capacity.machine.id, PlacementReason.AVOIDED_AFTER_WAIT)
             task = nextEligible(job, task + 1, plan)
@@ -158,7 +168,7 @@
         return task
     }
 
-    /** The first task from [from] on that may be placed now, or [NO_TASK]. */
+    /** The first task with number [from] or above that may be placed now, or [NO_TASK] if there is none. */
     private fun nextEligible(
         job: Job,
         from: Int,
@@ -181,13 +191,13 @@
     ) = plan.allocate(job.spec, task, job.lastAttemptByTask.get(task) + 1, machine)
 
     private companion object {
-        /** In place of null, which would box every task number. */
+        /** Used instead of null, which would box every task number. */
         const val NO_TASK = -1
 
-        /** The part of a run that an image fetch may take where there is a deadline. */
-        const val MAX_FETCH_PART_OF_RUN = 0.1
+        /** Fraction of the estimated run time that an image fetch may take for a job with a deadline. */
+        const val MAX_FETCH_FRACTION_OF_RUN = 0.1
 
-        /** By the protocol no job waits longer than this beside capacity that it may use. */
-        const val MAX_WAIT_BESIDE_CAPACITY_SECONDS = 90.0
+        /** The protocol's limit on how long a job may wait while there is capacity that it may use. */
+        const val MAX_WAIT_WITH_USABLE_CAPACITY_SECONDS = 90.0
     }
 }
--- a/src/main/kotlin/burlridge/placement/BestFitSelector.kt
+++ b/src/main/kotlin/burlridge/placement/BestFitSelector.kt
@@ -12,34 +12,35 @@
 ) {
     private val sampleSize = context.settings.operator.sample
 
-    /** Null where nobody balances load. */
+    /** Null if load balancing is not enabled. */
     var policy: PlacementPolicy? = null
 
-    /** Whether a task of [spec], whose job has tasks in [zones] already, may be placed on [capacity]. */
+    /** Whether a task of [spec] may be placed on [capacity], given how many tasks of its job are in each zone. */
     fun fits(
         spec: JobSpec,
-        zones: Map<String, Int>,
+        taskCountByZone: Map<String, Int>,
         capacity: MachineCapacity,
     ): Boolean =
-        (capacity.remainingStarts > 0 || spec.gang) && spec.size.fits(capacity.free) && isZoneAllowed(spec, zones, capacity.machine.zone)
+        (capacity.remainingStarts > 0 || spec.gang) && spec.size.fits(capacity.free) &&
+            isZoneAllowed(spec, taskCountByZone, capacity.machine.zone)
 
     private fun isZoneAllowed(
         spec: JobSpec,
-        zones: Map<String, Int>,
+        taskCountByZone: Map<String, Int>,
         zone: String,
     ): Boolean {
-        if (spec.oneZone && zones.keys.any { it != zone }) return false
-        return !spec.spread || (zones[zone] ?: 0) < (spec.tasks + 1) / 2
+        if (spec.oneZone && taskCountByZone.keys.any { it != zone }) return false
+        return !spec.spread || (taskCountByZone[zone] ?: 0) < (spec.tasks + 1) / 2
     }
 
     /**
-     * The best fit for a task of [spec] over a sample drawn from [candidates]; null where none of them fits. A drawn candidate that does
-     * not fit is removed from [candidates]; those drawn are moved to their end, so that none is drawn twice.
+     * Returns the best fit for a task of [spec] among a random sample of [candidates], or null if none of them fits. A drawn candidate that
+     * does not fit is removed from [candidates]; one that fits is moved towards the end of the list, so that none is drawn twice.
      */
     fun select(
         candidates: MutableList<MachineCapacity>,
         spec: JobSpec,
-        zones: Map<String, Int>,
+        taskCountByZone: Map<String, Int>,
     ): MachineCapacity? {
         var best: MachineCapacity? = null
         var lowestCost = Double.MAX_VALUE
@@ -52,7 +53,7 @@
             context.count("placement.candidates")
             candidates[drawnIndex] = candidates[undrawn]
             candidates[undrawn] = capacity
-            if (!fits(spec, zones, capacity)) {
+            if (!fits(spec, taskCountByZone, capacity)) {
                 candidates[undrawn] = candidates.last()
                 candidates.removeLast()
                 continue
@@ -67,7 +68,10 @@
         return best
     }
 
-    /** What would stay free on [capacity] beside a task of [spec], and the image fetch, in units of a CPU. */
+    /**
+     * Cost of placing a task of [spec] on [capacity]: the resources that would stay free there and the duration of the image fetch, both
+     * converted to CPUs.
+     */
     private fun cost(
         capacity: MachineCapacity,
         spec: JobSpec,
@@ -78,16 +82,19 @@
             expectedFetchSeconds(capacity.machine, spec) * CPUS_PER_FETCH_SECOND
     }
 
-    /** As [fetchSeconds], with what else is being fetched there where that is known. */
+    /** Like [fetchSeconds], but accounts for other images that are being fetched on [machine], if these are known. */
     fun expectedFetchSeconds(
         machine: Machine,
         spec: JobSpec,
     ): Double {
-        val aloneSeconds = fetchSeconds(machine, spec)
-        return policy?.fetchSeconds(machine, spec, aloneSeconds) ?: aloneSeconds
+        val uncontendedSeconds = fetchSeconds(machine, spec)
+        return policy?.fetchSeconds(machine, spec, uncontendedSeconds) ?: uncontendedSeconds
     }
 
-    /** The seconds that [machine] takes to fetch the image of [spec] if it fetches nothing else; 0 where it holds the image. */
+    /**
+     * Seconds that [machine] takes to fetch the image of [spec] if it fetches nothing else; 0 if it holds the image or its fetch rate is
+     * not known.
+     */
     fun fetchSeconds(
         machine: Machine,
         spec: JobSpec,
@@ -97,7 +104,7 @@
         return if (rate > 0) spec.imageGb / rate else 0.0
     }
 
-    /** The fetch rate of machines of [type]; 0 where it is not known. */
+    /** The fetch rate of machines of [type]; 0 if it is not known. */
     fun fetchGbPerSecond(type: String): Double =
         fleet.catalog
             ?.types
--- a/src/main/kotlin/burlridge/placement/CapacityReservation.kt
+++ b/src/main/kotlin/burlridge/placement/CapacityReservation.kt
@@ -3,7 +3,7 @@
 import burlridge.allocation.Job
 import burlridge.worker.Machine
 
-/** Capacity on [machine] that is reserved for a task which is moving there, until it is gone from its present machine. */
+/** Capacity on [machine] that is reserved for a task moving there, until the task has left its current machine. */
 internal class CapacityReservation(
     val job: Job,
     val task: Int,
--- a/src/main/kotlin/burlridge/placement/GangPlacement.kt
+++ b/src/main/kotlin/burlridge/placement/GangPlacement.kt
@@ -8,24 +8,30 @@
 import burlridge.job.JobSpec
 import burlridge.worker.WorkerManager
 
-/** Places a gang as a whole or not at all: zone, machines and quota are settled for all tasks at once, under one attempt number. */
+/**
+ * Places a gang as a whole or not at all: zone, machines and quota are determined for all tasks at once, and all tasks get the same attempt
+ * number.
+ */
 internal class GangPlacement(
     private val context: StepContext,
     private val workers: WorkerManager,
     private val fleet: Fleet,
-    private val fit: BestFitSelector,
+    private val selector: BestFitSelector,
     private val objectives: PlacementObjectives,
     private val quotas: TeamQuotas,
 ) {
-    /** Whether [job] is a gang whose class has a start objective: it is placed first, and capacity for the next one is reserved. */
+    /** Whether [job] is a gang whose class has a start objective: it is placed first, and capacity is reserved for expected ones. */
     fun hasStartObjective(job: Job): Boolean = job.spec.gang && objectives.hasStartObjective(job.spec.jobClass)
 
-    /** Whether the next attempt may be allocated: nothing of the last one, nor any task of it without an allocation, is left anywhere. */
+    /**
+     * Whether the next attempt of [job] may be allocated: no allocation of an earlier attempt is left, no machine runs a task of the
+     * job without an allocation, and the retry delay has passed.
+     */
     fun canStartAttempt(job: Job): Boolean =
         GangRules.state(job) == GangState.IDLE && job.notBeforeByTask.getOrDefault(0, 0.0) <= context.now &&
             !workers.hasOrphans(job.spec.id)
 
-    /** Allocates all tasks of [job]. Where they do not all fit, the free capacity is held back from later jobs until they do. */
+    /** Allocates all tasks of [job]. If they do not all fit, free capacity is withheld from later jobs until they do. */
     fun place(
         job: Job,
         plan: PlacementPlan,
@@ -33,7 +39,7 @@
         val spec = job.spec
         val usage = plan.usageOf(spec.team) + spec.size * spec.tasks
         if (quotas.isExceeded(spec.team, usage)) {
-            // Its quota is held back as well, or single tasks would use every bit of it that becomes free.
+            // The quota is withheld from later jobs too; otherwise single tasks would use every part of it that becomes free.
             plan.setUsage(spec.team, usage)
             return
         }
@@ -49,11 +55,14 @@
             }
             assigned.forEach { it.release(spec.size) }
         }
-        holdBackLargestGroup(spec, groups, plan)
+        withholdLargestGroup(spec, groups, plan)
     }
 
-    /** Not where even idle machines would not suffice: capacity held back for a gang that can never run there would only be wasted. */
-    private fun holdBackLargestGroup(
+    /**
+     * Withholds capacity for the gang on the group of machines that can hold the most of its tasks now. Groups that could not hold the
+     * whole gang even if all their machines were idle are skipped: capacity withheld for a gang that can never run there would be wasted.
+     */
+    private fun withholdLargestGroup(
         spec: JobSpec,
         groups: List<List<MachineCapacity>>,
         plan: PlacementPlan,
@@ -64,7 +73,7 @@
             ?.let { assign(spec, spec.tasks, it) }
     }
 
-    /** Holds back capacity for the gangs that are expected soon; never more than a part of the machines. */
+    /** Withholds capacity for gangs that are expected soon, for each class on at most one in [MACHINES_PER_RESERVED_MACHINE] machines. */
     fun reserveForExpectedGangs(plan: PlacementPlan) {
         for (need in fleet.expectedGangs()) {
             val candidates = candidateGroups(need.spec, plan).firstOrNull() ?: continue
@@ -78,17 +87,23 @@
         spec: JobSpec,
     ): Int = candidates.sumOf { it.fitCount(spec.size) }
 
-    /** How many tasks of [spec] would fit on the machines of the group of [candidates], full ones included, if all were idle. */
+    /** Number of tasks of [spec] that would fit on all machines of the group of [candidates], full ones included, if all were idle. */
     private fun idleFitCount(
         spec: JobSpec,
         plan: PlacementPlan,
         candidates: List<MachineCapacity>,
     ): Int {
         val zone = candidates.firstOrNull()?.machine?.zone ?: return 0
-        return plan.poolsFor(spec).filter { !spec.oneZone || it.first.zone == zone }.sumOf { it.machineCount * it.total.holds(spec.size) }
+        return plan
+            .poolsFor(spec)
+            .filter { !spec.oneZone || it.representative.zone == zone }
+            .sumOf { it.machineCount * it.total.holds(spec.size) }
     }
 
-    /** Groups of machines that may hold the gang together: one for each zone where it must be in one, those that hold its image first. */
+    /**
+     * Groups of machines, one of which is to hold the whole gang: a group for each zone if the gang must run in one zone, otherwise a
+     * single group. Zones that can run the most of the gang on machines that hold its image come first.
+     */
     private fun candidateGroups(
         spec: JobSpec,
         plan: PlacementPlan,
@@ -100,31 +115,31 @@
             .groupBy { it.machine.zone }
             .values
             .sortedWith(
-                compareByDescending<List<MachineCapacity>> { zone ->
-                    minOf(spec.tasks, fitCount(zone.filter { spec.image in it.machine.images }, spec))
+                compareByDescending<List<MachineCapacity>> { machinesInZone ->
+                    minOf(spec.tasks, fitCount(machinesInZone.filter { spec.image in it.machine.images }, spec))
                 }.thenByDescending { fitCount(it, spec) },
             )
     }
 
-    /** Takes capacity for up to [tasks] tasks of [spec], and returns it, one element for each task. */
+    /** Takes capacity for up to [tasks] tasks of [spec]; returns the machine of each task. */
     private fun assign(
         spec: JobSpec,
         tasks: Int,
         candidates: List<MachineCapacity>,
     ): List<MachineCapacity> {
         val assigned = ArrayList<MachineCapacity>()
-        val zones = HashMap<String, Int>()
-        for (group in byFetchTime(spec, candidates)) {
-            // Where idle machines are returned, those in use are filled first, so that others fall idle.
+        val taskCountByZone = HashMap<String, Int>()
+        for (group in groupsByFetchTime(spec, candidates)) {
+            // If idle machines are returned, machines in use are filled first, so that the idle ones stay idle.
             val (idle, inUse) = group.partition { fleet.returnsIdleMachines && it.isIdle }
-            val (idleLeft, shared) = idle.toMutableList() to inUse.toMutableList()
+            val (fallback, preferred) = idle.toMutableList() to inUse.toMutableList()
             while (assigned.size < tasks) {
-                // The machine of the last task fetches the image anyway.
+                // The machine of the previous task is preferred, since it has to fetch the image anyway.
                 val capacity =
-                    assigned.lastOrNull()?.takeIf { fit.fits(spec, zones, it) }
-                        ?: fit.select(shared, spec, zones) ?: fit.select(idleLeft, spec, zones) ?: break
+                    assigned.lastOrNull()?.takeIf { selector.fits(spec, taskCountByZone, it) }
+                        ?: selector.select(preferred, spec, taskCountByZone) ?: selector.select(fallback, spec, taskCountByZone) ?: break
                 capacity.take(spec.size)
-                zones.merge(capacity.machine.zone, 1, Int::plus)
+                taskCountByZone.merge(capacity.machine.zone, 1, Int::plus)
                 assigned += capacity
             }
             if (assigned.size == tasks) break
@@ -132,23 +147,26 @@
         return assigned
     }
 
-    /** Machines that hold the image first, then those that fetch it in time, smallest types first, then the others, fastest first. */
-    private fun byFetchTime(
+    /**
+     * Groups [candidates]: first the machines that hold the image, then the types that fetch it within the start objective, smallest first,
+     * then the other types, fastest fetch first.
+     */
+    private fun groupsByFetchTime(
         spec: JobSpec,
         candidates: List<MachineCapacity>,
     ): List<List<MachineCapacity>> {
         val (imageHolders, others) = candidates.partition { spec.image in it.machine.images }
-        val limitSeconds = objectives.startSeconds(spec.jobClass)
+        val limitSeconds = objectives.startWithinSeconds(spec.jobClass)
         val byType = others.groupBy { it.machine.type }.values
-        val (inTime, late) = byType.partition { fit.fetchSeconds(it.first().machine, spec) * FETCH_TIME_MARGIN <= limitSeconds }
-        return listOf(imageHolders) + inTime + late.sortedBy { fit.fetchSeconds(it.first().machine, spec) }
+        val (inTime, late) = byType.partition { selector.fetchSeconds(it.first().machine, spec) * FETCH_TIME_MARGIN <= limitSeconds }
+        return listOf(imageHolders) + inTime + late.sortedBy { selector.fetchSeconds(it.first().machine, spec) }
     }
 
     private companion object {
-        /** A fetch takes up to a third longer than its type's rate says, and what precedes it takes some time as well. */
+        /** A fetch takes up to a third longer than the fetch rate of the machine type suggests, and the steps before it take time too. */
         const val FETCH_TIME_MARGIN = 1.5
 
-        /** One machine in so many may be reserved for the expected gangs of a class. */
+        /** One machine in this many may be reserved for the expected gangs of a class. */
         const val MACHINES_PER_RESERVED_MACHINE = 4
     }
 }
--- a/src/main/kotlin/burlridge/placement/JobQueue.kt
+++ b/src/main/kotlin/burlridge/placement/JobQueue.kt
@@ -5,7 +5,7 @@
 import burlridge.core.StepContext
 import burlridge.job.Resources
 
-/** The order in which jobs that wait for machines are placed. */
+/** Determines the order in which waiting jobs are placed. */
 internal class JobQueue(
     private val context: StepContext,
     private val registry: JobRegistry,
@@ -15,19 +15,20 @@
 ) {
     private class Entry(
         val job: Job,
-        /** It can no longer be done by its deadline. */
+        /** Whether it can no longer finish by its deadline or, without one, within the finish objective of its class. */
         val isLate: Boolean,
-        /** The part of its guaranteed share that the team uses. */
-        val shareUsed: Double,
-        /** Its place among the jobs of its team, the lowest first. */
+        /** Fraction of its guaranteed share that the job's team uses. */
+        val guaranteedShareUsed: Double,
+        /** Order among the jobs of the same team, lowest first. */
         val rank: Double,
         val ageSeconds: Double,
     )
 
     /**
-     * Jobs with tasks that may be placed. The highest priority goes first; within it the team that uses the smallest part of its guaranteed
-     * share; within a team the lowest [rank]. Jobs that will be late anyway yield to the others, without starving: a job that has waited
-     * long without being allocated goes before all others, and the oldest late one has every fourth turn.
+     * Jobs with tasks that may be placed, in the order of placement: by priority, highest first; then by the fraction of the guaranteed
+     * share that the team uses, smallest first; then by [rank], lowest first. Jobs that will be late anyway come after the others, but do
+     * not starve: every fourth job is the oldest late one, and jobs that have waited for half of [MAX_START_SECONDS] without any task being
+     * allocated go before all others.
      */
     fun ordered(): List<Job> {
         val entries =
@@ -36,18 +37,18 @@
                 .map { entry(it) }
         if (entries.isEmpty()) return emptyList()
         val (starved, others) = entries.partition { !it.job.hasBeenAllocated && it.ageSeconds > MAX_START_SECONDS / 2 }
-        val (late, timely) = others.partition { it.isLate }
+        val (late, onTime) = others.partition { it.isLate }
         val order = ArrayList<Job>(entries.size)
         starved.sortedByDescending { it.ageSeconds }.mapTo(order) { it.job }
-        val timelyInTurn =
-            timely
+        val onTimeIterator =
+            onTime
                 .sortedWith(
-                    compareBy<Entry> { it.job.spec.priority }.thenBy { it.shareUsed }.thenBy { it.rank },
+                    compareBy<Entry> { it.job.spec.priority }.thenBy { it.guaranteedShareUsed }.thenBy { it.rank },
                 ).iterator()
-        val lateInTurn = late.sortedByDescending { it.ageSeconds }.iterator()
-        while (timelyInTurn.hasNext() || lateInTurn.hasNext()) {
-            repeat(TIMELY_JOBS_PER_LATE_JOB) { if (timelyInTurn.hasNext()) order += timelyInTurn.next().job }
-            if (lateInTurn.hasNext()) order += lateInTurn.next().job
+        val lateIterator = late.sortedByDescending { it.ageSeconds }.iterator()
+        while (onTimeIterator.hasNext() || lateIterator.hasNext()) {
+            repeat(ON_TIME_JOBS_PER_LATE_JOB) { if (onTimeIterator.hasNext()) order += onTimeIterator.next().job }
+            if (lateIterator.hasNext()) order += lateIterator.next().job
         }
         return order
     }
@@ -56,16 +57,19 @@
 
     private fun entry(job: Job): Entry {
         val team = job.spec.team
-        val shareUsed = quotas.shareUsed(team, registry.allocations.usageByTeam[team] ?: Resources.NONE)
-        return Entry(job, willBeLate(job), shareUsed, rank(job), job.ageSeconds(context.wallMillis))
+        val guaranteedShareUsed = quotas.guaranteedShareUsed(team, registry.allocations.usageByTeam[team] ?: Resources.NONE)
+        return Entry(job, willBeLate(job), guaranteedShareUsed, rank(job), job.ageSeconds(context.wallMillis))
     }
 
     private fun willBeLate(job: Job): Boolean {
-        val limitSeconds = job.spec.deadlineSeconds ?: objectives.finishSeconds(job.spec.jobClass) ?: return false
-        return job.ageSeconds(context.wallMillis) + job.spec.estimateSeconds * MIN_PART_OF_ESTIMATE > limitSeconds
+        val limitSeconds = job.spec.deadlineSeconds ?: objectives.finishWithinSeconds(job.spec.jobClass) ?: return false
+        return job.ageSeconds(context.wallMillis) + job.spec.estimateSeconds * MIN_FRACTION_OF_ESTIMATE > limitSeconds
     }
 
-    /** With a deadline the earliest goes first, otherwise the least work, by which most jobs meet a common objective. */
+    /**
+     * Ranks a job with a deadline by the time left until then, and a job without one by its remaining work less its age: with the least
+     * work first, the most jobs meet a common objective.
+     */
     private fun rank(job: Job): Double {
         val spec = job.spec
         spec.deadlineSeconds?.let { return it - job.ageSeconds(context.wallMillis) }
@@ -74,11 +78,11 @@
     }
 
     private companion object {
-        /** Estimates are often too high; a run surely takes at least this part of one. */
-        const val MIN_PART_OF_ESTIMATE = 0.3
+        /** Estimates are often too high, but a run takes at least this fraction of its estimate. */
+        const val MIN_FRACTION_OF_ESTIMATE = 0.3
 
-        /** By the protocol every job starts within four minutes. */
+        /** The protocol requires that every job starts within four minutes. */
         const val MAX_START_SECONDS = 240.0
-        const val TIMELY_JOBS_PER_LATE_JOB = 3
+        const val ON_TIME_JOBS_PER_LATE_JOB = 3
     }
 }
--- a/src/main/kotlin/burlridge/placement/MachineCapacity.kt
+++ b/src/main/kotlin/burlridge/placement/MachineCapacity.kt
@@ -3,30 +3,30 @@
 import burlridge.job.Resources
 import burlridge.worker.Machine
 
-/** A machine with free resources, as one placement round uses them up. */
+/** A machine, and the resources that are still free on it in the course of a placement round. */
 internal class MachineCapacity(
     val machine: Machine,
     val total: Resources,
     var free: Resources,
-    /** Only tasks that would otherwise wait too long are placed here. */
+    /** Whether only tasks that would otherwise wait too long are placed here. */
     val isAvoided: Boolean = false,
-    /** How many more single tasks may be placed here now. */
+    /** Number of tasks that may still be started here now; tasks of gangs do not count. */
     var remainingStarts: Int = UNLIMITED_STARTS,
 ) {
     val hasUnlimitedStarts: Boolean get() = remainingStarts == UNLIMITED_STARTS
 
-    /** Whether no task is on it. */
+    /** Whether all of its resources are free. */
     val isIdle: Boolean get() = free == total
 
-    /** How many tasks of [size] fit into what is free. */
+    /** Number of tasks of [size] that fit into the free resources. */
     fun fitCount(size: Resources): Int = free.holds(size)
 
-    /** Takes [size] of what is free. */
+    /** Takes [size] from the free resources. */
     fun take(size: Resources) {
         free -= size
     }
 
-    /** Returns [size], which was taken. */
+    /** Gives [size], which was taken before, back to the free resources. */
     fun release(size: Resources) {
         free += size
     }
--- a/src/main/kotlin/burlridge/placement/MachinePool.kt
+++ b/src/main/kotlin/burlridge/placement/MachinePool.kt
@@ -7,12 +7,12 @@
 internal class MachinePool(
     /** The resources of each machine. */
     val total: Resources,
-    /** One of its machines, for what they have in common. */
-    val first: Machine,
+    /** One of its machines, to read the type, zone and billing model that they share. */
+    val representative: Machine,
 ) {
     /** Its machines that have free resources. */
     val candidates: ArrayList<MachineCapacity> = ArrayList()
 
-    /** The number of its machines, full ones included. */
+    /** Number of its machines, full ones included. */
     var machineCount: Int = 0
 }
--- a/src/main/kotlin/burlridge/placement/MoveTargetFinder.kt
+++ b/src/main/kotlin/burlridge/placement/MoveTargetFinder.kt
@@ -4,21 +4,21 @@
 import burlridge.allocation.Job
 import burlridge.worker.Machine
 
-/** Finds machines that running tasks can move to. Each one found is reserved, so that later requests do not count on its capacity. */
+/** Finds machines that running tasks can move to. Capacity is reserved on each one found, so that it is not assigned a second time. */
 internal class MoveTargetFinder(
     private val plan: PlacementPlan,
-    private val fit: BestFitSelector,
+    private val selector: BestFitSelector,
     private val quotas: TeamQuotas,
 ) {
-    /** A machine that the task fits on, and how long it takes there to fetch the image. */
+    /** A machine that the task fits on, and how long the machine takes to fetch the task's image. */
     class Candidate(
         val machine: Machine,
         val fetchSeconds: Double,
     )
 
     /**
-     * Reserves capacity for the task of [allocation] on another machine that [isSuitable], trying the smallest types first. Null where
-     * there is none, or the team's quota does not allow it.
+     * Reserves capacity for the task of [allocation] on another machine that satisfies [isSuitable], trying the smallest types first.
+     * Returns null if there is none or if the team's quota would be exceeded.
      */
     fun reserveTarget(
         job: Job,
@@ -26,15 +26,15 @@
         isSuitable: (Candidate) -> Boolean = { true },
     ): Machine? {
         val spec = job.spec
-        // The task counts on both machines until it is gone from the present one.
+        // The task counts against the quota on both machines until it has left the current one.
         if (quotas.isExceeded(spec.team, plan.usageOf(spec.team) + spec.size)) return null
-        val zones = plan.zonesOf(job)
-        for (poolsOfType in plan.poolsFor(spec).groupBy { it.first.type }.values) {
+        val taskCountByZone = plan.taskCountByZone(job)
+        for (poolsOfType in plan.poolsFor(spec).groupBy { it.representative.type }.values) {
             val candidates =
                 poolsOfType.flatMap { it.candidates }.filterTo(ArrayList()) {
-                    canMoveTo(it, job, allocation) && isSuitable(Candidate(it.machine, fit.expectedFetchSeconds(it.machine, spec)))
+                    canMoveTo(it, job, allocation) && isSuitable(Candidate(it.machine, selector.expectedFetchSeconds(it.machine, spec)))
                 }
-            val target = fit.select(candidates, spec, zones)?.machine ?: continue
+            val target = selector.select(candidates, spec, taskCountByZone)?.machine ?: continue
             plan.reserve(CapacityReservation(job, allocation.task, target))
             return target
         }
--- a/src/main/kotlin/burlridge/placement/Placement.kt
+++ b/src/main/kotlin/burlridge/placement/Placement.kt
@@ -14,16 +14,16 @@
 ) {
     private val objectives = PlacementObjectives(context.settings)
     private val quotas = TeamQuotas(context.settings.teams)
-    private val fit = BestFitSelector(context, fleet)
-    private val gangs = GangPlacement(context, workers, fleet, fit, objectives, quotas)
-    private val arrays = ArrayPlacement(context, registry, workers, fleet, fit, objectives, quotas)
+    private val selector = BestFitSelector(context, fleet)
+    private val gangs = GangPlacement(context, workers, fleet, selector, objectives, quotas)
+    private val arrays = ArrayPlacement(context, registry, workers, fleet, selector, objectives, quotas)
     private val queue = JobQueue(context, registry, objectives, quotas, gangs::canStartAttempt)
     private val plans = PlacementPlanBuilder(context, registry, workers, fleet)
 
-    /** Null where nobody balances load. */
-    var policy: PlacementPolicy? by fit::policy
+    /** Null if load balancing is not enabled. */
+    var policy: PlacementPolicy? by selector::policy
 
-    /** One round: places as many waiting tasks as there is capacity for and one batch row holds. */
+    /** Runs one round: places as many waiting tasks as the free capacity and one batch row can hold. */
     fun schedule() {
         if (registry.allocations.pendingBatches >= MAX_PENDING_BATCHES) return
         val waiting = queue.ordered()
@@ -32,8 +32,8 @@
         context.count("placement.rounds")
         if (plan.pools.all { it.candidates.isEmpty() }) return
         plan.reservations.toList().forEach { if (!isFull(plan)) arrays.placeReserved(it, plan) }
-        val (startingFirst, others) = waiting.partition { gangs.hasStartObjective(it) }
-        startingFirst.forEach { if (!isFull(plan)) gangs.place(it, plan) }
+        val (gangsWithStartObjective, others) = waiting.partition { gangs.hasStartObjective(it) }
+        gangsWithStartObjective.forEach { if (!isFull(plan)) gangs.place(it, plan) }
         gangs.reserveForExpectedGangs(plan)
         for (job in others) {
             if (isFull(plan)) break
@@ -47,13 +47,13 @@
     }
 
     private fun isFull(plan: PlacementPlan): Boolean =
-        plan.allocations.size >= registry.allocations.maxStartsPerBatch || plan.jobs.size >= registry.allocations.maxJobsPerBatch
+        plan.allocations.size >= registry.allocations.maxStartsPerBatch || plan.jobIds.size >= registry.allocations.maxJobsPerBatch
 
     /** Stores the allocations of [plan], and sends their start commands once they are stored. */
     private fun commit(plan: PlacementPlan) {
         if (plan.allocations.isEmpty()) return
-        context.debug("allocating tasks", "tasks" to plan.allocations.size, "jobs" to plan.jobs.size)
-        // Only a gang may need more than one row: it starts once all of its rows are stored.
+        context.debug("allocating tasks", "tasks" to plan.allocations.size, "jobs" to plan.jobIds.size)
+        // Only a gang may need more than one row; it starts once all of its rows are stored.
         plan.allocations.chunked(registry.allocations.maxStartsPerBatch).forEach { batch ->
             registry.allocations.allocate(batch) { startable ->
                 startable.map { it.machine }.distinct().forEach { id -> workers.machines[id]?.let(workers::sendPendingCommands) }
@@ -61,11 +61,11 @@
         }
     }
 
-    /** Finds machines for running tasks that are to move now. */
-    fun moveTargetFinder(): MoveTargetFinder = MoveTargetFinder(plans.build(policy), fit, quotas)
+    /** Returns a finder of target machines for running tasks that should move, based on the current free capacity. */
+    fun moveTargetFinder(): MoveTargetFinder = MoveTargetFinder(plans.build(policy), selector, quotas)
 
     private companion object {
-        /** Batches whose row is still being written; tasks that arrive meanwhile share the next one. */
+        /** Maximum number of batches whose row is still being written; tasks that arrive meanwhile share the next batch. */
         const val MAX_PENDING_BATCHES = 3
     }
 }
--- a/src/main/kotlin/burlridge/placement/PlacementPlan.kt
+++ b/src/main/kotlin/burlridge/placement/PlacementPlan.kt
@@ -7,33 +7,33 @@
 import burlridge.job.Resources
 import burlridge.worker.Machine
 
-/** One placement round: the capacity and quota that are left, and the allocations that it makes. */
+/** State of one placement round: the capacity and quota that are left, and the allocations made so far. */
 internal class PlacementPlan(
-    /** The smallest machines first. */
+    /** Sorted by size, the smallest machines first. */
     val pools: List<MachinePool>,
     private val usageByTeam: HashMap<String, Resources>,
 ) {
     /** The allocations made so far, and the ids of their jobs. */
     val allocations: ArrayList<Allocation> = ArrayList()
-    val jobs: HashSet<String> = HashSet()
+    val jobIds: HashSet<String> = HashSet()
 
     /** Reservations that hold capacity and quota in this plan. */
     val reservations: ArrayList<CapacityReservation> = ArrayList()
-    private val placedFromReservation = HashSet<String>()
-    private val unplaceable = ArrayList<ResourceRequest>()
+    private val tasksPlacedFromReservation = HashSet<String>()
+    private val unplaceableRequests = ArrayList<ResourceRequest>()
 
-    /** Needed only where there are reservations, so not built in most rounds. */
+    /** Built on first use: only rounds with reservations need it, and most rounds have none. */
     private val capacityByMachine: Map<String, MachineCapacity> by lazy(LazyThreadSafetyMode.NONE) {
         pools.flatMap { it.candidates }.associateBy { it.machine.id }
     }
 
-    /** What is free on [machine]; null where nothing is, or it is not usable. */
+    /** Free capacity of [machine]; null if nothing is free there or the machine is not usable. */
     fun capacityOn(machine: String): MachineCapacity? = capacityByMachine[machine]
 
-    /** What the allocations and reservations of [team] take, those of this plan included. */
+    /** Resources that the allocations and reservations of [team] take, including those of this plan. */
     fun usageOf(team: String): Resources = usageByTeam[team] ?: Resources.NONE
 
-    /** Replaces what a team uses in this plan. */
+    /** Replaces the resources that [team] uses, including those of this plan. */
     fun setUsage(
         team: String,
         usage: Resources,
@@ -41,27 +41,27 @@
         usageByTeam[team] = usage
     }
 
-    /** Adds an allocation of [task]; its capacity and quota are taken by the caller. */
+    /** Adds an allocation of [task]; the caller takes its capacity and quota. */
     fun allocate(
         spec: JobSpec,
         task: Int,
         attempt: Int,
         machine: Machine,
     ) {
-        jobs += spec.id
+        jobIds += spec.id
         val charge = QuotaCharge(spec.team, spec.size)
         allocations += Allocation(spec.id, task, attempt, machine.id, machine.agentEpoch, machine.zone, charge)
     }
 
-    /** No machine is left that satisfies [spec]'s request. */
+    /** Records that no machine is left in this round that satisfies the request of [spec]. */
     fun markUnplaceable(spec: JobSpec) {
-        unplaceable += ResourceRequest.of(spec)
+        unplaceableRequests += ResourceRequest.of(spec)
     }
 
-    /** Whether an earlier job that asks for no more has found no machine in this round. */
-    fun isUnplaceable(spec: JobSpec): Boolean = unplaceable.any { it.isImpliedBy(spec) }
+    /** Whether an earlier job with the same or a less strict request has found no machine in this round. */
+    fun isUnplaceable(spec: JobSpec): Boolean = unplaceableRequests.any { it.isNoStricterThan(spec) }
 
-    /** Takes capacity and quota for [reservation], if they are still free. */
+    /** Takes capacity and quota for [reservation]; does nothing if the capacity is not free. */
     fun reserve(reservation: CapacityReservation) {
         val spec = reservation.job.spec
         val capacity = capacityOn(reservation.machine.id)?.takeIf { spec.size.fits(it.free) } ?: return
@@ -70,7 +70,7 @@
         reservations += reservation
     }
 
-    /** Returns what [reservation] takes: its task is about to be placed. */
+    /** Releases the capacity and quota of [reservation], whose task is about to be placed. */
     fun release(reservation: CapacityReservation) {
         val spec = reservation.job.spec
         capacityOn(reservation.machine.id)?.release(spec.size)
@@ -78,27 +78,27 @@
         reservations -= reservation
     }
 
-    /** The task was placed on the capacity reserved for it. */
+    /** Records that [taskName] was placed on the capacity reserved for it. */
     fun markPlacedFromReservation(taskName: String) {
-        placedFromReservation += taskName
+        tasksPlacedFromReservation += taskName
     }
 
-    /** Whether this plan has placed [taskName] where capacity was reserved for it. */
-    fun isPlacedFromReservation(taskName: String): Boolean = taskName in placedFromReservation
+    /** Whether this plan has placed [taskName] on the capacity reserved for it. */
+    fun isPlacedFromReservation(taskName: String): Boolean = taskName in tasksPlacedFromReservation
 
     /**
-     * The number of [job]'s tasks in each zone: those that are allocated, those that this plan places from reservations, and those that
-     * have a reservation; a task that moves counts in both zones.
+     * Number of tasks of [job] in each zone. Counts the tasks that are allocated, those that this plan has placed from reservations and
+     * those that have a reservation; a task that is moving counts in both zones.
      */
-    fun zonesOf(job: Job): HashMap<String, Int> {
-        val zones = HashMap<String, Int>()
-        job.allocations.values.forEach { zones.merge(it.zone, 1, Int::plus) }
-        if (placedFromReservation.isNotEmpty()) allocations.forEach { if (it.job == job.spec.id) zones.merge(it.zone, 1, Int::plus) }
-        reservations.forEach { if (it.job === job) zones.merge(it.machine.zone, 1, Int::plus) }
-        return zones
+    fun taskCountByZone(job: Job): HashMap<String, Int> {
+        val counts = HashMap<String, Int>()
+        job.allocations.values.forEach { counts.merge(it.zone, 1, Int::plus) }
+        if (tasksPlacedFromReservation.isNotEmpty()) allocations.forEach { if (it.job == job.spec.id) counts.merge(it.zone, 1, Int::plus) }
+        reservations.forEach { if (it.job === job) counts.merge(it.machine.zone, 1, Int::plus) }
+        return counts
     }
 
-    /** The pools whose machines [spec] may use and that are large enough. */
+    /** The pools whose machines [spec] may use and that are large enough for one of its tasks. */
     fun poolsFor(spec: JobSpec): List<MachinePool> =
-        pools.filter { spec.size.fits(it.total) && spec.allows(it.first.type, it.first.zone, it.first.spot) }
+        pools.filter { spec.size.fits(it.total) && spec.allows(it.representative.type, it.representative.zone, it.representative.spot) }
 }
--- a/src/main/kotlin/burlridge/placement/PlacementPlanBuilder.kt
+++ b/src/main/kotlin/burlridge/placement/PlacementPlanBuilder.kt
@@ -15,14 +15,14 @@
     private val workers: WorkerManager,
     private val fleet: Fleet,
 ) {
-    /** Reservations of [policy] are taken from the plan's capacity; [policy] is null where nobody balances load. */
+    /** Builds a plan from whose capacity the reservations of [policy] are taken; [policy] is null if load balancing is not enabled. */
     fun build(policy: PlacementPolicy?): PlacementPlan {
         val plan = PlacementPlan(pools(policy), HashMap(registry.allocations.usageByTeam))
         policy?.reservations()?.forEach(plan::reserve)
         return plan
     }
 
-    /** The smallest machines first: a task that fits one should not break up a larger one. */
+    /** Pools of the usable machines, the smallest machines first, so that small tasks do not fragment larger machines. */
     private fun pools(policy: PlacementPolicy?): List<MachinePool> {
         val catalog = fleet.catalog ?: return emptyList()
         val pools = HashMap<InstanceOffering, MachinePool>()
@@ -34,7 +34,7 @@
             pool.machineCount++
             if (free.cpus > 0 && free.memoryGb > 0) pool.candidates += capacity(machine, total, free, policy)
         }
-        return pools.values.sortedWith(compareBy({ it.total.gpus }, { it.total.cpus }, { it.total.memoryGb }, { !it.first.spot }))
+        return pools.values.sortedWith(compareBy({ it.total.gpus }, { it.total.cpus }, { it.total.memoryGb }, { !it.representative.spot }))
     }
 
     private fun capacity(
@@ -54,7 +54,7 @@
     private fun isInService(machine: Machine): Boolean =
         machine.isUp && machine.isResponsive && !machine.isLeaseExpired && !machine.isDraining && machine.reclaimAt == null
 
-    /** What neither allocations nor tasks without one, started by an earlier leader, take. */
+    /** Resources taken neither by allocations nor by orphans: tasks without an allocation, which an earlier leader started. */
     private fun free(
         machine: Machine,
         total: Resources,
--- a/src/main/kotlin/burlridge/placement/PlacementPolicy.kt
+++ b/src/main/kotlin/burlridge/placement/PlacementPolicy.kt
@@ -3,28 +3,28 @@
 import burlridge.job.JobSpec
 import burlridge.worker.Machine
 
-/** How load balancing influences placement. Where there is none, no capacity is reserved and no machine avoided. */
+/** The influence of load balancing on placement. Without a policy no capacity is reserved and no machine is avoided. */
 internal interface PlacementPolicy {
-    /** Capacity that only the tasks named may use. */
+    /** Reserved capacity, which only the task of each reservation may use. */
     fun reservations(): List<CapacityReservation>
 
     /** Whether [machine] receives only tasks that would otherwise wait too long. */
     fun isAvoided(machine: Machine): Boolean
 
-    /** A task was placed otherwise than by best fit. */
+    /** Called when a task is placed by another rule than best fit. */
     fun onPlaced(
         taskName: String,
         machine: String,
         reason: PlacementReason,
     )
 
-    /** How many more tasks may be started on [machine] now; [MachineCapacity.UNLIMITED_STARTS] for any number. */
+    /** Number of tasks that may still be started on [machine] now; [MachineCapacity.UNLIMITED_STARTS] for any number. */
     fun remainingStarts(machine: Machine): Int
 
-    /** The seconds until the image of [spec] is on [machine], which takes [aloneSeconds] if nothing else is fetched there. */
+    /** Seconds until the image of [spec] is on [machine]; the fetch takes [uncontendedSeconds] if nothing else is fetched there. */
     fun fetchSeconds(
         machine: Machine,
         spec: JobSpec,
-        aloneSeconds: Double,
+        uncontendedSeconds: Double,
     ): Double
 }
--- a/src/main/kotlin/burlridge/placement/PlacementReason.kt
+++ b/src/main/kotlin/burlridge/placement/PlacementReason.kt
@@ -1,6 +1,6 @@
 package burlridge.placement
 
-/** Why a task was placed otherwise than by best fit over a sample; [text] is shown to operators. */
+/** Why a task was placed by another rule than best fit over a sample; [text] is shown to operators. */
 internal enum class PlacementReason(
     val text: String,
 ) {
--- a/src/main/kotlin/burlridge/placement/ResourceRequest.kt
+++ b/src/main/kotlin/burlridge/placement/ResourceRequest.kt
@@ -3,7 +3,7 @@
 import burlridge.job.JobSpec
 import burlridge.job.Resources
 
-/** What a task asks of a machine. */
+/** The requirements that a task has of its machine. */
 internal data class ResourceRequest(
     /** The machine types and the zone that it may use; null for any. */
     val types: List<String>?,
@@ -12,8 +12,8 @@
     val spot: Boolean,
     val size: Resources,
 ) {
-    /** Whether a task of [spec] fits only where this request does: if no machine satisfies this one, none satisfies that. */
-    fun isImpliedBy(spec: JobSpec): Boolean = types == spec.types && zone == spec.zone && (spot || !spec.spot) && size.fits(spec.size)
+    /** Whether each machine that satisfies [spec] satisfies this request too: if none satisfies this request, none satisfies [spec]. */
+    fun isNoStricterThan(spec: JobSpec): Boolean = types == spec.types && zone == spec.zone && (spot || !spec.spot) && size.fits(spec.size)
 
     internal companion object {
         fun of(spec: JobSpec): ResourceRequest = ResourceRequest(spec.types, spec.zone, spec.spot, spec.size)
--- a/src/main/kotlin/burlridge/placement/TeamQuotas.kt
+++ b/src/main/kotlin/burlridge/placement/TeamQuotas.kt
@@ -7,7 +7,7 @@
 internal class TeamQuotas(
     private val teams: Map<String, Team>,
 ) {
-    /** Whether [usage] is above the quota of [team]; a team that the settings do not name has none. */
+    /** Whether [usage] exceeds the quota of [team], where a maximum of 0 is no limit; always true for a team not in the settings. */
     fun isExceeded(
         team: String,
         usage: Resources,
@@ -16,8 +16,8 @@
         return (quota.cpusMax > 0 && usage.cpus > quota.cpusMax) || (quota.gpusMax > 0 && usage.gpus > quota.gpusMax)
     }
 
-    /** The part of its guaranteed share that [team] uses with [usage], the larger of CPUs and GPUs; 0 where nothing is guaranteed. */
-    fun shareUsed(
+    /** Fraction of its guaranteed share that [team] uses with [usage], the larger one of CPUs and GPUs; 0 if nothing is guaranteed. */
+    fun guaranteedShareUsed(
         team: String,
         usage: Resources,
     ): Double {
--- a/src/test/kotlin/burlridge/fleet/MachinePageTest.kt
+++ b/src/test/kotlin/burlridge/fleet/MachinePageTest.kt
@@ -5,10 +5,10 @@
 import org.junit.jupiter.api.Assertions.assertNull
 import org.junit.jupiter.api.Test
 
-/** The cloud's list comes from outside: a page that is not one is no page at all, and odd fields have their default. */
+/** The cloud's list is external input: a malformed page is rejected as a whole, and fields of the wrong type have their defaults. */
 internal class MachinePageTest {
     @Test
-    fun `a page is read, and unknown fields are ignored`() {
+    fun `decoding a valid page reads its machines and ignores unknown fields`() {
         val page =
             """{"drovers":[{"id":"m-000231","addr":"10.1.0.232:9000","breed":"g8","yard":"a","loaners":true,"standing":"running","ageS":61.5,
             "later":[{}]},{"id":"m-000232"}],"truncated":true}"""
@@ -19,15 +19,15 @@
     }
 
     @Test
-    fun `what is no page is refused`() {
+    fun `decoding a malformed page returns null`() {
         val malformed =
             listOf("", "[]", "{}", "{\"drovers\":{}}", "{\"drovers\":null}", "{\"drovers\":[]", "{\"drovers\":[]}{}", "{\"drovers\":[{]}")
         malformed.forEach { assertNull(MachinePage.decode(it), it) }
     }
 
     @Test
-    fun `fields of another type have their default`() {
-        val odd = """{"drovers":[7,{"id":5,"addr":"x","breed":null,"yard":[],"loaners":1,"standing":{},"ageS":"old"}],"truncated":"yes"}"""
-        assertEquals(MachinePage(listOf(ListedMachine("")), isTruncated = false), MachinePage.decode(odd))
+    fun `fields of the wrong type have their defaults`() {
+        val page = """{"drovers":[7,{"id":5,"addr":"x","breed":null,"yard":[],"loaners":1,"standing":{},"ageS":"old"}],"truncated":"yes"}"""
+        assertEquals(MachinePage(listOf(ListedMachine("")), isTruncated = false), MachinePage.decode(page))
     }
 }
