--- a/src/main/kotlin/burlridge/app/LeaderChangeTracer.kt
+++ b/src/main/kotlin/burlridge/app/LeaderChangeTracer.kt
@@ -43,7 +43,7 @@
             is LeaderChangeEvent.HandoverEnded -> onHandoverEnded(event, wallMillis)
             is LeaderChangeEvent.Elected -> onElected(event, wallMillis)
             is LeaderChangeEvent.RowsRead -> onRowsRead(event, wallMillis)
-            is LeaderChangeEvent.FirstStart -> firstStart = firstStart?.end(wallMillis)
+            is LeaderChangeEvent.FirstTaskStart -> firstStart = firstStart?.end(wallMillis)
             is LeaderChangeEvent.AllWorkersAnswered -> onAllWorkersAnswered(event, wallMillis)
             is LeaderChangeEvent.Deposed -> onDeposed(event, wallMillis)
             else -> Unit
@@ -101,7 +101,7 @@
         event: LeaderChangeEvent.AllWorkersAnswered,
         wallMillis: Long,
     ) {
-        leaderChange?.setAttribute(MACHINES, event.machines.toLong())
+        leaderChange?.setAttribute(MACHINES, event.workers.toLong())
         leaderChange = leaderChange?.end(wallMillis)
     }
 
--- a/src/main/kotlin/burlridge/failover/AcceptedOffer.kt
+++ b/src/main/kotlin/burlridge/failover/AcceptedOffer.kt
@@ -1,22 +1,22 @@
 package burlridge.failover
 
-/** An offer of the leader that this member takes up: it waits for the transfer until [deadline]. */
+/** A handover offer that this member takes up. Until [deadline] it waits for the leader of [term] to transfer the next term to it. */
 internal class AcceptedOffer(
     val attempt: Long,
-    val from: String,
+    val leader: String,
     val term: Long,
     val deadline: Double,
 ) {
-    /** Null until it is granted. */
+    /** Lease to which the leader row will be attached; null until it is granted. */
     var lease: Long? = null
 
-    /** When the call was sent that last renewed [lease]. */
+    /** When the call that last renewed [lease] was sent. */
     var renewedAt: Double = 0.0
 
-    /** When [lease] is due to be renewed and the term row to be read. */
-    var nextRenewAt: Double = 0.0
-    var nextCheckAt: Double = 0.0
+    /** When [lease] is next due for renewal, and the term row for a read. */
+    var nextRenewalAt: Double = 0.0
+    var nextTermCheckAt: Double = 0.0
 
-    /** Whether a read of the term row is under way. */
-    var isReading: Boolean = false
+    /** Whether a read of the term row is in flight. */
+    var isTermReadInFlight: Boolean = false
 }
--- a/src/main/kotlin/burlridge/failover/ClusterView.kt
+++ b/src/main/kotlin/burlridge/failover/ClusterView.kt
@@ -6,8 +6,8 @@
 import burlridge.settings.FailoverSettings
 
 /**
- * The other members as this one sees them: whether their heartbeats arrive, and what their last status said. Selects from these the members
- * that keep a standby replica and those that could take over the leadership.
+ * This member's view of the other members: whether their heartbeats arrive, and the last status of each. Determines whether this member
+ * keeps a standby replica and which members could take over the leadership.
  */
 internal class ClusterView(
     private val context: StepContext,
@@ -19,10 +19,10 @@
     private val statuses = HashMap<String, FailoverStatus>()
     val detector: FailureDetector = FailureDetector(others, Leadership.STATUS_INTERVAL_SECONDS, settings.suspectLevel)
 
-    /** Whether [name] is another member of the settings. */
+    /** Whether the settings list [name] as another member. */
     fun isMember(name: String): Boolean = name in others
 
-    /** Takes a heartbeat; false for one that is refused, see [RefusedInput.HEARTBEAT]. */
+    /** Records a heartbeat; returns false if it is refused, see [RefusedInput.HEARTBEAT]. */
     fun recordHeartbeat(
         from: String,
         status: FailoverStatus,
@@ -33,14 +33,17 @@
         return true
     }
 
-    /** Whether this member keeps a standby replica: the first members by name that are alive, do not lead and are not draining do. */
+    /**
+     * Whether this member keeps a standby replica. Of the members that are alive, not draining and not the leader, the first ones by name
+     * do, as many as the settings require. False while no leader is known.
+     */
     fun isStandby(isDraining: Boolean): Boolean {
         if (leadership.isLeader || isDraining || leadership.knownLeader == null) return false
         val candidates = others.filter { it != leadership.knownLeader && isAvailable(it) }
         return (candidates + member).sorted().indexOf(member) < settings.standbys
     }
 
-    /** The members that could take over the leadership now, the one with the most recent replica first. */
+    /** Returns the members that could take over the leadership now, the one with the most recent replica first. */
     fun successors(): List<String> =
         others
             .filter { isAvailable(it) && statuses[it]?.isSlow == false }
@@ -50,11 +53,12 @@
     fun hasAvailableMember(): Boolean = others.any { isAvailable(it) }
 
     /** Whether another member is alive, not draining and holds a standby replica. */
-    fun hasPreparedMember(): Boolean = others.any { isAvailable(it) && (statuses[it]?.replicaRevision ?: FailoverStatus.NO_REPLICA) >= 0 }
+    fun hasMemberWithReplica(): Boolean =
+        others.any { isAvailable(it) && (statuses[it]?.replicaRevision ?: FailoverStatus.NO_REPLICA) >= 0 }
 
     private fun isAvailable(other: String): Boolean = detector.isAlive(other) && statuses[other]?.isDraining == false
 
-    /** Each other member, for operators. */
+    /** Returns a report on each other member, for operators. */
     fun reports(): List<MemberReport> = detector.views(context.now).map { reportOf(it) }
 
     private fun reportOf(view: MemberView): MemberReport {
@@ -62,7 +66,7 @@
         return MemberReport(
             member = view.member,
             state = if (view.lastHeartbeatAt == null) UNKNOWN_STATE else view.liveness.label,
-            level = view.level,
+            suspicionLevel = view.suspicionLevel,
             reason = view.reason,
             silentSeconds = view.lastHeartbeatAt?.let { context.now - it },
             isDraining = status?.isDraining ?: false,
@@ -72,7 +76,10 @@
     }
 
     private companion object {
-        /** Two clocks of day differ by far less; a heartbeat from later than that would make all later ones look old. */
+        /**
+         * Wall clocks of members differ by far less than this. An incarnation further in the future would make all later heartbeats of
+         * that member look old.
+         */
         const val MAX_CLOCK_SKEW_MILLIS = 60_000L
         const val UNKNOWN_STATE = "unknown"
     }
--- a/src/main/kotlin/burlridge/failover/DeclineReason.kt
+++ b/src/main/kotlin/burlridge/failover/DeclineReason.kt
@@ -1,42 +1,42 @@
 package burlridge.failover
 
-/** Why a member does not take over a leadership that it was offered; [text] travels in the answer to the leader. */
+/** Reason why a member declines to take over the leadership; [text] is sent to the leader that offered it. */
 internal sealed interface DeclineReason {
     val text: String
 
-    /** It leads a term of its own. */
-    data object LeadsItself : DeclineReason {
+    /** The member is a leader itself. */
+    data object AlreadyLeader : DeclineReason {
         override val text: String = "it leads itself"
     }
 
-    /** It knows another leader than the one that offers; null where it knows none. */
-    data class FollowsAnother(
+    /** The member follows [leader], which is not the member that made the offer; null if it knows no leader. */
+    data class FollowsOtherLeader(
         val leader: String?,
     ) : DeclineReason {
         override val text: String get() = "it follows ${leader ?: "nobody"}"
     }
 
-    /** The key-value store refuses it. */
+    /** The state service currently rejects the requests of this member. */
     data object StoreUnavailable : DeclineReason {
         override val text: String = "the state service refuses it"
     }
 
-    /** The store grants it no lease. */
+    /** The state service did not grant a lease. */
     data object LeaseNotGranted : DeclineReason {
         override val text: String = "it gets no lease"
     }
 
-    /** It was asked to leave. */
+    /** The member is draining. */
     data object Draining : DeclineReason {
         override val text: String = "it is draining"
     }
 
-    /** It was paused several times lately. */
+    /** The member has stalled several times within the window of [StallMonitor]. */
     data object Stalled : DeclineReason {
         override val text: String = "it stood still lately"
     }
 
-    /** It was paused a moment ago. */
+    /** The member was paused a moment ago, see [FailureDetector.isRecoveringFromPause]. */
     data object RecoveringFromPause : DeclineReason {
         override val text: String = "it was paused a moment ago"
     }
--- a/src/main/kotlin/burlridge/failover/DrainResult.kt
+++ b/src/main/kotlin/burlridge/failover/DrainResult.kt
@@ -1,26 +1,26 @@
 package burlridge.failover
 
-/** The answer to an operator who wants a member drained. */
+/** Result of an operator's request to drain a member. */
 internal sealed interface DrainResult {
-    /** The member is draining, or may be asked to. */
+    /** The member is draining, or can be asked to drain. */
     data object Accepted : DrainResult
 
-    /** Nothing was begun. */
+    /** No drain was started. */
     data class Refused(
         val refusal: DrainRefusal,
     ) : DrainResult
 }
 
-/** Why a member cannot be drained; [text] is shown to the operator. */
+/** Reason why a member cannot be drained; [text] is shown to the operator. */
 internal sealed interface DrainRefusal {
     val text: String
 
-    /** Nobody could take over from the member that was asked. */
+    /** No other member could take over from the member that is to be drained. */
     data object NoSuccessor : DrainRefusal {
         override val text: String = "no other member is alive to take over"
     }
 
-    /** The settings name no such member. */
+    /** The settings list no such member. */
     data class UnknownMember(
         val member: String,
     ) : DrainRefusal {
--- a/src/main/kotlin/burlridge/failover/Failover.kt
+++ b/src/main/kotlin/burlridge/failover/Failover.kt
@@ -13,27 +13,27 @@
 import burlridge.worker.WorkerResponseCount
 
 /**
- * Failure detection, the standby replica and planned handover of one member, behind the controller's `step`. A suspicion only prepares: no
- * member leads before the fencing token in the state service lets it.
+ * Failure detection, standby replica and planned handover of one member, driven by the controller's `step`. A suspicion only triggers
+ * preparations: no member leads until the fencing token in the state service allows it.
  */
 internal class Failover(
     private val context: StepContext,
     private val settings: FailoverSettings,
     store: StoreClient,
     private val leadership: Leadership,
-    /** The prefixes whose rows a new leader reads. */
+    /** Key prefixes of the rows that a new leader reads. */
     prefixes: List<String>,
     private val controller: ControllerState,
 ) {
-    /** What failover asks the rest of the controller. */
+    /** State of the rest of the controller that failover depends on. */
     internal interface ControllerState {
         /** Whether no work of this leader is in flight. */
         fun isQuiesced(): Boolean
 
-        /** Starts sent to workers so far. */
+        /** Number of task starts sent to workers so far. */
         val startsSent: Long
 
-        /** How many workers were answered in this term; none are known before the rows are read. */
+        /** Number of workers that were answered in this term; no workers are known until the rows are read. */
         fun workerResponseCount(): WorkerResponseCount
     }
 
@@ -52,22 +52,22 @@
     private val history = LeaderHistory(context)
     private var sequence = 0L
 
-    /** When this process made its first step, in milliseconds of the time of day; 0 before. */
+    /** Wall-clock time of the first tick of this process, in milliseconds; 0 before that. */
     private var incarnation = 0L
     private var suspectedLeader: String? = null
 
-    /** Null where this member does not lead. */
+    /** Null unless this member leads. */
     private var takeover: TakeoverProgress? = null
 
     val isDraining: Boolean get() = handovers.isDraining
 
-    /** Whether nothing new may be started: a handover is about to take place. */
+    /** Whether no new work may be started because a handover is about to take place. */
     val isQuiescing: Boolean get() = handovers.isQuiescing
 
     /** Whether this member can be stopped without interrupting the service. */
     val isDrained: Boolean get() = handovers.isDrained
 
-    /** One turn of all parts, in a fixed order; a turn comes about ten times a second. */
+    /** Runs the periodic work of all parts in a fixed order; called about ten times a second. */
     fun tick() {
         if (incarnation == 0L) incarnation = context.wallMillis
         cluster.detector.tick(context.now).forEach { onLivenessChanged(it) }
@@ -78,13 +78,13 @@
 
     // --- members
 
-    /** Takes the status of another member as its heartbeat; one that is refused is counted. */
+    /** Records the status of another member as its heartbeat; refused heartbeats are counted. */
     fun onStatus(message: PeerMessage.Status) {
         val status = message.failover ?: return
         if (!cluster.recordHeartbeat(message.from, status)) refusals.record(RefusedInput.HEARTBEAT, message.from)
     }
 
-    /** What this member's next status says; each call counts as one status sent. */
+    /** Returns the failover part of this member's next status; each call uses the next sequence number. */
     fun nextStatus(): FailoverStatus {
         val replicaRevision = if (leadership.isLeader) FailoverStatus.NO_REPLICA else replica.revision
         return FailoverStatus(incarnation, ++sequence, isDraining, handovers.isSlow, replicaRevision)
@@ -96,7 +96,7 @@
         trace(LeaderChangeEvent.LivenessChanged(change))
         if (change.current == Liveness.SUSPECTED && change.member == leadership.knownLeader) {
             suspectedLeader = change.member
-            // Prepared now, so that nothing is left to read once the fencing token lets this member lead.
+            // Refresh the replica now, so that nothing is left to read once the fencing token allows this member to lead.
             replica.refreshSoon()
             leadership.pollSoon()
         }
@@ -104,7 +104,7 @@
 
     // --- handover
 
-    /** Takes a step of a planned handover; one from a name that is no member is counted and ignored. */
+    /** Handles a message of a planned handover; messages from unknown members are counted and ignored. */
     fun onHandover(message: PeerMessage.Handover) {
         if (cluster.isMember(message.from)) {
             handovers.onMessage(message.from, message.step)
@@ -113,18 +113,18 @@
         }
     }
 
-    /** Takes this member out of service in order; a repeated request changes nothing. */
+    /** Takes this member out of service gracefully; repeated requests have no effect. */
     fun drain(): DrainResult = handovers.drain()
 
-    /** Whether [other] can be asked to drain. */
+    /** Checks whether [other] can be asked to drain. */
     fun checkDrain(other: String): DrainResult = handovers.checkDrain(other)
 
     // --- leadership
 
-    /** The rows for a new leader from the standby replica; null where they must be read from the state service. */
+    /** Passes the rows for a new leader from the standby replica to [onResult]; null if they must be read from the state service. */
     fun takeOverRows(onResult: (Map<String, Listing>?) -> Unit) = replica.takeOver(leadership.fence, onResult)
 
-    /** The new leader has loaded its rows, from the standby replica or from the state service. */
+    /** Called when the new leader has loaded its rows, from the standby replica or from the state service. */
     fun onRowsLoaded(
         rows: Int,
         fromReplica: Boolean,
@@ -133,13 +133,13 @@
         trace(LeaderChangeEvent.RowsRead(leadership.term, rows, fromReplica))
     }
 
-    /** The leader's row names this member under [term]; true where it was handed over, so that no election is needed. */
+    /** Called when the leader row names this member under [term]; true if the term was handed over, so that no election is needed. */
     fun onTermHandedOver(term: Long): Boolean = handovers.onTermHandedOver(term)
 
-    /** Whether this member holds no standby replica and another one, alive and not draining, does. */
-    fun defersElection(): Boolean = replica.revision < 0 && cluster.hasPreparedMember()
+    /** Whether this member holds no standby replica while another member that is alive and not draining holds one. */
+    fun defersElection(): Boolean = replica.revision < 0 && cluster.hasMemberWithReplica()
 
-    /** This member leads a new term. */
+    /** Called when this member begins to lead a new term. */
     fun onElected(cause: ElectionCause) {
         handovers.onElected()
         confirmSuspicion(leadership.term)
@@ -148,7 +148,7 @@
         trace(LeaderChangeEvent.Elected(leadership.term, cause.text))
     }
 
-    /** This member does not lead [term] any more. */
+    /** Called when this member no longer leads [term]. */
     fun onDeposed(
         term: Long,
         reason: StepDownReason,
@@ -158,16 +158,16 @@
         trace(LeaderChangeEvent.Deposed(term, reason.text))
     }
 
-    /** Another member, [leader], is known to lead [term]. */
+    /** Called when this member learns that another member, [leader], leads [term]. */
     fun onLeaderObserved(
         leader: String,
         term: Long,
     ) {
         if (suspectedLeader != leader) confirmSuspicion(term)
-        history.record(leader, term, OBSERVED)
+        history.record(leader, term, OBSERVED_CAUSE)
     }
 
-    /** The leader that was suspected last has been replaced in [term]. */
+    /** Marks the suspected leader as failed, because it has been replaced in [term]. */
     private fun confirmSuspicion(term: Long) {
         val suspected = suspectedLeader ?: return
         suspectedLeader = null
@@ -180,13 +180,13 @@
 
     // --- operators
 
-    /** This member's view, for operators. */
+    /** Returns this member's view of the cluster, for operators. */
     fun report(): FailoverReport = FailoverReportBuilder(context, leadership, cluster, replica, handovers, history).build()
 
     private companion object {
         const val BYTES_PER_MB = 1024 * 1024
 
-        /** The cause of a change of leader that this member read from the leader row or from another member's status. */
-        const val OBSERVED = "told by the rows or by a member"
+        /** Cause recorded for a change of leader that this member learned of from the leader row or from another member's status. */
+        const val OBSERVED_CAUSE = "told by the rows or by a member"
     }
 }
--- a/src/main/kotlin/burlridge/failover/FailoverReport.kt
+++ b/src/main/kotlin/burlridge/failover/FailoverReport.kt
@@ -1,6 +1,6 @@
 package burlridge.failover
 
-/** What a member does now; [label] stands in the report. */
+/** Current role of a member; [label] is written to the report. */
 internal enum class MemberRole(
     val label: String,
 ) {
@@ -11,15 +11,15 @@
     FOLLOWER("follower"),
 }
 
-/** Another member as this one sees it. */
+/** This member's view of another member. */
 internal data class MemberReport(
     val member: String,
-    /** The label of its [Liveness], or `unknown` where no heartbeat of it has arrived. */
+    /** The label of its [Liveness], or `unknown` if no heartbeat of the member has arrived. */
     val state: String,
-    /** Suspicion level, see [ArrivalWindow.level]. */
-    val level: Double,
+    /** Suspicion level, see [ArrivalWindow.suspicionLevel]. */
+    val suspicionLevel: Double,
     val reason: String,
-    /** Seconds since its last heartbeat; null where none has arrived. */
+    /** Seconds since its last heartbeat; null if none has arrived. */
     val silentSeconds: Double?,
     val isDraining: Boolean,
     val isSlow: Boolean,
@@ -32,13 +32,13 @@
     val rows: Int,
     val bytes: Long,
     val revision: Long,
-    /** Seconds since all of it was last refreshed; null where none is kept. */
+    /** Seconds since all tables were last refreshed; null unless [state] is [ReplicaState.FOLLOWING]. */
     val lagSeconds: Double?,
-    /** Why the replica was last discarded; empty where it never was. */
-    val lastDiscard: String,
+    /** Reason why the replica was last discarded or not used for a takeover; empty if neither has happened. */
+    val lastDiscardReason: String,
 )
 
-/** One member's view of who leads and who could, for `burlridge status`. */
+/** One member's view of the current leader and of the members that could take over, for `burlridge status`. */
 internal data class FailoverReport(
     val member: String,
     val role: MemberRole,
@@ -46,15 +46,15 @@
     val term: Long,
     val isDraining: Boolean,
     val isDrained: Boolean,
-    /** Whether this member was paused a moment ago, and so distrusts its own view of the others. */
+    /** Whether this member was paused a moment ago, so that its view of the others is unreliable. */
     val isRecoveringFromPause: Boolean,
     val members: List<MemberReport>,
     val replica: ReplicaReport,
-    /** The states of handovers that this member offers and takes up, in words. */
+    /** State of the handover that this member offers, and of the one that it takes up, as text. */
     val outgoingHandover: String,
     val incomingHandover: String,
     val falseSuspicions: Long,
     val ownPauses: Long,
-    /** The oldest first. */
+    /** Oldest first. */
     val leaderChanges: List<LeaderChange>,
 )
--- a/src/main/kotlin/burlridge/failover/FailoverReportBuilder.kt
+++ b/src/main/kotlin/burlridge/failover/FailoverReportBuilder.kt
@@ -3,7 +3,7 @@
 import burlridge.core.StepContext
 import burlridge.leadership.Leadership
 
-/** Collects the parts of a [FailoverReport] when an operator asks for it. */
+/** Builds a [FailoverReport] when an operator requests one. */
 internal class FailoverReportBuilder(
     private val context: StepContext,
     private val leadership: Leadership,
@@ -12,7 +12,7 @@
     private val handovers: HandoverCoordinator,
     private val history: LeaderHistory,
 ) {
-    /** This member's view at present. */
+    /** Returns this member's current view. */
     fun build(): FailoverReport =
         FailoverReport(
             member = context.settings.member,
--- a/src/main/kotlin/burlridge/failover/FailoverReportCodec.kt
+++ b/src/main/kotlin/burlridge/failover/FailoverReportCodec.kt
@@ -3,9 +3,9 @@
 import burlridge.json.Json
 import com.fasterxml.jackson.databind.node.ObjectNode
 
-/** Writes [FailoverReport] and the answer to a drain as the JSON that the admin API serves. */
+/** Encodes a [FailoverReport] and the response to a drain request as the JSON that the admin API serves. */
 internal object FailoverReportCodec {
-    /** [report] as JSON text. */
+    /** Returns [report] as JSON text. */
     fun encode(report: FailoverReport): String =
         Json.write(
             Json.obj {
@@ -26,7 +26,7 @@
             },
         )
 
-    /** The answer to a drain of [member] that was accepted. */
+    /** Returns the response to an accepted drain of [member] as JSON text. */
     fun encodeDrain(
         member: String,
         isDrained: Boolean,
@@ -46,7 +46,7 @@
         target
             .put("member", report.member)
             .put("state", report.state)
-            .put("level", report.level)
+            .put("level", report.suspicionLevel)
             .put("reason", report.reason)
             .put("draining", report.isDraining)
             .put("slow", report.isSlow)
@@ -63,7 +63,7 @@
             .put("rows", report.rows)
             .put("bytes", report.bytes)
             .put("revision", report.revision)
-            .put("last_discard", report.lastDiscard)
+            .put("last_discard", report.lastDiscardReason)
         report.lagSeconds?.let { target.put("lag_s", it) }
     }
 
--- a/src/main/kotlin/burlridge/failover/FailureDetector.kt
+++ b/src/main/kotlin/burlridge/failover/FailureDetector.kt
@@ -1,52 +1,52 @@
 package burlridge.failover
 
 /**
- * Tells silent members from live ones by the heartbeats that arrive here. A process that was itself paused or starved sees
- * everybody else fall silent at once: it distrusts its own view first, and raises no suspicion until the others had time to send again.
+ * Detects silent members by the heartbeats that arrive at this process. A process that was itself paused or starved of CPU time sees all
+ * others fall silent at once; after such a pause it raises no suspicion until the others have had time to send again.
  *
- * @property expectedSeconds the usual interval between two heartbeats.
- * @property suspectLevel the level of [ArrivalWindow.level] from which on a member is suspected.
+ * @property expectedIntervalSeconds the usual interval between two heartbeats.
+ * @property suspectLevel the [ArrivalWindow.suspicionLevel] from which on a member is suspected.
  */
 internal class FailureDetector(
     members: Collection<String>,
-    private val expectedSeconds: Double,
+    private val expectedIntervalSeconds: Double,
     private val suspectLevel: Double,
 ) {
     private class Peer(
-        expectedSeconds: Double,
+        expectedIntervalSeconds: Double,
     ) {
-        val window = ArrivalWindow(expectedSeconds)
+        val window = ArrivalWindow(expectedIntervalSeconds)
         var liveness = Liveness.ALIVE
         var reason = "not heard yet"
         var lastHeartbeatAt: Double? = null
 
-        /** Silence counts from here: the last heartbeat, or the end of our own last pause. */
+        /** Start of the current silence: the last heartbeat, or the end of this process's own last pause if that is later. */
         var silentSince: Double? = null
         var incarnation = 0L
         var sequence = 0L
 
-        /** Whether its process was restarted since the member was last alive. */
+        /** Whether its process was restarted since the member last became alive. */
         var hasRestarted = false
     }
 
-    private val peers = members.associateWith { Peer(expectedSeconds) }
+    private val peers = members.associateWith { Peer(expectedIntervalSeconds) }
     private var lastTickAt: Double? = null
     private var recoveringUntil = 0.0
 
-    /** Suspicions raised and taken back: a heartbeat arrived again, from the same process and before its term was fenced. */
+    /** Number of wrong suspicions: a heartbeat arrived again, from the same process and before its term was fenced. */
     var falseSuspicions: Long = 0
         private set
 
-    /** Pauses of this process noticed so far. */
+    /** Number of pauses of this process detected so far. */
     var ownPauses: Long = 0
         private set
 
-    /** Whether this process was paused a moment ago, so that the silence of others means nothing yet. */
+    /** Whether this process was paused a moment ago, so that the silence of others is no evidence yet. */
     fun isRecoveringFromPause(now: Double): Boolean = now < recoveringUntil
 
     /**
-     * Takes a heartbeat; false for one of an unknown member, a copy, or one that was overtaken. An [incarnation] is the time at which
-     * the member's process began, in milliseconds.
+     * Records a heartbeat; returns false if the member is unknown or the heartbeat is a duplicate or out of order. [incarnation] is the
+     * time at which the member's process started, in milliseconds.
      */
     fun recordHeartbeat(
         member: String,
@@ -58,7 +58,7 @@
         if (incarnation < peer.incarnation || (incarnation == peer.incarnation && sequence <= peer.sequence)) return false
         val hasRestarted = incarnation > peer.incarnation
         val silentSince = peer.silentSince
-        // A silence that ended by itself is part of the usual intervals, even if it raised a suspicion.
+        // A silence that ended without a restart counts as a usual interval, even if it raised a suspicion.
         if (!hasRestarted && silentSince != null) peer.window.add(now - silentSince)
         peer.hasRestarted = peer.hasRestarted || (hasRestarted && peer.incarnation != 0L)
         peer.incarnation = incarnation
@@ -68,18 +68,18 @@
         return true
     }
 
-    /** Evaluates every member; the changes since the last tick. */
+    /** Evaluates every member and returns the changes since the last tick. */
     fun tick(now: Double): List<LivenessChange> {
         detectOwnPause(now)
         return peers.mapNotNull { (member, peer) -> evaluate(member, peer, now) }
     }
 
     private fun detectOwnPause(now: Double) {
-        val before = lastTickAt
+        val previousTickAt = lastTickAt
         lastTickAt = now
-        if (before == null || now - before < expectedSeconds * PAUSE_HEARTBEATS) return
+        if (previousTickAt == null || now - previousTickAt < expectedIntervalSeconds * OWN_PAUSE_INTERVALS) return
         ownPauses++
-        recoveringUntil = now + expectedSeconds * RECOVERY_HEARTBEATS
+        recoveringUntil = now + expectedIntervalSeconds * RECOVERY_INTERVALS
         peers.values.forEach { peer -> peer.silentSince = peer.silentSince?.let { now } }
     }
 
@@ -88,25 +88,25 @@
         peer: Peer,
         now: Double,
     ): LivenessChange? {
-        val before = peer.liveness
-        val level = levelOf(peer, now)
-        val isSilent = level >= suspectLevel
+        val previousLiveness = peer.liveness
+        val suspicionLevel = suspicionLevelOf(peer, now)
+        val isSilent = suspicionLevel >= suspectLevel
         when {
-            !isSilent && before != Liveness.ALIVE && peer.lastHeartbeatAt != null -> {
-                if (before == Liveness.SUSPECTED && !peer.hasRestarted) falseSuspicions++
+            !isSilent && previousLiveness != Liveness.ALIVE && peer.lastHeartbeatAt != null -> {
+                if (previousLiveness == Liveness.SUSPECTED && !peer.hasRestarted) falseSuspicions++
                 transition(peer, Liveness.ALIVE, if (peer.hasRestarted) "heard again, restarted" else "heard again")
                 peer.hasRestarted = false
             }
 
-            isSilent && before == Liveness.ALIVE && !isRecoveringFromPause(now) -> {
+            isSilent && previousLiveness == Liveness.ALIVE && !isRecoveringFromPause(now) -> {
                 val silence = now - (peer.silentSince ?: now)
-                transition(peer, Liveness.SUSPECTED, "silent for %.2f s, level %.1f".format(silence, level))
+                transition(peer, Liveness.SUSPECTED, "silent for %.2f s, level %.1f".format(silence, suspicionLevel))
             }
         }
-        return if (peer.liveness == before) null else LivenessChange(member, before, peer.liveness, peer.reason)
+        return if (peer.liveness == previousLiveness) null else LivenessChange(member, previousLiveness, peer.liveness, peer.reason)
     }
 
-    /** The fencing token has passed the term of [member]: a suspected member now counts as failed; null where it is not suspected. */
+    /** Marks [member] as failed because the fencing token has moved past its term, to [term]; returns null if it is not suspected. */
     fun markFailed(
         member: String,
         term: Long,
@@ -125,28 +125,28 @@
         peer.reason = reason
     }
 
-    private fun levelOf(
+    private fun suspicionLevelOf(
         peer: Peer,
         now: Double,
-    ): Double = peer.silentSince?.let { peer.window.level(now - it) } ?: 0.0
+    ): Double = peer.silentSince?.let { peer.window.suspicionLevel(now - it) } ?: 0.0
 
-    /** Null for a name that is no member. */
+    /** Returns the view of [member]; null for a name that is not a member. */
     fun view(
         member: String,
         now: Double,
-    ): MemberView? = peers[member]?.let { MemberView(member, it.liveness, levelOf(it, now), it.reason, it.lastHeartbeatAt) }
+    ): MemberView? = peers[member]?.let { MemberView(member, it.liveness, suspicionLevelOf(it, now), it.reason, it.lastHeartbeatAt) }
 
-    /** All members, in the order of the settings. */
+    /** Returns the views of all members, in the order of the settings. */
     fun views(now: Double): List<MemberView> = peers.keys.mapNotNull { view(it, now) }
 
-    /** Whether a heartbeat of [member] arrived since our start and it is not suspected now. */
+    /** Whether a heartbeat of [member] has arrived since this process started and it is neither suspected nor failed. */
     fun isAlive(member: String): Boolean = peers[member]?.let { it.liveness == Liveness.ALIVE && it.lastHeartbeatAt != null } ?: false
 
     private companion object {
-        /** A tick that comes so many heartbeats after the last one means that this process was paused. */
-        const val PAUSE_HEARTBEATS = 2.0
+        /** A gap of this many heartbeat intervals between two ticks means that this process was paused. */
+        const val OWN_PAUSE_INTERVALS = 2.0
 
-        /** How long the others have, after that, to send a heartbeat. */
-        const val RECOVERY_HEARTBEATS = 4.0
+        /** Time that the others have after such a pause to send a heartbeat, in heartbeat intervals. */
+        const val RECOVERY_INTERVALS = 4.0
     }
 }
--- a/src/main/kotlin/burlridge/failover/HandoverCoordinator.kt
+++ b/src/main/kotlin/burlridge/failover/HandoverCoordinator.kt
@@ -8,7 +8,7 @@
 import burlridge.settings.FailoverSettings
 import burlridge.store.StoreClient
 
-/** Both sides of planned handovers of one member, and its own drain: decides when it hands over and whether it can take over. */
+/** Coordinates both sides of planned handovers and the drain of this member: decides when it hands over and whether it can take over. */
 internal class HandoverCoordinator(
     private val context: StepContext,
     settings: FailoverSettings,
@@ -23,28 +23,28 @@
     private val stalls = StallMonitor(context, settings, leadership)
     private val outgoing = OutgoingHandover(context, leadership, this)
     private val incoming = IncomingHandover(context, store, leadership, this)
-    private var retryAt = 0.0
+    private var nextAttemptAt = 0.0
 
-    /** Whether an operator, or a signal to stop, wants this member out. */
+    /** Whether an operator or a stop signal has requested that this member leaves service. */
     var isDraining: Boolean = false
         private set
 
     /** Whether this member can be stopped without interrupting the service. */
     val isDrained: Boolean get() = isDraining && !leadership.isLeader && !outgoing.isActive
 
-    /** Whether nothing new may be started, because the successor would find it unfinished. */
+    /** Whether no new work may be started, because the successor would find it unfinished. */
     val isQuiescing: Boolean get() = outgoing.isQuiescing
 
-    /** Whether this process stalled so often that it should not lead, see [StallMonitor]. */
+    /** Whether this process has stalled so often that it should not lead, see [StallMonitor]. */
     val isSlow: Boolean get() = stalls.isSlow
 
-    /** The state of the handover that this member offers, in words for an operator. */
+    /** State of the handover that this member offers, as text for operators. */
     val outgoingDescription: String get() = outgoing.description
 
-    /** The state of the handover that this member takes up, in words for an operator. */
+    /** State of the handover that this member takes up, as text for operators. */
     val incomingDescription: String get() = incoming.description
 
-    /** Continues the handovers under way, and starts one where it is due. */
+    /** Continues the handovers in progress, and starts one if it is due. */
     fun tick() {
         outgoing.tick()
         incoming.tick()
@@ -52,7 +52,7 @@
         handOverIfDue()
     }
 
-    /** Takes this member out of service in order; a repeated request changes nothing. */
+    /** Takes this member out of service gracefully; repeated requests have no effect. */
     fun drain(): DrainResult {
         if (isDraining) return DrainResult.Accepted
         if (!cluster.hasAvailableMember()) return DrainResult.Refused(DrainRefusal.NoSuccessor)
@@ -63,7 +63,7 @@
         return DrainResult.Accepted
     }
 
-    /** Whether [other] can be asked to drain. */
+    /** Checks whether [other] can be asked to drain. */
     fun checkDrain(other: String): DrainResult {
         val view = cluster.detector.view(other, context.now) ?: return DrainResult.Refused(DrainRefusal.UnknownMember(other))
         return when {
@@ -74,7 +74,7 @@
     }
 
     private fun handOverIfDue() {
-        if (!leadership.holdsLease || outgoing.isActive || context.now < retryAt) return
+        if (!leadership.holdsLease || outgoing.isActive || context.now < nextAttemptAt) return
         val reason =
             when {
                 isDraining -> HandoverReason.Draining
@@ -83,7 +83,7 @@
             }
         val successors = cluster.successors()
         if (successors.isEmpty()) {
-            deferRetry()
+            deferNextAttempt()
             context.infoLimited("handover not started", "reason" to "no successor available")
             return
         }
@@ -91,11 +91,11 @@
         trace(LeaderChangeEvent.HandoverBegan(successors.first(), reason.text))
     }
 
-    private fun deferRetry() {
-        retryAt = context.now + leadership.leaseSeconds * RETRY_LEASES
+    private fun deferNextAttempt() {
+        nextAttemptAt = context.now + leadership.leaseSeconds * RETRY_DELAY_LEASES
     }
 
-    /** Takes a step of a handover from another member. */
+    /** Handles a handover message from another member. */
     fun onMessage(
         from: String,
         message: HandoverMessage,
@@ -122,12 +122,12 @@
         successor: String,
         outcome: HandoverOutcome,
     ) {
-        deferRetry()
+        deferNextAttempt()
         context.count("failover.handovers")
         trace(LeaderChangeEvent.HandoverEnded(successor, outcome.text))
     }
 
-    override fun unfitness(): DeclineReason? =
+    override fun ineligibilityReason(): DeclineReason? =
         when {
             isDraining -> DeclineReason.Draining
             isSlow -> DeclineReason.Stalled
@@ -135,16 +135,16 @@
             else -> null
         }
 
-    /** The leader's row names this member under [term]; true where it was handed over, so that no election is needed. */
+    /** Called when the leader row names this member under [term]; true if the term was handed over, so that no election is needed. */
     fun onTermHandedOver(term: Long): Boolean = incoming.onTermHandedOver(term)
 
-    /** This member was elected: it needs no handover any more. */
+    /** Called when this member begins to lead; cancels the incoming handover, which is no longer needed. */
     fun onElected() = incoming.cancel()
 
-    /** This member does not lead any more, for [reason]. */
+    /** Called when this member no longer leads, for [reason]. */
     fun onDeposed(reason: StepDownReason) = outgoing.onDeposed(reason)
 
     private companion object {
-        const val RETRY_LEASES = 2.0
+        const val RETRY_DELAY_LEASES = 2.0
     }
 }
--- a/src/main/kotlin/burlridge/failover/HandoverOutcome.kt
+++ b/src/main/kotlin/burlridge/failover/HandoverOutcome.kt
@@ -15,7 +15,7 @@
         /** No successor accepted. */
         DECLINED("declined"),
 
-        /** Given up by the leader, which keeps its term. */
+        /** The leader gave up the handover and keeps its term. */
         ABANDONED("abandoned"),
 
         /** The leader lost its term before the transfer. */
--- a/src/main/kotlin/burlridge/failover/HandoverReason.kt
+++ b/src/main/kotlin/burlridge/failover/HandoverReason.kt
@@ -1,10 +1,10 @@
 package burlridge.failover
 
-/** Why a leader hands over; [text] travels in the offer to the successor and is shown to operators. */
+/** Reason why a leader hands over; [text] is sent to the successor in the offer and shown to operators. */
 internal sealed interface HandoverReason {
     val text: String
 
-    /** The leader was asked to leave. */
+    /** The leader is draining. */
     data object Draining : HandoverReason {
         override val text: String = "it is draining"
     }
--- a/src/main/kotlin/burlridge/failover/IncomingHandover.kt
+++ b/src/main/kotlin/burlridge/failover/IncomingHandover.kt
@@ -11,8 +11,8 @@
 import burlridge.store.StoreClient
 
 /**
- * The successor's side of a planned handover. It keeps a lease ready, to which the leader attaches its row, and takes the term over
- * only once it has read a term row that names it.
+ * The successor's side of a planned handover. It keeps a lease ready, to which the leader attaches the leader row, and takes over the
+ * term only once it has read a term row that names it.
  */
 internal class IncomingHandover(
     private val context: StepContext,
@@ -20,41 +20,41 @@
     private val leadership: Leadership,
     private val port: Port,
 ) {
-    /** What the handover needs of the rest of the member. */
+    /** What the handover needs from the rest of the member. */
     internal interface Port {
         fun send(
             to: String,
             message: HandoverMessage,
         )
 
-        /** Why this member should not lead now; null where it can. */
-        fun unfitness(): DeclineReason?
+        /** Returns the reason why this member should not lead now; null if it can. */
+        fun ineligibilityReason(): DeclineReason?
     }
 
     private var current: AcceptedOffer? = null
 
-    /** The state in words for an operator. */
-    val description: String get() = current?.let { "ready to take over term ${it.term + 1} from ${it.from}" } ?: "none"
+    /** The state as text for operators. */
+    val description: String get() = current?.let { "ready to take over term ${it.term + 1} from ${it.leader}" } ?: "none"
 
-    /** Accepts the offer once a lease is granted, or declines it; an offer that was taken up already is accepted again. */
+    /** Accepts the offer once a lease is granted, or declines it; a repeated offer is accepted again. */
     fun onOffer(
         from: String,
         message: HandoverMessage.Offer,
     ) {
         val active = current
         if (active?.attempt == message.attempt) return sendAccept(active)
-        val declined = declineReason(from)
-        if (declined != null) return port.send(from, HandoverMessage.Decline(message.attempt, declined.text))
+        val reason = declineReason(from)
+        if (reason != null) return port.send(from, HandoverMessage.Decline(message.attempt, reason.text))
         cancel()
-        prepare(AcceptedOffer(message.attempt, from, message.term, context.now + leadership.leaseSeconds * WAIT_LEASES))
+        prepare(AcceptedOffer(message.attempt, from, message.term, context.now + leadership.leaseSeconds * TRANSFER_TIMEOUT_LEASES))
     }
 
     private fun declineReason(from: String): DeclineReason? =
         when {
-            leadership.isLeader -> DeclineReason.LeadsItself
-            leadership.knownLeader != from -> DeclineReason.FollowsAnother(leadership.knownLeader)
+            leadership.isLeader -> DeclineReason.AlreadyLeader
+            leadership.knownLeader != from -> DeclineReason.FollowsOtherLeader(leadership.knownLeader)
             !store.isServing -> DeclineReason.StoreUnavailable
-            else -> port.unfitness()
+            else -> port.ineligibilityReason()
         }
 
     private fun prepare(offer: AcceptedOffer) {
@@ -68,14 +68,14 @@
 
                 grant !is LeaseGrant.Granted -> {
                     current = null
-                    port.send(offer.from, HandoverMessage.Decline(offer.attempt, DeclineReason.LeaseNotGranted.text))
+                    port.send(offer.leader, HandoverMessage.Decline(offer.attempt, DeclineReason.LeaseNotGranted.text))
                 }
 
                 else -> {
                     offer.lease = grant.leaseId
                     offer.renewedAt = sentAt
-                    offer.nextRenewAt = sentAt + leadership.leaseSeconds / RENEWALS_PER_LEASE
-                    offer.nextCheckAt = context.now + leadership.leaseSeconds / CHECKS_PER_LEASE
+                    offer.nextRenewalAt = sentAt + leadership.leaseSeconds / RENEWALS_PER_LEASE
+                    offer.nextTermCheckAt = context.now + leadership.leaseSeconds / CHECKS_PER_LEASE
                     sendAccept(offer)
                 }
             }
@@ -84,16 +84,16 @@
 
     private fun sendAccept(offer: AcceptedOffer) {
         val lease = offer.lease ?: return
-        port.send(offer.from, HandoverMessage.Accept(offer.attempt, offer.term, lease))
+        port.send(offer.leader, HandoverMessage.Accept(offer.attempt, offer.term, lease))
     }
 
-    /** Renews the lease and reads the term row when these are due; gives up where the transfer does not come. */
+    /** Renews the lease and reads the term row when due; gives up if the transfer does not come in time or the lease may have expired. */
     fun tick() {
         val offer = current ?: return
         val lease = offer.lease ?: return
         if (context.now > offer.deadline || context.now > offer.renewedAt + leadership.leaseSeconds) return cancel()
-        if (context.now >= offer.nextRenewAt) renew(offer, lease)
-        if (context.now >= offer.nextCheckAt) checkTerm(offer)
+        if (context.now >= offer.nextRenewalAt) renew(offer, lease)
+        if (context.now >= offer.nextTermCheckAt) checkTerm(offer)
     }
 
     private fun renew(
@@ -101,7 +101,7 @@
         lease: Long,
     ) {
         val sentAt = context.now
-        offer.nextRenewAt = sentAt + leadership.leaseSeconds / RENEWALS_PER_LEASE
+        offer.nextRenewalAt = sentAt + leadership.leaseSeconds / RENEWALS_PER_LEASE
         store.renewLease(lease, leadership.leaseSeconds / RENEWALS_PER_LEASE) { renewal ->
             if (current !== offer) return@renewLease
             when (renewal) {
@@ -112,28 +112,28 @@
         }
     }
 
-    /** The leader says that the rows name this member: a reason to read them, no proof. */
+    /** Handles the leader's message that the rows name this member; this is no proof, so the term row is read. */
     fun onTransferred(
         from: String,
         message: HandoverMessage.Transferred,
     ) {
-        offerOf(from, message.attempt)?.let { checkTerm(it) }
+        matchingOffer(from, message.attempt)?.let { checkTerm(it) }
     }
 
-    /** The leader's row names this member under [term]; true where it was handed over, so that no election is needed. */
+    /** Called when the leader row names this member under [term]; true if the term was handed over, so that no election is needed. */
     fun onTermHandedOver(term: Long): Boolean {
         val offer = current?.takeIf { it.lease != null && it.term + 1 == term } ?: return false
         checkTerm(offer)
         return true
     }
 
-    /** Reads the term row, and takes over where it names this member for the next term. */
+    /** Reads the term row, and takes over if it names this member for the next term. */
     private fun checkTerm(offer: AcceptedOffer) {
-        if (offer.isReading) return
-        offer.isReading = true
-        offer.nextCheckAt = context.now + leadership.leaseSeconds / CHECKS_PER_LEASE
+        if (offer.isTermReadInFlight) return
+        offer.isTermReadInFlight = true
+        offer.nextTermCheckAt = context.now + leadership.leaseSeconds / CHECKS_PER_LEASE
         store.get(TermRow.KEY, RequestPriority.LEADERSHIP) { read ->
-            offer.isReading = false
+            offer.isTermReadInFlight = false
             val row = (read as? ReadResult.Found)?.value
             if (current !== offer || row == null) return@get
             val termRow = TermRow.decode(row.value)
@@ -148,33 +148,36 @@
     private fun takeOver(
         offer: AcceptedOffer,
         termRow: TermRow,
-        fence: Long,
+        fencingToken: Long,
     ) {
         current = null
         val lease = offer.lease ?: return
-        if (!leadership.adopt(termRow, fence, lease, offer.renewedAt)) {
+        if (!leadership.adopt(termRow, fencingToken, lease, offer.renewedAt)) {
             context.info("handover too late", "term" to termRow.term, "reason" to "the lease may have expired")
             store.revokeLease(lease)
             leadership.pollSoon()
         }
     }
 
-    /** The leader keeps its term. */
+    /** Drops the offer, because the leader has withdrawn it. */
     fun onWithdraw(
         from: String,
         message: HandoverMessage.Withdraw,
     ) {
-        if (offerOf(from, message.attempt) == null) return
+        if (matchingOffer(from, message.attempt) == null) return
         context.info("handover withdrawn", "leader" to from, "reason" to message.reason)
         cancel()
     }
 
-    private fun offerOf(
+    private fun matchingOffer(
         from: String,
         attempt: Long,
-    ): AcceptedOffer? = current?.takeIf { it.from == from && it.attempt == attempt }
+    ): AcceptedOffer? = current?.takeIf { it.leader == from && it.attempt == attempt }
 
-    /** Gives up an offer that was taken up: this member was elected in the ordinary way, is draining, or the leader needs it no more. */
+    /**
+     * Drops the current offer, if any, and revokes its lease: for example because this member was elected in the ordinary way, is
+     * draining, or the leader has withdrawn the offer.
+     */
     fun cancel() {
         val lease = current?.lease
         current = null
@@ -186,7 +189,7 @@
         const val RENEWALS_PER_LEASE = 4
         const val CHECKS_PER_LEASE = 4
 
-        /** How long this member waits for the leader's transfer before it follows the ordinary election again. */
-        const val WAIT_LEASES = 6.0
+        /** How long this member waits for the leader's transfer before it follows the ordinary election again, in leases. */
+        const val TRANSFER_TIMEOUT_LEASES = 6.0
     }
 }
--- a/src/main/kotlin/burlridge/failover/LeaderChangeEvent.kt
+++ b/src/main/kotlin/burlridge/failover/LeaderChangeEvent.kt
@@ -2,51 +2,51 @@
 
 import burlridge.core.TraceEvent
 
-/** What happens around a change of leader; recorded in traces where an operator switched them on. */
+/** Event around a change of leader; recorded in traces if an operator has enabled them. */
 internal sealed interface LeaderChangeEvent : TraceEvent {
-    /** The failure detector changed its mind about a member. */
+    /** The failure detector has changed the liveness of a member. */
     data class LivenessChanged(
         val change: LivenessChange,
     ) : LeaderChangeEvent
 
-    /** The leader has offered its term. */
+    /** The leader has offered its term to a successor. */
     data class HandoverBegan(
         val successor: String,
         val reason: String,
     ) : LeaderChangeEvent
 
-    /** A handover has ended, however it did. */
+    /** A handover has ended, successfully or not. */
     data class HandoverEnded(
         val successor: String,
         val outcome: String,
     ) : LeaderChangeEvent
 
-    /** This member leads [term]. */
+    /** This member has begun to lead [term]. */
     data class Elected(
         val term: Long,
         val cause: String,
     ) : LeaderChangeEvent
 
-    /** The new leader has its rows. */
+    /** The new leader has loaded its rows. */
     data class RowsRead(
         val term: Long,
         val rows: Int,
-        /** False where the rows were read from the state service. */
+        /** False if the rows were read from the state service. */
         val fromReplica: Boolean,
     ) : LeaderChangeEvent
 
-    /** The new leader sent its first start of a task. */
-    data class FirstStart(
+    /** The new leader has sent its first task start. */
+    data class FirstTaskStart(
         val term: Long,
     ) : LeaderChangeEvent
 
-    /** Every worker known to the new leader was answered in its term. */
+    /** The new leader has answered every worker that it knows. */
     data class AllWorkersAnswered(
         val term: Long,
-        val machines: Int,
+        val workers: Int,
     ) : LeaderChangeEvent
 
-    /** This member leads [term] no more. */
+    /** This member no longer leads [term]. */
     data class Deposed(
         val term: Long,
         val cause: String,
--- a/src/main/kotlin/burlridge/failover/LeaderHistory.kt
+++ b/src/main/kotlin/burlridge/failover/LeaderHistory.kt
@@ -2,22 +2,22 @@
 
 import burlridge.core.StepContext
 
-/** One change of leader as an operator sees it. */
+/** A change of leader, as shown to operators. */
 internal data class LeaderChange(
-    /** When this member learned of it, in milliseconds of the time of day. */
+    /** Wall-clock time at which this member learned of it, in milliseconds. */
     val wallMillis: Long,
     val term: Long,
     val leader: String,
     val cause: String,
 )
 
-/** The latest leader changes that this member knows of, the oldest first. */
+/** Keeps the latest [MAX_CHANGES] leader changes that this member knows of. */
 internal class LeaderHistory(
     private val context: StepContext,
 ) {
     private val changes = ArrayDeque<LeaderChange>()
 
-    /** Appends a change, unless [term] is the latest one already. */
+    /** Appends a change, unless [term] is already the latest one. */
     fun record(
         leader: String,
         term: Long,
@@ -28,7 +28,7 @@
         changes.addLast(LeaderChange(context.wallMillis, term, leader, cause))
     }
 
-    /** The kept changes, oldest first. */
+    /** Returns the kept changes, oldest first. */
     fun toList(): List<LeaderChange> = changes.toList()
 
     private companion object {
--- a/src/main/kotlin/burlridge/failover/Liveness.kt
+++ b/src/main/kotlin/burlridge/failover/Liveness.kt
@@ -1,26 +1,26 @@
 package burlridge.failover
 
-/** What a member takes another one for; [label] stands in reports, counters and traces. */
+/** One member's assessment of another; [label] is written to reports, counters and traces. */
 internal enum class Liveness(
     val label: String,
 ) {
     ALIVE("alive"),
 
-    /** Silent for unusually long. Nothing with an effect may follow from this alone. */
+    /** Silent for unusually long. This alone must not cause any action with an effect outside this member. */
     SUSPECTED("suspected"),
 
     /** Silent, and the fencing token in the state service has moved past its term. */
     FAILED("failed"),
 }
 
-/** One member as seen from here, for operators and for the choice of a successor. */
+/** This member's view of another member, for operators and for the choice of a successor. */
 internal data class MemberView(
     val member: String,
     val liveness: Liveness,
-    /** Suspicion level, see [ArrivalWindow.level]. */
-    val level: Double,
+    /** Suspicion level, see [ArrivalWindow.suspicionLevel]. */
+    val suspicionLevel: Double,
     val reason: String,
-    /** On the steady clock, in seconds; null where no heartbeat arrived since the start. */
+    /** Time by the steady clock, in seconds; null if no heartbeat has arrived since this process started. */
     val lastHeartbeatAt: Double?,
 )
 
--- a/src/main/kotlin/burlridge/failover/OutgoingHandover.kt
+++ b/src/main/kotlin/burlridge/failover/OutgoingHandover.kt
@@ -6,13 +6,13 @@
 import burlridge.leadership.TransferOutcome
 import burlridge.message.HandoverMessage
 
-/** The leader's side of a planned handover: offer it, wait for the successor, quiesce, transfer. */
+/** The leader's side of a planned handover: offers the term, waits until the successor accepts, quiesces and transfers. */
 internal class OutgoingHandover(
     private val context: StepContext,
     private val leadership: Leadership,
     private val port: Port,
 ) {
-    /** What the handover needs of the rest of the member. */
+    /** What the handover needs from the rest of the member. */
     internal interface Port {
         fun send(
             to: String,
@@ -22,7 +22,7 @@
         /** Whether no work of this leader is in flight: no allocation being written, none written but not sent to its worker. */
         fun isQuiesced(): Boolean
 
-        /** The handover is over, however it ended. */
+        /** Called when the handover has ended, successfully or not. */
         fun onEnded(
             successor: String,
             outcome: HandoverOutcome,
@@ -34,14 +34,14 @@
     /** Why the last handover was started. */
     private var reason = ""
 
-    /** Whether nothing new may be started, because the successor would find it unfinished. */
+    /** Whether no new work may be started, because the successor would find it unfinished. */
     val isQuiescing: Boolean get() = state is OutgoingHandoverState.Quiescing || state is OutgoingHandoverState.Transferring
     val isActive: Boolean get() = state != OutgoingHandoverState.Idle
 
-    /** The state in words for an operator. */
+    /** The state as text for operators. */
     val description: String get() = state.describe(reason)
 
-    /** Offers the term to the first of [successors], and to the next one where that declines. None may be active already. */
+    /** Offers the term to the first of [successors], and to the next one if that declines. No handover may be active yet. */
     fun start(
         successors: List<String>,
         reason: HandoverReason,
@@ -59,7 +59,7 @@
         port.send(successor, HandoverMessage.Offer(attempt, leadership.term, reason))
     }
 
-    /** Gives up what lasts too long, and transfers once this leader has quiesced. */
+    /** Enforces the deadlines of the current state, and transfers once this leader has quiesced or its time to quiesce is up. */
     fun tick() {
         when (val current = state) {
             OutgoingHandoverState.Idle, is OutgoingHandoverState.Transferring -> Unit
@@ -84,7 +84,7 @@
         }
     }
 
-    /** The successor is ready; an acceptance of another offer is ignored. */
+    /** Begins to quiesce, since the successor is ready; an acceptance of another offer is ignored. */
     fun onAccept(
         from: String,
         message: HandoverMessage.Accept,
@@ -96,7 +96,7 @@
             OutgoingHandoverState.Quiescing(current.attempt, from, message.lease, context.now + leadership.leaseSeconds * QUIESCE_LEASES)
     }
 
-    /** The successor does not take over; an answer to another offer is ignored. */
+    /** Offers the term to the next successor, if any; a reply to another offer is ignored. */
     fun onDecline(
         from: String,
         message: HandoverMessage.Decline,
@@ -158,7 +158,7 @@
         port.onEnded(successor, outcome)
     }
 
-    /** This member does not lead any more, for [reason]. */
+    /** Called when this member no longer leads, for [reason]. */
     fun onDeposed(reason: StepDownReason) {
         when (val current = state) {
             OutgoingHandoverState.Idle -> {
@@ -173,7 +173,7 @@
                 end(current.successor, HandoverOutcome(HandoverOutcome.Result.DEPOSED, reason.text))
             }
 
-            // A transfer that was carried out ends through its own result.
+            // A handover whose transfer was committed is ended by the result of the transfer.
             is OutgoingHandoverState.Transferring -> {
                 if (reason !is StepDownReason.HandedOver) {
                     end(current.successor, HandoverOutcome(HandoverOutcome.Result.IN_DOUBT, reason.text))
@@ -183,11 +183,11 @@
     }
 
     private companion object {
-        /** These travel to the successor. */
+        /** Reasons that are sent to the successor. */
         const val LEASE_IN_DOUBT = "its lease is in doubt"
         const val NO_ANSWER = "it does not answer"
 
-        /** How long a successor has to accept, and this leader to quiesce, in leases. */
+        /** Time that a successor has to accept, and this leader to quiesce, in leases. */
         const val OFFER_LEASES = 1.0
         const val QUIESCE_LEASES = 0.5
     }
--- a/src/main/kotlin/burlridge/failover/OutgoingHandoverState.kt
+++ b/src/main/kotlin/burlridge/failover/OutgoingHandoverState.kt
@@ -1,27 +1,27 @@
 package burlridge.failover
 
-/** How far a handover that this leader offers has come. */
+/** State of the handover that this leader offers. */
 internal sealed interface OutgoingHandoverState {
-    /** For an operator; [reason] is why the leader hands over. */
+    /** Returns the state as text for operators; [reason] is why the leader hands over. */
     fun describe(reason: String): String
 
-    /** No handover is under way. */
+    /** No handover is in progress. */
     data object Idle : OutgoingHandoverState {
         override fun describe(reason: String): String = "none"
     }
 
-    /** Waits for the answer of [successor]. */
+    /** This leader waits for the reply of [successor]. */
     data class Offered(
         val attempt: Long,
         val successor: String,
-        /** Whom to ask where it declines. */
+        /** Members to offer the term to if [successor] declines, in this order. */
         val nextSuccessors: List<String>,
         val deadline: Double,
     ) : OutgoingHandoverState {
         override fun describe(reason: String): String = "offered to $successor: $reason"
     }
 
-    /** The successor waits; this leader starts nothing new and lets its work in flight finish, until [deadline] at the latest. */
+    /** The successor is ready; this leader starts no new work and lets its work in flight finish, until [deadline] at the latest. */
     data class Quiescing(
         val attempt: Long,
         val successor: String,
@@ -32,7 +32,7 @@
         override fun describe(reason: String): String = "coming to rest for $successor: $reason"
     }
 
-    /** The transaction that names [successor] as leader is under way, and its outcome not known. */
+    /** The transaction that names [successor] as leader is in flight and its outcome is unknown. */
     data class Transferring(
         val attempt: Long,
         val successor: String,
--- a/src/main/kotlin/burlridge/failover/RefusalLog.kt
+++ b/src/main/kotlin/burlridge/failover/RefusalLog.kt
@@ -8,21 +8,21 @@
     val counter: String,
     val event: String,
 ) {
-    /** A heartbeat that is a copy, was overtaken, lies in the future or comes from an unknown member. */
+    /** A heartbeat that is a duplicate, out of order, from the future or from an unknown member. */
     HEARTBEAT("failover.heartbeats_refused", "failover heartbeats refused"),
 
     /** A handover message from an unknown member. */
     MESSAGE("failover.messages_refused", "failover messages refused"),
 }
 
-/** Counts refused input; one line of log stands for a flood of it. */
+/** Counts refused input and limits its log lines to one in [LOG_INTERVAL_LEASES] leases, so that a flood of it does not fill the log. */
 internal class RefusalLog(
     private val context: StepContext,
     private val leadership: Leadership,
 ) {
     private var loggedAt = Double.NEGATIVE_INFINITY
 
-    /** Counts an input in the name of [from], and logs it unless a line was logged lately. */
+    /** Counts an input sent in the name of [from], and logs it unless a line was logged within the interval. */
     fun record(
         input: RefusedInput,
         from: String,
--- a/src/main/kotlin/burlridge/failover/ReplicaAudit.kt
+++ b/src/main/kotlin/burlridge/failover/ReplicaAudit.kt
@@ -2,27 +2,30 @@
 
 import burlridge.store.Row
 
-/** A page of rows as the state service listed it: all keys after [from] up to the last one, or to the end where it is not [isTruncated]. */
+/** A page of rows as listed by the state service: all keys after [afterKey], up to the last one or, unless [isTruncated], to the end. */
 internal data class AuditPage(
-    val from: String,
+    val afterKey: String,
     val rows: List<Row>,
     val isTruncated: Boolean,
     val revision: Long,
 )
 
 /**
- * Compares a page read from the state service with the replica. A difference counts only where the two revisions leave no other
- * explanation, so a correct replica that is merely behind or ahead never fails.
+ * Compares a page read from the state service with the replica. A difference counts only if the two revisions leave no other explanation,
+ * so a correct replica that is merely behind or ahead never fails.
  */
 internal object ReplicaAudit {
-    /** The first difference; null where the page and the replica agree. */
-    fun difference(
+    /** Returns the first difference; null if the page and the replica agree. */
+    fun findDifference(
         table: ReplicaTable,
         page: AuditPage,
-    ): AuditDifference? = staleRow(table, page) ?: surplusRow(table, page)
+    ): AuditDifference? = findStaleRow(table, page) ?: findSurplusRow(table, page)
 
-    /** A row that the page shows unchanged since before the replica's revision must stand in the replica as it is. */
-    private fun staleRow(
+    /**
+     * Returns a row of the page that the replica lacks or has with another revision. Ignores rows that were changed after the replica's
+     * revision, and rows that the replica may have seen change after the page was read.
+     */
+    private fun findStaleRow(
         table: ReplicaTable,
         page: AuditPage,
     ): AuditDifference? {
@@ -37,17 +40,20 @@
         return null
     }
 
-    /** Once the replica is as far as the page, an older row that the page lacks must not be there. */
-    private fun surplusRow(
+    /**
+     * Returns a row of the replica that the page should list but does not. Checks only a replica that has reached the page's revision, and
+     * only rows that are no newer than the page.
+     */
+    private fun findSurplusRow(
         table: ReplicaTable,
         page: AuditPage,
     ): AuditDifference? {
         if (table.revision < page.revision) return null
-        val shown = page.rows.mapTo(HashSet()) { it.key }
-        val last = if (page.isTruncated) page.rows.lastOrNull()?.key ?: return null else null
+        val listedKeys = page.rows.mapTo(HashSet()) { it.key }
+        val lastKey = if (page.isTruncated) page.rows.lastOrNull()?.key ?: return null else null
         val surplus =
             table.rows.entries.firstOrNull { (key, row) ->
-                key > page.from && (last == null || key <= last) && row.modRevision <= page.revision && key !in shown
+                key > page.afterKey && (lastKey == null || key <= lastKey) && row.modRevision <= page.revision && key !in listedKeys
             }
         return surplus?.let { AuditDifference.SurplusRow(it.key) }
     }
--- a/src/main/kotlin/burlridge/failover/ReplicaCatchUp.kt
+++ b/src/main/kotlin/burlridge/failover/ReplicaCatchUp.kt
@@ -6,7 +6,7 @@
 import burlridge.store.StoreClient
 import burlridge.store.WatchResult
 
-/** Whether a standby replica could be brought up to the fencing token of a new leader. */
+/** Result of bringing a standby replica up to the fencing token of a new leader. */
 internal sealed interface CatchUpResult {
     /** All rows by their prefix. */
     data class Complete(
@@ -19,13 +19,13 @@
     ) : CatchUpResult
 }
 
-/** Reads the last changes of each table for a new leader, and verifies that its rows are complete up to the leader's [fence]. */
+/** Reads the last changes of each table for a new leader, and verifies that its rows are complete up to its [fencingToken]. */
 internal class ReplicaCatchUp(
     private val store: StoreClient,
     private val tables: List<ReplicaTable>,
-    private val fence: Long,
+    private val fencingToken: Long,
 ) {
-    /** Reads one table after the other; the first fault ends it. */
+    /** Processes the tables one after the other and stops at the first fault. */
     fun run(onResult: (CatchUpResult) -> Unit) = catchUp(0, onResult)
 
     private fun catchUp(
@@ -37,7 +37,7 @@
         store.watch(table.prefix, table.revision, 0.0, RequestPriority.LEADERSHIP) { result ->
             val fault =
                 when (result) {
-                    is WatchResult.Changes -> (table.apply(result) as? Applied.Inconsistent)?.fault ?: verify(table)
+                    is WatchResult.Changes -> (table.apply(result) as? ApplyResult.Inconsistent)?.fault ?: verify(table)
                     WatchResult.Compacted -> ReplicaFault.CatchUpFailed(table.prefix, HttpStatus.GONE)
                     is WatchResult.Failed -> ReplicaFault.CatchUpFailed(table.prefix, result.status)
                 }
@@ -47,7 +47,7 @@
 
     private fun verify(table: ReplicaTable): ReplicaFault? =
         when {
-            table.revision < fence -> ReplicaFault.BehindFence(table.prefix, table.revision, fence)
+            table.revision < fencingToken -> ReplicaFault.BehindFencingToken(table.prefix, table.revision, fencingToken)
             !table.isIntact() -> ReplicaFault.DigestMismatch(table.prefix)
             else -> null
         }
--- a/src/main/kotlin/burlridge/failover/ReplicaFault.kt
+++ b/src/main/kotlin/burlridge/failover/ReplicaFault.kt
@@ -1,10 +1,10 @@
 package burlridge.failover
 
-/** Why a standby replica is discarded or cannot be used; [text] is shown to operators. */
+/** Reason why a standby replica is discarded or cannot be used; [text] is shown to operators. */
 internal sealed interface ReplicaFault {
     val text: String
 
-    /** The rows take more memory than the replica may. */
+    /** The rows take more memory than the replica is allowed to. */
     data object TooLarge : ReplicaFault {
         override val text: String = "too large"
     }
@@ -17,7 +17,7 @@
         override val text: String get() = "$prefix: the changes since $revision are not kept any more"
     }
 
-    /** The feed failed again and again while the state service served other requests. */
+    /** The change feed failed repeatedly while the state service served other requests. */
     data class ChangesUnavailable(
         val prefix: String,
     ) : ReplicaFault {
@@ -40,7 +40,7 @@
         override val text: String get() = "audit of $prefix: ${difference.text}"
     }
 
-    /** The last changes before a takeover could not be read; [status] is the HTTP status, 0 where none came. */
+    /** The last changes before a takeover could not be read; [status] is the HTTP status, 0 if there was no response. */
     data class CatchUpFailed(
         val prefix: String,
         val status: Int,
@@ -48,23 +48,23 @@
         override val text: String get() = "the changes of $prefix cannot be read ($status)"
     }
 
-    /** The table is not shown to be complete up to the fencing token of the new leader. */
-    data class BehindFence(
+    /** The table is not known to be complete up to the fencing token of the new leader. */
+    data class BehindFencingToken(
         val prefix: String,
         val revision: Long,
-        val fence: Long,
+        val fencingToken: Long,
     ) : ReplicaFault {
-        override val text: String get() = "$prefix is known up to $revision, below the fence $fence"
+        override val text: String get() = "$prefix is known up to $revision, below the fence $fencingToken"
     }
 
-    /** The rows are not those that were written. */
+    /** The rows differ from those that were applied: their hashes do not add up to the digest. */
     data class DigestMismatch(
         val prefix: String,
     ) : ReplicaFault {
         override val text: String get() = "$prefix does not match its digest"
     }
 
-    /** A row is not JSON. */
+    /** The value of a row is not valid JSON. */
     data class UnreadableRow(
         val prefix: String,
     ) : ReplicaFault {
@@ -72,9 +72,9 @@
     }
 }
 
-/** Why a batch of changes cannot be what the state service says it is. */
+/** Reason why a batch of changes cannot be correct. */
 internal sealed interface BatchFault : ReplicaFault {
-    /** The batch ends before the replica. */
+    /** The batch ends at a revision below the replica's. */
     data class RevisionWentBack(
         val batchRevision: Long,
         val tableRevision: Long,
@@ -82,12 +82,12 @@
         override val text: String get() = "revision $batchRevision after $tableRevision"
     }
 
-    /** The answer holds no list of changes. */
+    /** The response contains no list of changes. */
     data object NoChanges : BatchFault {
         override val text: String = "no list of changes"
     }
 
-    /** A change of a key that was not asked for. */
+    /** A change of a key that does not have the requested prefix. */
     data class KeyOutsidePrefix(
         val key: String,
         val prefix: String,
@@ -102,7 +102,7 @@
         override val text: String get() = "$key has no value"
     }
 
-    /** A change that the replica must know already. */
+    /** A change at or below the replica's revision, which the replica must contain already. */
     data class ChangeTooOld(
         val key: String,
         val modRevision: Long,
@@ -120,7 +120,7 @@
         override val text: String get() = "$key changed at $modRevision, listed after $previousRevision"
     }
 
-    /** A change after the end of the batch. */
+    /** A change at a revision above the batch's. */
     data class ChangeTooNew(
         val key: String,
         val modRevision: Long,
@@ -141,7 +141,7 @@
     /** The replica has another revision of a row than the store. */
     data class StaleRow(
         val key: String,
-        /** Null where the replica has no such row. */
+        /** Null if the replica has no such row. */
         val replicaRevision: Long?,
         val storeRevision: Long,
     ) : AuditDifference {
--- a/src/main/kotlin/burlridge/failover/ReplicaRefresher.kt
+++ b/src/main/kotlin/burlridge/failover/ReplicaRefresher.kt
@@ -7,7 +7,7 @@
 import burlridge.store.StoreClient
 import burlridge.store.WatchResult
 
-/** Keeps the tables of a complete replica up to date by the state service's change feed, and audits a page of rows now and then. */
+/** Keeps the tables of a complete replica up to date from the state service's change feed, and audits a page of rows regularly. */
 internal class ReplicaRefresher(
     private val context: StepContext,
     private val store: StoreClient,
@@ -15,34 +15,34 @@
     private val requests: RequestGate,
     private val listener: Listener,
 ) {
-    /** Told what became of the refreshes. */
+    /** Receives the results of refreshes. */
     internal interface Listener {
-        /** The replica must be discarded. */
+        /** Called when the replica must be discarded. */
         fun onFault(fault: ReplicaFault)
 
-        /** Changes were applied; false where the replica is not kept any more. */
+        /** Called when changes were applied; returns false if the replica is no longer kept. */
         fun onApplied(): Boolean
 
-        /** Every table was refreshed since the last call. */
+        /** Called when every table was refreshed since the last call. */
         fun onRoundComplete()
     }
 
     private var nextTable = 0
 
-    /** Refreshes that failed, one after the other. */
-    private var failures = 0
+    /** Number of reads of changes that failed since the last one that succeeded. */
+    private var failedReads = 0
     private var refreshes = 0L
 
-    /** The key after which the next audit reads. */
-    private var auditFrom = ""
+    /** Key after which the next audit starts to read. */
+    private var nextAuditAfterKey = ""
 
-    /** Begins with the first table again; to be called when the replica is reset. */
+    /** Starts with the first table again; to be called when the replica is reset. */
     fun reset() {
         nextTable = 0
-        failures = 0
+        failedReads = 0
     }
 
-    /** Refreshes one table, or audits one; a table at a time, so that the cost is spread. */
+    /** Refreshes or audits one table; one table at a time, so that the cost is spread. */
     fun refresh() {
         refreshes++
         if (refreshes % REFRESHES_PER_AUDIT == 0L) {
@@ -51,11 +51,11 @@
         }
         val table = tables[nextTable]
         nextTable = (nextTable + 1) % tables.size
-        follow(table) { if (nextTable == 0) listener.onRoundComplete() }
+        pullChanges(table) { if (nextTable == 0) listener.onRoundComplete() }
     }
 
-    /** Applies the changes of [table] since its revision; [onApplied] where the replica is still kept then. */
-    private fun follow(
+    /** Reads and applies the changes of [table] since its revision; calls [onApplied] if the replica is still kept after that. */
+    private fun pullChanges(
         table: ReplicaTable,
         onApplied: () -> Unit,
     ) {
@@ -70,9 +70,9 @@
     ) {
         when (result) {
             is WatchResult.Changes -> {
-                failures = 0
+                failedReads = 0
                 val applied = table.apply(result)
-                if (applied is Applied.Inconsistent) {
+                if (applied is ApplyResult.Inconsistent) {
                     listener.onFault(ReplicaFault.InconsistentChanges(table.prefix, applied.fault))
                 } else if (listener.onApplied()) {
                     onApplied()
@@ -84,36 +84,37 @@
             }
 
             is WatchResult.Failed -> {
-                failures++
-                // An answer may also be too long to read; a full read has pages.
-                if (failures >= FAILURES_TO_DISCARD && store.isServing) listener.onFault(ReplicaFault.ChangesUnavailable(table.prefix))
+                failedReads++
+                // The response may also be too long to read; the full read after a discard is paged.
+                if (failedReads >= FAILURES_TO_DISCARD && store.isServing) listener.onFault(ReplicaFault.ChangesUnavailable(table.prefix))
             }
         }
     }
 
     private fun audit(table: ReplicaTable) {
-        val from = auditFrom.takeIf { it.startsWith(table.prefix) }.orEmpty()
-        val onPage = requests.begin<ListResult<ListPage>> { result -> if (result is ListResult.Listed) compare(table, from, result.value) }
-        store.listPage(table.prefix, from, AUDIT_ROWS, RequestPriority.CLEANUP, onPage)
+        val afterKey = nextAuditAfterKey.takeIf { it.startsWith(table.prefix) }.orEmpty()
+        val onPage =
+            requests.begin<ListResult<ListPage>> { result -> if (result is ListResult.Listed) compare(table, afterKey, result.value) }
+        store.listPage(table.prefix, afterKey, AUDIT_PAGE_ROWS, RequestPriority.CLEANUP, onPage)
     }
 
     private fun compare(
         table: ReplicaTable,
-        from: String,
+        afterKey: String,
         page: ListPage,
     ) {
-        auditFrom = if (page.isTruncated) page.rows.last().key else ""
+        nextAuditAfterKey = if (page.isTruncated) page.rows.last().key else ""
         context.count("failover.replica.audits")
-        val shown = AuditPage(from, page.rows, page.isTruncated, page.revision)
-        // The replica is brought up to the page's revision first: a change that has not arrived yet is no difference.
-        follow(table) {
-            ReplicaAudit.difference(table, shown)?.let { listener.onFault(ReplicaFault.AuditFailed(table.prefix, it)) }
+        val auditPage = AuditPage(afterKey, page.rows, page.isTruncated, page.revision)
+        // Bring the replica up to the page's revision first: a change that has not arrived yet is no difference.
+        pullChanges(table) {
+            ReplicaAudit.findDifference(table, auditPage)?.let { listener.onFault(ReplicaFault.AuditFailed(table.prefix, it)) }
         }
     }
 
     private companion object {
         const val FAILURES_TO_DISCARD = 8
         const val REFRESHES_PER_AUDIT = 32L
-        const val AUDIT_ROWS = 50
+        const val AUDIT_PAGE_ROWS = 50
     }
 }
--- a/src/main/kotlin/burlridge/failover/ReplicaState.kt
+++ b/src/main/kotlin/burlridge/failover/ReplicaState.kt
@@ -1,19 +1,19 @@
 package burlridge.failover
 
-/** How far a standby replica is; [label] stands in the report. */
+/** State of a standby replica; [label] is written to the report. */
 internal enum class ReplicaState(
     val label: String,
 ) {
-    /** Not kept here. */
+    /** This member keeps no replica. */
     OFF("off"),
 
     /** Being read in full. */
     LOADING("loading"),
 
-    /** Complete up to its revision, and refreshed. */
+    /** Complete up to its revision, and refreshed regularly. */
     FOLLOWING("following"),
 
-    /** It took more memory than it may; tried again after a while. */
+    /** Discarded because it took more memory than allowed; loaded again after a while. */
     TOO_LARGE("too_large"),
 
     /** This member was elected, and the last changes are being read. */
--- a/src/main/kotlin/burlridge/failover/ReplicaTable.kt
+++ b/src/main/kotlin/burlridge/failover/ReplicaTable.kt
@@ -8,26 +8,26 @@
 import kotlinx.collections.immutable.PersistentMap
 import kotlinx.collections.immutable.persistentHashMapOf
 
-/** A row of the replica; its value is kept as text, which takes a fraction of the memory of a parsed tree. */
+/** A row of the replica. The value is kept as text, which takes a fraction of the memory of a parsed tree. */
 internal data class ReplicaRow(
     val modRevision: Long,
     val value: String,
 )
 
-/** Whether a batch of changes was applied. */
-internal sealed interface Applied {
+/** Result of applying a batch of changes. */
+internal sealed interface ApplyResult {
     /** All changes of the batch were applied. */
-    data object Complete : Applied
+    data object Complete : ApplyResult
 
-    /** The batch cannot be what the state service says it is; the replica must be discarded. */
+    /** The batch cannot be correct; the replica must be discarded. */
     data class Inconsistent(
         val fault: BatchFault,
-    ) : Applied
+    ) : ApplyResult
 }
 
 /**
- * The rows under one prefix as they stood at [revision]. Changes are applied in the order of their revisions, whole batches or
- * nothing; the map is persistent, so that a reader's snapshot costs nothing and shows no later change.
+ * The rows under one prefix as of [revision]. Changes are applied in the order of their revisions, in whole batches or not at all. The map
+ * is persistent, so that a reader's snapshot costs nothing and shows no later change.
  */
 internal class ReplicaTable(
     val prefix: String,
@@ -37,23 +37,23 @@
     var revision: Long = 0
         private set
 
-    /** What keys and values take, in characters, and [ROW_OVERHEAD] for each row. */
-    var size: Long = 0
+    /** Number of characters of all keys and values, plus [ROW_OVERHEAD] for each row. */
+    var estimatedBytes: Long = 0
         private set
 
-    /** The sum of all rows' hashes, updated with every change. */
+    /** Sum of the hashes of all rows, updated with every change. */
     private var digest = 0L
 
     /** Replaces all rows by those of a full read. */
     fun load(listing: Listing) {
         clear()
-        val loaded = rows.builder()
+        val loadedRows = rows.builder()
         for (row in listing.rows) {
             val copy = ReplicaRow(row.modRevision, Json.write(row.value))
-            loaded[row.key] = copy
+            loadedRows[row.key] = copy
             updateTotals(row.key, copy, 1)
         }
-        rows = loaded.build()
+        rows = loadedRows.build()
         revision = listing.revision
     }
 
@@ -61,48 +61,48 @@
     fun clear() {
         rows = persistentHashMapOf()
         revision = 0
-        size = 0
+        estimatedBytes = 0
         digest = 0
     }
 
-    /** Applies the answer to a watch from [revision]; a batch that contradicts itself or this table changes nothing. */
-    fun apply(changes: WatchResult.Changes): Applied {
-        val fault = check(changes)
-        if (fault != null) return Applied.Inconsistent(fault)
+    /** Applies the response to a watch from [revision]; a batch that contradicts itself or this table changes nothing. */
+    fun apply(changes: WatchResult.Changes): ApplyResult {
+        val fault = validate(changes)
+        if (fault != null) return ApplyResult.Inconsistent(fault)
         val events = changes.events.orEmpty()
         if (events.isNotEmpty()) {
-            val changed = rows.builder()
+            val updatedRows = rows.builder()
             events.forEach { event ->
-                changed.remove(event.key)?.let { updateTotals(event.key, it, -1) }
+                updatedRows.remove(event.key)?.let { updateTotals(event.key, it, -1) }
                 if (event is WatchEvent.Put) {
                     val row = ReplicaRow(event.modRevision, Json.write(event.value))
-                    changed[event.key] = row
+                    updatedRows[event.key] = row
                     updateTotals(event.key, row, 1)
                 }
             }
-            rows = changed.build()
+            rows = updatedRows.build()
         }
         revision = changes.revision
-        return Applied.Complete
+        return ApplyResult.Complete
     }
 
-    /** Null where all changes may be applied. */
-    private fun check(changes: WatchResult.Changes): BatchFault? {
+    /** Returns the first fault of [changes]; null if all of them may be applied. */
+    private fun validate(changes: WatchResult.Changes): BatchFault? {
         val batchRevision = changes.revision
         if (batchRevision < revision) return BatchFault.RevisionWentBack(batchRevision, revision)
         val events = changes.events ?: return BatchFault.NoChanges
-        var previous = revision
+        var previousRevision = revision
         for (event in events) {
-            faultOf(event, previous, batchRevision)?.let { return it }
-            previous = event.modRevision
+            faultOf(event, previousRevision, batchRevision)?.let { return it }
+            previousRevision = event.modRevision
         }
         return null
     }
 
-    /** What is wrong with [event], which comes after one at [previous] in a batch up to [batchRevision]; null if nothing is. */
+    /** Returns the fault of [event], which follows one at [previousRevision] in a batch up to [batchRevision]; null if there is none. */
     private fun faultOf(
         event: WatchEvent,
-        previous: Long,
+        previousRevision: Long,
         batchRevision: Long,
     ): BatchFault? {
         val modRevision = event.modRevision
@@ -111,19 +111,19 @@
             !key.startsWith(prefix) -> BatchFault.KeyOutsidePrefix(key, prefix)
             event is WatchEvent.Put && event.value.isMissingNode -> BatchFault.MissingValue(key)
             modRevision <= revision -> BatchFault.ChangeTooOld(key, modRevision, revision)
-            modRevision < previous -> BatchFault.ChangeOutOfOrder(key, modRevision, previous)
+            modRevision < previousRevision -> BatchFault.ChangeOutOfOrder(key, modRevision, previousRevision)
             modRevision > batchRevision -> BatchFault.ChangeTooNew(key, modRevision, batchRevision)
             else -> null
         }
     }
 
-    /** Adds a row to [size] and [digest], or with a [sign] of -1 takes it away. */
+    /** Adds a row to [estimatedBytes] and [digest], or subtracts it if [sign] is -1. */
     private fun updateTotals(
         key: String,
         row: ReplicaRow,
         sign: Int,
     ) {
-        size += sign * (key.length + row.value.length + ROW_OVERHEAD)
+        estimatedBytes += sign * (key.length + row.value.length + ROW_OVERHEAD)
         digest += sign * hash(key, row)
     }
 
@@ -135,20 +135,20 @@
         return (keyAndValue xor (row.modRevision * REVISION_FACTOR)) * MIX_FACTOR
     }
 
-    /** Whether all rows still match the digest that was kept along with the changes. */
+    /** Whether all rows still match the digest that was updated along with the changes. */
     fun isIntact(): Boolean = rows.entries.sumOf { (key, row) -> hash(key, row) } == digest
 
-    /** All rows in the order of their keys, as a listing of the state service returns them; null where a value cannot be read. */
+    /** Returns all rows in the order of their keys, as a listing of the state service does; null if a value cannot be parsed. */
     fun listing(): Listing? {
-        val read =
+        val parsedRows =
             rows.entries.map { (key, row) ->
                 Row(key, Json.parseOrNull(row.value) ?: return null, row.modRevision)
             }
-        return Listing(read.sortedBy { it.key }, revision)
+        return Listing(parsedRows.sortedBy { it.key }, revision)
     }
 
     private companion object {
-        /** What a row takes beside its text: entry, object and string headers. */
+        /** Memory that a row takes besides its text, in bytes: entry, object and string headers. */
         const val ROW_OVERHEAD = 120
 
         /** Odd 64-bit constants that spread the bits of a hash. */
--- a/src/main/kotlin/burlridge/failover/RequestGate.kt
+++ b/src/main/kotlin/burlridge/failover/RequestGate.kt
@@ -1,26 +1,26 @@
 package burlridge.failover
 
-/** Admits one request at a time, and drops the results of those that were made before a reset. */
+/** Tracks the one request that may be in flight, and drops the results of requests that were begun before a reset. */
 internal class RequestGate {
     private var generation = 0
 
-    /** Whether a request waits for its result. */
-    var isOpen: Boolean = false
+    /** Whether a request is in flight; no other may be begun then. */
+    var hasRequestInFlight: Boolean = false
         private set
 
-    /** Forgets the open request: its result will be dropped. */
+    /** Abandons the request in flight: its result will be dropped. */
     fun reset() {
         generation++
-        isOpen = false
+        hasRequestInFlight = false
     }
 
-    /** Begins a request; its result goes to the function returned, which passes it to [onResult] unless the gate was reset meanwhile. */
+    /** Begins a request; the returned callback passes its result to [onResult] unless the gate was reset in the meantime. */
     fun <T> begin(onResult: (T) -> Unit): (T) -> Unit {
         val requestGeneration = generation
-        isOpen = true
+        hasRequestInFlight = true
         return { result ->
             if (generation == requestGeneration) {
-                isOpen = false
+                hasRequestInFlight = false
                 onResult(result)
             }
         }
--- a/src/main/kotlin/burlridge/failover/StallMonitor.kt
+++ b/src/main/kotlin/burlridge/failover/StallMonitor.kt
@@ -4,25 +4,25 @@
 import burlridge.leadership.Leadership
 import burlridge.settings.FailoverSettings
 
-/** Counts this process's latest stalls as a leader: one that stalls again and again should hand over. */
+/** Counts the recent stalls of this process while it led; a leader that stalls repeatedly should hand over. */
 internal class StallMonitor(
     private val context: StepContext,
     private val settings: FailoverSettings,
     private val leadership: Leadership,
 ) {
     private val stallTimes = ArrayDeque<Double>()
-    private var stallsSeen = 0L
+    private var previousStallCount = 0L
 
-    /** Stalls within the last [FailoverSettings.STALL_WINDOW_LEASES] leases. */
+    /** Number of stalls within the last [FailoverSettings.STALL_WINDOW_LEASES] leases. */
     val recentStalls: Int get() = stallTimes.size
 
-    /** Whether the operator's limit of stalls is reached; never where none is set. */
+    /** Whether the operator's limit of stalls is reached; always false if none is set. */
     val isSlow: Boolean get() = settings.slowStalls > 0 && recentStalls >= settings.slowStalls
 
-    /** Takes note of new stalls and forgets old ones. */
+    /** Records new stalls and drops those that are outside the window. */
     fun tick() {
-        if (leadership.stalls > stallsSeen) stallTimes.addLast(context.now)
-        stallsSeen = leadership.stalls
+        if (leadership.stalls > previousStallCount) stallTimes.addLast(context.now)
+        previousStallCount = leadership.stalls
         val windowStart = context.now - leadership.leaseSeconds * FailoverSettings.STALL_WINDOW_LEASES
         while (stallTimes.isNotEmpty() && stallTimes.first() < windowStart) stallTimes.removeFirst()
     }
--- a/src/main/kotlin/burlridge/failover/StandbyReplica.kt
+++ b/src/main/kotlin/burlridge/failover/StandbyReplica.kt
@@ -8,66 +8,66 @@
 import burlridge.store.StoreClient
 
 /**
- * A follower's copy of the rows that a new leader needs, fed by the state service's change feed: at every revision it equals what a
- * full read at that revision would have returned. A gap, a contradiction, a failed audit or a wrong digest discards it.
+ * A follower's copy of the rows that a new leader needs, updated from the state service's change feed. At every revision it equals what a
+ * full read at that revision would have returned. It is discarded on a gap, a contradiction, a failed audit or a wrong digest.
  */
 internal class StandbyReplica(
     private val context: StepContext,
     private val store: StoreClient,
     prefixes: List<String>,
-    /** Limit of [size]. */
-    private val maxSize: Long,
-    /** Between two refreshes of all tables. */
+    /** Upper limit of [estimatedBytes]. */
+    private val maxBytes: Long,
+    /** Interval between two refreshes of all tables. */
     private val refreshSeconds: Double,
 ) : ReplicaRefresher.Listener {
     private val tables = prefixes.map { ReplicaTable(it) }
     private val requests = RequestGate()
     private val refresher = ReplicaRefresher(context, store, tables, requests, this)
 
-    /** The table to load next. */
+    /** Index of the table to load next. */
     private var nextTable = 0
     private var nextTickAt = 0.0
     private var state = ReplicaState.OFF
-    private var lastDiscard: ReplicaFault? = null
+    private var lastFault: ReplicaFault? = null
 
     /** When all tables were last refreshed. */
     private var refreshedAt = 0.0
 
-    /** What the rows take, in characters of their text and a constant for each. */
-    private val size: Long get() = tables.sumOf { it.size }
+    /** Estimated memory of all rows: the characters of their text and a constant for each row. */
+    private val estimatedBytes: Long get() = tables.sumOf { it.estimatedBytes }
 
-    /** Complete up to here in every table; [FailoverStatus.NO_REPLICA] where it is not complete. */
+    /** Revision up to which every table is complete; [FailoverStatus.NO_REPLICA] if the replica is not complete. */
     val revision: Long
         get() = if (state == ReplicaState.FOLLOWING) tables.minOf { it.revision } else FailoverStatus.NO_REPLICA
 
-    /** Loads or refreshes the replica where that is due; [isWanted] is false on a member that is to keep none. */
+    /** Loads or refreshes the replica if that is due; discards it if [isWanted] is false, on a member that should keep none. */
     fun tick(isWanted: Boolean) {
-        // A new leader waits for its rows: a member that leads is no standby, but must not discard them.
+        // This member was elected and waits for these rows: as the leader it is no longer a standby, but must not discard them.
         if (state == ReplicaState.TAKING_OVER) return
         if (!isWanted) return stop()
-        if (requests.isOpen || context.now < nextTickAt) return
+        if (requests.hasRequestInFlight || context.now < nextTickAt) return
         when (state) {
             ReplicaState.TAKING_OVER -> Unit
-            ReplicaState.OFF, ReplicaState.TOO_LARGE -> begin()
-            ReplicaState.LOADING -> load()
+            ReplicaState.OFF, ReplicaState.TOO_LARGE -> startLoading()
+            ReplicaState.LOADING -> loadNextTable()
             ReplicaState.FOLLOWING -> refresh()
         }
     }
 
-    /** Refreshes at the next tick, because the leader is suspected. */
+    /** Makes the next tick refresh the replica, because the leader is suspected. */
     fun refreshSoon() {
         if (state == ReplicaState.FOLLOWING) nextTickAt = context.now
     }
 
-    /** The replica's state, for operators. */
+    /** Returns the replica's state, for operators. */
     fun report(): ReplicaReport =
         ReplicaReport(
             state = state,
             rows = tables.sumOf { it.rows.size },
-            bytes = size,
+            bytes = estimatedBytes,
             revision = revision,
             lagSeconds = if (state == ReplicaState.FOLLOWING) context.now - refreshedAt else null,
-            lastDiscard = lastDiscard?.text.orEmpty(),
+            lastDiscardReason = lastFault?.text.orEmpty(),
         )
 
     private fun stop() {
@@ -85,13 +85,13 @@
 
     // --- loading
 
-    private fun begin() {
+    private fun startLoading() {
         reset()
         state = ReplicaState.LOADING
-        load()
+        loadNextTable()
     }
 
-    private fun load() {
+    private fun loadNextTable() {
         val table = tables[nextTable]
         val onListed =
             requests.begin<ListResult<Listing>> { result ->
@@ -116,12 +116,12 @@
     }
 
     private fun discardIfTooLarge(): Boolean {
-        if (size <= maxSize) return false
-        context.info("standby replica too large", "kilobytes" to size / BYTES_PER_KB, "max_kilobytes" to maxSize / BYTES_PER_KB)
-        lastDiscard = ReplicaFault.TooLarge
+        if (estimatedBytes <= maxBytes) return false
+        context.info("standby replica too large", "kilobytes" to estimatedBytes / BYTES_PER_KB, "max_kilobytes" to maxBytes / BYTES_PER_KB)
+        lastFault = ReplicaFault.TooLarge
         reset()
         state = ReplicaState.TOO_LARGE
-        nextTickAt = context.now + refreshSeconds * TOO_LARGE_PAUSE_REFRESHES
+        nextTickAt = context.now + refreshSeconds * TOO_LARGE_RETRY_REFRESHES
         return true
     }
 
@@ -141,7 +141,7 @@
     override fun onFault(fault: ReplicaFault) {
         context.info("standby replica discarded", "reason" to fault.text)
         context.count("failover.replica.discarded")
-        lastDiscard = fault
+        lastFault = fault
         reset()
         state = ReplicaState.LOADING
         nextTickAt = context.now + refreshSeconds
@@ -150,20 +150,20 @@
     // --- taking over
 
     /**
-     * For a new leader, whose fencing token [fence] lets nobody else change what it reads: all tables up to a revision at or above it.
-     * Null where that cannot be verified, and all must be read.
+     * Passes all tables to [onResult] for a new leader, complete up to a revision at or above its [fencingToken], which prevents other
+     * members from changing the rows. Passes null if that cannot be verified, so that all rows must be read.
      */
     fun takeOver(
-        fence: Long,
+        fencingToken: Long,
         onResult: (Map<String, Listing>?) -> Unit,
     ) {
         if (state != ReplicaState.FOLLOWING) return onResult(null)
-        // Answers to open refreshes must change nothing from here on.
+        // Responses to refreshes in flight must change nothing from here on.
         requests.reset()
         state = ReplicaState.TAKING_OVER
-        ReplicaCatchUp(store, tables, fence).run { result ->
+        ReplicaCatchUp(store, tables, fencingToken).run { result ->
             if (result is CatchUpResult.Failed) {
-                lastDiscard = result.fault
+                lastFault = result.fault
                 context.info("standby replica not used", "reason" to result.fault.text)
             }
             reset()
@@ -175,7 +175,7 @@
     private companion object {
         const val BYTES_PER_KB = 1024
 
-        /** How long a replica that was too large is not tried again, in refreshes. */
-        const val TOO_LARGE_PAUSE_REFRESHES = 60
+        /** Delay until a replica that was too large is loaded again, in refresh intervals. */
+        const val TOO_LARGE_RETRY_REFRESHES = 60
     }
 }
--- a/src/main/kotlin/burlridge/failover/TakeoverProgress.kt
+++ b/src/main/kotlin/burlridge/failover/TakeoverProgress.kt
@@ -3,7 +3,7 @@
 import burlridge.core.StepContext
 import burlridge.leadership.Leadership
 
-/** Observes what a new leader reaches after its election: its first start of a task, and an answer to every worker. */
+/** Traces the progress of a new leader after its election: its first task start, and its answer to every worker. */
 internal class TakeoverProgress(
     private val context: StepContext,
     private val leadership: Leadership,
@@ -11,12 +11,12 @@
     private val trace: (LeaderChangeEvent) -> Unit,
 ) {
     private val term = leadership.term
-    private val startsBefore = controller.startsSent
-    private var hasStarted = false
-    private var hasAnsweredAll = false
+    private val startsSentBefore = controller.startsSent
+    private var hasSentFirstStart = false
+    private var hasAnsweredAllWorkers = false
     private var nextCheckAt = 0.0
 
-    /** Checks twice in each interval between statuses. */
+    /** Checks the progress twice in each interval between statuses. */
     fun tick() {
         if (context.now < nextCheckAt) return
         nextCheckAt = context.now + Leadership.STATUS_INTERVAL_SECONDS / 2
@@ -25,16 +25,16 @@
     }
 
     private fun checkFirstStart() {
-        if (hasStarted || controller.startsSent <= startsBefore) return
-        hasStarted = true
-        trace(LeaderChangeEvent.FirstStart(term))
+        if (hasSentFirstStart || controller.startsSent <= startsSentBefore) return
+        hasSentFirstStart = true
+        trace(LeaderChangeEvent.FirstTaskStart(term))
     }
 
     private fun checkWorkers() {
-        if (hasAnsweredAll) return
+        if (hasAnsweredAllWorkers) return
         val workers = controller.workerResponseCount()
         if (workers.known == 0 || workers.answered != workers.known) return
-        hasAnsweredAll = true
+        hasAnsweredAllWorkers = true
         val elapsedSeconds = context.now - leadership.electedAt
         context.info("all workers answered", "term" to term, "workers" to workers.known, "seconds" to "%.2f".format(elapsedSeconds))
         trace(LeaderChangeEvent.AllWorkersAnswered(term, workers.known))
--- a/src/test/kotlin/burlridge/app/LeaderChangeTracerTest.kt
+++ b/src/test/kotlin/burlridge/app/LeaderChangeTracerTest.kt
@@ -27,7 +27,7 @@
         tracer.at(1_000, LeaderChangeEvent.LivenessChanged(suspected))
         tracer.at(2_000, LeaderChangeEvent.Elected(7, "the leader's lease had ended"))
         tracer.at(2_030, LeaderChangeEvent.RowsRead(7, 120, fromReplica = true))
-        tracer.at(2_500, LeaderChangeEvent.FirstStart(7))
+        tracer.at(2_500, LeaderChangeEvent.FirstTaskStart(7))
         tracer.at(5_000, LeaderChangeEvent.AllWorkersAnswered(7, 40))
         tracer.at(9_000, LeaderChangeEvent.HandoverBegan("drover-2", "it is draining"))
         tracer.at(9_040, LeaderChangeEvent.HandoverEnded("drover-2", "done"))
--- a/src/test/kotlin/burlridge/failover/FailoverInputTest.kt
+++ b/src/test/kotlin/burlridge/failover/FailoverInputTest.kt
@@ -17,26 +17,26 @@
 import org.junit.jupiter.api.Assertions.assertTrue
 import org.junit.jupiter.api.Test
 
-/** What outsiders, older and later versions and operators send wrongly. */
+/** Invalid and unexpected input from unknown senders, from other versions and from operators. */
 internal class FailoverInputTest {
-    private fun SimulatedCluster.ask(
+    private fun SimulatedCluster.sendRequest(
         member: String,
         method: String,
         path: String,
     ): Pair<Int, JsonNode> {
-        var answer: Pair<Int, JsonNode>? = null
-        request("operator", member, method, path, "", 5.0) { status, body -> answer = status to Json.parse(body) }
+        var response: Pair<Int, JsonNode>? = null
+        request("operator", member, method, path, "", 5.0) { status, body -> response = status to Json.parse(body) }
         run(clock.now + 3.0)
-        return answer ?: error("no answer")
+        return response ?: error("no response")
     }
 
     @Test
-    fun `the operators' section is read, and each wrong key named in one line`() {
+    fun `the failover section is parsed, and each invalid key is named in a one-line message`() {
         val settings = OperatorSettings.parse("[failover]\nstandbys = 2\nsuspect_level = 6.5\ntrace_file = t.jsonl\n").failover
         assertEquals(FailoverSettings(standbys = 2, suspectLevel = 6.5, traceFile = "t.jsonl"), settings)
         assertEquals(FailoverSettings(), OperatorSettings.parse("[failover]\n").failover)
         assertEquals(null, OperatorSettings.parse("[fleet]\n").failover)
-        val wrong =
+        val expectedMessages =
             mapOf(
                 "standby = 1" to "unknown key standby",
                 "standbys = 1.5" to "standbys in [failover] must be a whole number",
@@ -48,47 +48,47 @@
                 "slow_stalls = 1e9" to "slow_stalls in [failover]",
                 "trace_file =" to "trace_file in [failover] is empty",
             )
-        for ((line, complaint) in wrong) {
+        for ((line, expected) in expectedMessages) {
             val message =
                 assertThrows(
                     InvalidSettingsException::class.java,
                     { OperatorSettings.parse("[failover]\n$line\n") },
                     line,
                 ).message.orEmpty()
-            assertTrue(complaint in message && '\n' !in message, message)
+            assertTrue(expected in message && '\n' !in message, message)
         }
     }
 
     @Test
-    fun `heartbeats that are copies, from the future or of strangers are refused, counted and logged once`() {
+    fun `heartbeats that are duplicates, from the future or from unknown members are refused, counted and logged once`() {
         val cluster = SimulatedCluster(1, operator = withFailover)
         cluster.run(10.0)
         val status = FailoverStatus(incarnation = 1, sequence = 1)
 
-        fun heartbeat(
+        fun sendHeartbeat(
             from: String,
             failover: FailoverStatus,
         ) = cluster.tell("drover-0", PeerMessage.Status(from, 0, "", false, false, true, emptyList(), failover))
-        repeat(50) { heartbeat("drover-1", status) }
-        heartbeat("drover-1", status.copy(incarnation = Long.MAX_VALUE, sequence = 9))
-        heartbeat("drover-9", status)
-        heartbeat("", status.copy(incarnation = -5, sequence = Long.MIN_VALUE))
+        repeat(50) { sendHeartbeat("drover-1", status) }
+        sendHeartbeat("drover-1", status.copy(incarnation = Long.MAX_VALUE, sequence = 9))
+        sendHeartbeat("drover-9", status)
+        sendHeartbeat("", status.copy(incarnation = -5, sequence = Long.MIN_VALUE))
         assertEquals(53, cluster.work("drover-0")["failover.heartbeats_refused"])
         cluster.run(20.0)
         assertEquals(1, cluster.log.count { "heartbeats refused" in it }, cluster.log.filter { "heartbeat" in it }.toString())
-        val views = cluster.ask("drover-0", "GET", MemberRequests.STATUS).second.path("members")
-        assertEquals(listOf("drover-1", "drover-2"), views.map { it.path("member").asText() })
-        assertTrue(views.all { it.path("state").asText() == "alive" }, views.toString())
+        val reports = cluster.sendRequest("drover-0", "GET", MemberRequests.STATUS).second.path("members")
+        assertEquals(listOf("drover-1", "drover-2"), reports.map { it.path("member").asText() })
+        assertTrue(reports.all { it.path("state").asText() == "alive" }, reports.toString())
     }
 
-    /** None of these may move the leadership, whatever the order: each names an attempt, a term or a member that is not the one. */
+    /** None of these messages may change the leader, whatever their order: each names a wrong attempt, term or member. */
     @Test
-    fun `steps of a handover that was never offered change nothing`() {
+    fun `messages of a handover that was never offered change nothing`() {
         val cluster = SimulatedCluster(2, operator = withFailover)
         cluster.run(10.0)
         val leader = cluster.leader()!!
         val term = Json.parse(cluster.state.value("term").toString()).path("n").asLong()
-        val steps =
+        val messages =
             listOf(
                 HandoverMessage.Accept(7, term, 1),
                 HandoverMessage.Accept(0, -1, Long.MAX_VALUE),
@@ -98,9 +98,9 @@
                 HandoverMessage.Offer(7, term, "not the leader's"),
             )
         for (member in cluster.members) {
-            for (from in cluster.members + "drover-9") steps.forEach { cluster.tell(member, PeerMessage.Handover(from, it)) }
+            for (from in cluster.members + "drover-9") messages.forEach { cluster.tell(member, PeerMessage.Handover(from, it)) }
         }
-        // An offer that the leader did not make leaves a lease that nobody uses.
+        // An offer that the leader did not make leaves an unused lease.
         cluster.run(60.0)
         assertEquals(leader, cluster.leader())
         assertEquals(
@@ -110,56 +110,56 @@
                 ?.path("n")
                 ?.asLong(),
         )
-        // From a stranger, and in its own name.
-        assertEquals(setOf(steps.size * 2L), cluster.members.map { cluster.work(it)["failover.messages_refused"] }.toSet())
+        // Each member refuses the messages of the unknown member and those that carry its own name.
+        assertEquals(setOf(messages.size * 2L), cluster.members.map { cluster.work(it)["failover.messages_refused"] }.toSet())
     }
 
     @Test
-    fun `status and drain answer what they are asked and say why not`() {
+    fun `status and drain respond to valid requests and give the reason for a refusal`() {
         val cluster = SimulatedCluster(3, operator = withFailover)
         cluster.run(10.0)
         val leader = cluster.leader()!!
         val (other, third) = cluster.members.filter { it != leader }
-        val (status, report) = cluster.ask(other, "GET", MemberRequests.STATUS)
+        val (status, report) = cluster.sendRequest(other, "GET", MemberRequests.STATUS)
         assertEquals(200, status)
         assertEquals(leader, report.path("leader").asText())
         val text = FailoverReportFormatter.describe(report)
         assertTrue("leader $leader, term 1" in text && "$third alive" in text, text)
-        assertEquals(405, cluster.ask(other, "POST", MemberRequests.STATUS).first)
-        assertEquals(405, cluster.ask(other, "GET", MemberRequests.DRAIN).first)
-        assertEquals(404, cluster.ask(other, "GET", "/admin/other").first)
-        val (unknown, why) = cluster.ask(other, "POST", MemberRequests.DRAIN + "/drover-9")
-        assertEquals(409 to "drover-9 is not drained: there is no member drover-9", unknown to why.path("error").asText())
+        assertEquals(405, cluster.sendRequest(other, "POST", MemberRequests.STATUS).first)
+        assertEquals(405, cluster.sendRequest(other, "GET", MemberRequests.DRAIN).first)
+        assertEquals(404, cluster.sendRequest(other, "GET", "/admin/other").first)
+        val (unknownStatus, unknownBody) = cluster.sendRequest(other, "POST", MemberRequests.DRAIN + "/drover-9")
+        assertEquals(409 to "drover-9 is not drained: there is no member drover-9", unknownStatus to unknownBody.path("error").asText())
         cluster.crash(third, 1000.0)
         cluster.run(cluster.clock.now + 10.0)
-        val (dead, reason) = cluster.ask(other, "POST", MemberRequests.DRAIN + "/$third")
-        assertEquals(409, dead)
-        assertTrue("$third is suspected" in reason.path("error").asText(), reason.toString())
-        assertEquals(200, cluster.ask(other, "POST", MemberRequests.DRAIN + "/$leader").first)
+        val (notAliveStatus, notAliveBody) = cluster.sendRequest(other, "POST", MemberRequests.DRAIN + "/$third")
+        assertEquals(409, notAliveStatus)
+        assertTrue("$third is suspected" in notAliveBody.path("error").asText(), notAliveBody.toString())
+        assertEquals(200, cluster.sendRequest(other, "POST", MemberRequests.DRAIN + "/$leader").first)
         cluster.run(cluster.clock.now + 5.0)
         assertEquals(other, cluster.leader(), cluster.log.takeLast(20).joinToString("\n"))
-        assertEquals(200, cluster.ask(leader, "POST", MemberRequests.DRAIN).first, "asked for twice it is one drain")
+        assertEquals(200, cluster.sendRequest(leader, "POST", MemberRequests.DRAIN).first, "a repeated drain request is accepted")
         assertTrue(
             cluster
-                .ask(leader, "GET", MemberRequests.STATUS)
+                .sendRequest(leader, "GET", MemberRequests.STATUS)
                 .second
                 .path("drained")
                 .asBoolean(),
         )
-        val (last, lastWhy) = cluster.ask(other, "POST", MemberRequests.DRAIN)
-        assertEquals(409 to "$other is not drained: no other member is alive to take over", last to lastWhy.path("error").asText())
+        val (lastStatus, lastBody) = cluster.sendRequest(other, "POST", MemberRequests.DRAIN)
+        assertEquals(409 to "$other is not drained: no other member is alive to take over", lastStatus to lastBody.path("error").asText())
     }
 
     @Test
-    fun `without failover there are no such paths`() {
+    fun `without failover the status and drain paths do not exist`() {
         val cluster = SimulatedCluster(4)
         cluster.run(10.0)
-        assertEquals(404, cluster.ask("drover-0", "GET", MemberRequests.STATUS).first)
-        assertEquals(404, cluster.ask("drover-0", "POST", MemberRequests.DRAIN).first)
+        assertEquals(404, cluster.sendRequest("drover-0", "GET", MemberRequests.STATUS).first)
+        assertEquals(404, cluster.sendRequest("drover-0", "POST", MemberRequests.DRAIN).first)
     }
 
     @Test
-    fun `the command line takes status and drain`() {
+    fun `the command line accepts status and drain`() {
         val files = SettingsFiles("a.json", "b.ini")
         val both = listOf("--config", "a.json", "--settings", "b.ini")
         assertEquals(CommandLine.Status(files), CommandLine.parse(listOf("status") + both))
--- a/src/test/kotlin/burlridge/failover/HandoverTest.kt
+++ b/src/test/kotlin/burlridge/failover/HandoverTest.kt
@@ -13,15 +13,15 @@
 
 /** Planned handovers and drains in the whole service, in virtual time. */
 internal class HandoverTest {
-    /** The longest time without a leader from [from] on, in seconds. */
-    private fun SimulatedCluster.watchGaps(from: Double): () -> Double {
+    /** Begins to measure at second [from]; the returned function gives the longest time without a leader since then, in seconds. */
+    private fun SimulatedCluster.measureLeaderlessTime(from: Double): () -> Double {
         var longest = 0.0
-        var since = from
+        var lastLeaderAt = from
 
         fun sample() {
             if (leader() != null) {
-                longest = maxOf(longest, clock.now - since)
-                since = clock.now
+                longest = maxOf(longest, clock.now - lastLeaderAt)
+                lastLeaderAt = clock.now
             }
             clock.after(0.02) { sample() }
         }
@@ -30,10 +30,10 @@
     }
 
     @Test
-    fun `a drained leader hands over within a fraction of a second and nothing is lost`() {
+    fun `a drained leader hands over within a fraction of a second and no task is lost`() {
         val cluster = failoverCluster(1)
         val jobs = cluster.submitJobs()
-        val gap = cluster.watchGaps(10.0)
+        val longestGap = cluster.measureLeaderlessTime(10.0)
         var drained: String? = null
         cluster.clock.after(20.0) {
             drained = cluster.leader()
@@ -42,22 +42,22 @@
         cluster.run(120.0)
         cluster.assertCorrect(jobs)
         assertNotEquals(drained, cluster.leader())
-        assertTrue(gap() < 0.5, "without a leader for ${gap()} s\n${cluster.tail()}")
-        assertEquals(1, cluster.logged("handed over by"))
-        assertEquals(0, cluster.logged("task lost"), "a task was lost")
+        assertTrue(longestGap() < 0.5, "without a leader for ${longestGap()} s\n${cluster.logTail()}")
+        assertEquals(1, cluster.logLineCount("handed over by"))
+        assertEquals(0, cluster.logLineCount("task lost"), "a task was lost")
     }
 
     @Test
-    fun `six handovers one after the other, each old leader stopped and back`() {
+    fun `six handovers in a row succeed while each former leader is restarted`() {
         val cluster = failoverCluster(3)
         val jobs = cluster.submitJobs(30)
         val leaders = ArrayList<String>()
         cluster.onLeader = { leaders += it }
-        for (turn in 0 until 6) {
-            cluster.clock.after(15.0 + turn * 12.0) {
+        for (round in 0 until 6) {
+            cluster.clock.after(15.0 + round * 12.0) {
                 val leader = cluster.leader() ?: return@after
                 cluster.drain(leader)
-                // Stopped and started anew once it is out, as in a rolling restart.
+                // Restart the former leader once it no longer leads, as in a rolling restart.
                 cluster.clock.after(4.0) { if (cluster.leader() != leader) cluster.crash(leader, 1.0) }
             }
         }
@@ -65,26 +65,26 @@
         cluster.assertCorrect(jobs)
         assertEquals(7, leaders.size, leaders.toString())
         assertEquals(leaders.size - 1, leaders.zipWithNext().count { (one, next) -> one != next }, leaders.toString())
-        assertEquals(0, cluster.logged("task lost"), "a task was lost")
+        assertEquals(0, cluster.logLineCount("task lost"), "a task was lost")
     }
 
     @Test
-    fun `a drain with nobody to take over is refused, and asked for twice it is one drain`() {
+    fun `a drain without a possible successor is refused, and repeated requests start one handover`() {
         val cluster = failoverCluster(4)
         cluster.clock.after(10.0) { cluster.members.filter { it != cluster.leader() }.forEach { cluster.crash(it, 1000.0) } }
         cluster.clock.after(20.0) { cluster.drain(cluster.leader()!!) }
         cluster.run(30.0)
-        assertEquals(1, cluster.logged("drain refused reason=\"no other member is alive to take over\""))
+        assertEquals(1, cluster.logLineCount("drain refused reason=\"no other member is alive to take over\""))
         assertTrue(cluster.leader() != null)
-        val other = failoverCluster(5)
-        other.clock.after(10.0) { repeat(3) { other.drain(other.leader() ?: "drover-0") } }
-        other.run(30.0)
-        assertEquals(1, other.handoversStarted("it is draining"))
+        val repeatedlyDrained = failoverCluster(5)
+        repeatedlyDrained.clock.after(10.0) { repeat(3) { repeatedlyDrained.drain(repeatedlyDrained.leader() ?: "drover-0") } }
+        repeatedlyDrained.run(30.0)
+        assertEquals(1, repeatedlyDrained.handoversStarted("it is draining"))
     }
 
-    /** Guards the check where effects leave: without it what was decided before the pause goes out after a minute. */
+    /** Guards the check of deadlines when effects are sent: without it, effects decided before the pause are sent a minute later. */
     @Test
-    fun `a leader that pauses for a minute between decision and departure sends nothing of it when it wakes`() {
+    fun `a leader paused for a minute between deciding on effects and sending them does not send them on resuming`() {
         for (seed in 1..6) {
             val cluster = failoverCluster(seed)
             val jobs =
@@ -99,19 +99,22 @@
         }
     }
 
-    /** Guards the age of the successor's lease: named in the rows and asleep for longer than that, it must not begin to lead. */
+    /**
+     * Guards the check of the age of the successor's lease: a successor that the rows name, but that was paused for longer than its lease,
+     * must not begin to lead.
+     */
     @Test
-    fun `a successor that sleeps through its lease follows whoever was elected`() {
+    fun `a successor paused for longer than its lease follows the elected leader`() {
         for (seed in 1..5) {
             val cluster = failoverCluster(20 + seed)
             val jobs = cluster.submitJobs(30)
-            var asleep: String? = null
+            var frozenSuccessor: String? = null
             cluster.onCall = { _, call ->
-                val named = Json.parseOrNull(call.body)?.path("then")?.firstOrNull { it.path("set").asText() == "leader" }
-                if (cluster.clock.now > 19.9 && asleep == null && named != null) {
-                    // The transfer is on its way; whom it names stands still before it can hear of it.
-                    asleep =
-                        named
+                val leaderRowUpdate = Json.parseOrNull(call.body)?.path("then")?.firstOrNull { it.path("set").asText() == "leader" }
+                if (cluster.clock.now > 19.9 && frozenSuccessor == null && leaderRowUpdate != null) {
+                    // The transfer has been sent; freeze the successor that it names before it can learn of it.
+                    frozenSuccessor =
+                        leaderRowUpdate
                             .path("value")
                             .path("member")
                             .asText()
@@ -121,9 +124,9 @@
             }
             cluster.clock.after(20.0) { cluster.leader()?.let(cluster::drain) }
             cluster.run(160.0)
-            assertNotEquals(null, asleep)
+            assertNotEquals(null, frozenSuccessor)
             cluster.assertCorrect(jobs)
-            assertTrue(cluster.log.any { "leader elected" in it && "term=3 " in it }, cluster.tail())
+            assertTrue(cluster.log.any { "leader elected" in it && "term=3 " in it }, cluster.logTail())
         }
     }
 
@@ -131,20 +134,20 @@
     fun `a slow leader hands over by itself, a steady one does not`() {
         val cluster = failoverCluster(8, OperatorSettings(failover = FailoverSettings(slowStalls = 3)))
         val jobs = cluster.submitJobs()
-        var slow: String? = null
+        var slowLeader: String? = null
         cluster.clock.after(15.0) {
-            slow = cluster.leader()
-            repeat(4) { i -> cluster.clock.after(i * 1.2) { slow?.let { if (cluster.leader() == it) cluster.freeze(it, 0.9) } } }
+            slowLeader = cluster.leader()
+            repeat(4) { i -> cluster.clock.after(i * 1.2) { slowLeader?.let { if (cluster.leader() == it) cluster.freeze(it, 0.9) } } }
         }
         cluster.run(120.0)
         cluster.assertCorrect(jobs)
-        assertTrue(cluster.handoversStarted("it stood still") >= 1, cluster.tail())
-        assertNotEquals(slow, cluster.leader())
+        assertTrue(cluster.handoversStarted("it stood still") >= 1, cluster.logTail())
+        assertNotEquals(slowLeader, cluster.leader())
     }
 
-    /** Old and new together: the leader's row is the same, so a member without failover follows a handover. */
+    /** Members with and without failover in one cluster: the leader row is the same, so a member without failover follows a handover. */
     @Test
-    fun `members without failover follow one that hands over`() {
+    fun `a member without failover follows a handover`() {
         val cluster = SimulatedCluster(9, operatorOf = { if (it == "drover-2") OperatorSettings() else withFailover })
         val jobs = cluster.submitJobs()
         cluster.clock.after(20.0) { cluster.leader()?.let(cluster::drain) }
@@ -153,7 +156,7 @@
     }
 
     @Test
-    fun `switched off it counts nothing, sends nothing and keeps nothing`() {
+    fun `failover that is switched off records no counters and drains no member`() {
         val cluster = SimulatedCluster(10)
         val jobs = cluster.submitJobs(5)
         cluster.clock.after(10.0) { cluster.leader()?.let(cluster::drain) }
@@ -166,6 +169,6 @@
                 .filter { it.startsWith("failover") }
                 .toSet(),
         )
-        assertEquals(0, cluster.logged("draining"))
+        assertEquals(0, cluster.logLineCount("draining"))
     }
 }
--- a/src/test/kotlin/burlridge/failover/OperatorTextTest.kt
+++ b/src/test/kotlin/burlridge/failover/OperatorTextTest.kt
@@ -3,7 +3,7 @@
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Test
 
-/** Texts that leave the process in HTTP bodies, handover messages, counters and traces: other versions and operators' tools read them. */
+/** Texts that leave the process in HTTP bodies, handover messages, counters and traces; other versions and operators' tools read them. */
 internal class OperatorTextTest {
     @Test
     fun `states keep their labels`() {
@@ -13,7 +13,7 @@
     }
 
     @Test
-    fun `refused drains keep their texts`() {
+    fun `drain refusals keep their texts`() {
         val silent = MemberView("b", Liveness.SUSPECTED, 5.0, "silent for 2.00 s, level 5.0", 1.0)
         val texts =
             mapOf(
@@ -26,14 +26,14 @@
     }
 
     @Test
-    fun `steps of a handover keep their reasons`() {
+    fun `handover reasons and outcomes keep their texts`() {
         assertEquals("it is draining", HandoverReason.Draining.text)
         assertEquals("it stood still 3 times lately", HandoverReason.Stalled(3).text)
         val texts =
             mapOf(
-                DeclineReason.LeadsItself to "it leads itself",
-                DeclineReason.FollowsAnother("c") to "it follows c",
-                DeclineReason.FollowsAnother(null) to "it follows nobody",
+                DeclineReason.AlreadyLeader to "it leads itself",
+                DeclineReason.FollowsOtherLeader("c") to "it follows c",
+                DeclineReason.FollowsOtherLeader(null) to "it follows nobody",
                 DeclineReason.StoreUnavailable to "the state service refuses it",
                 DeclineReason.LeaseNotGranted to "it gets no lease",
                 DeclineReason.Draining to "it is draining",
@@ -47,7 +47,7 @@
     }
 
     @Test
-    fun `discarded replicas keep their reasons`() {
+    fun `replica faults keep their texts`() {
         val tooOld = BatchFault.ChangeTooOld("live/1", 3, 5)
         val texts =
             mapOf(
@@ -58,7 +58,7 @@
                 ReplicaFault.AuditFailed("live/", AuditDifference.SurplusRow("live/1")) to
                     "audit of live/: live/1 is gone from the state service",
                 ReplicaFault.CatchUpFailed("live/", 503) to "the changes of live/ cannot be read (503)",
-                ReplicaFault.BehindFence("live/", 5, 7) to "live/ is known up to 5, below the fence 7",
+                ReplicaFault.BehindFencingToken("live/", 5, 7) to "live/ is known up to 5, below the fence 7",
                 ReplicaFault.DigestMismatch("live/") to "live/ does not match its digest",
                 ReplicaFault.UnreadableRow("live/") to "a row of live/ cannot be read",
                 BatchFault.RevisionWentBack(4, 5) to "revision 4 after 5",
--- a/src/test/kotlin/burlridge/failover/ReplicaTakeoverTest.kt
+++ b/src/test/kotlin/burlridge/failover/ReplicaTakeoverTest.kt
@@ -5,11 +5,11 @@
 import org.junit.jupiter.api.Assertions.assertTrue
 import org.junit.jupiter.api.Test
 
-/** Standby replicas in the whole service, in virtual time: that new leaders use them, and only correct ones. */
+/** Standby replicas in the whole service, in virtual time: new leaders use them, but only if they are correct. */
 internal class ReplicaTakeoverTest {
-    /** Guards the proof by revision: what the successor did not read in full it must have by the change feed. */
+    /** Guards the check by revision: rows that the successor did not read in full must have come from the change feed. */
     @Test
-    fun `a successor reads from its replica, and a leader that dies leaves one as well`() {
+    fun `a new leader reads its rows from its replica, after a handover or a crash`() {
         val cluster = failoverCluster(2)
         val jobs = cluster.submitJobs()
         cluster.clock.after(20.0) { cluster.leader()?.let(cluster::drain) }
@@ -20,45 +20,45 @@
         assertTrue(fromReplica > 0, cluster.work("drover-0").toString())
     }
 
-    /** Guards the audit: a feed that leaves a change out looks whole by its revisions. */
+    /** Guards the audit: a feed that omits a change looks complete by its revisions. */
     @Test
-    fun `a change that the feed left out is found, and the replica read anew`() {
+    fun `a change omitted by the feed is detected, and the replica is discarded`() {
         val cluster = failoverCluster(11)
         val jobs = cluster.submitJobs(40)
-        var left = 0
+        var omittedChanges = 0
         cluster.state.tamperWithChanges = { prefix, answer ->
-            val removed = answer.path("events").indexOfFirst { it.has("remove") }
-            if (prefix == "live/" && cluster.clock.now > 20.0 && left < 5 && removed >= 0) {
-                (answer.path("events") as ArrayNode).remove(removed)
-                left++
+            val removalIndex = answer.path("events").indexOfFirst { it.has("remove") }
+            if (prefix == "live/" && cluster.clock.now > 20.0 && omittedChanges < 5 && removalIndex >= 0) {
+                (answer.path("events") as ArrayNode).remove(removalIndex)
+                omittedChanges++
             }
         }
         cluster.run(90.0)
-        assertTrue(left > 0)
-        assertTrue(cluster.logged("standby replica discarded reason=\"audit of live/") > 0, cluster.tail())
+        assertTrue(omittedChanges > 0)
+        assertTrue(cluster.logLineCount("standby replica discarded reason=\"audit of live/") > 0, cluster.logTail())
         cluster.run(160.0)
         cluster.assertCorrect(jobs)
     }
 
-    /** Guards the proof by revision: without it a new leader takes what was known some seconds ago for all there is. */
+    /** Guards the check by revision: without it, a new leader would take rows that are some seconds old for the current ones. */
     @Test
-    fun `a replica that is not shown to be as far as the fence is not used`() {
+    fun `a replica that is not known to be complete up to the fencing token is not used`() {
         val cluster = failoverCluster(12)
         val jobs = cluster.submitJobs(30)
-        var stale = false
+        var isFeedStale = false
         val revisions = HashMap<String, Long>()
         cluster.state.tamperWithChanges = { prefix, answer ->
-            if (stale) {
+            if (isFeedStale) {
                 (answer as ObjectNode).put("ledgerRev", revisions.getValue(prefix)).putArray("events")
             } else {
                 revisions[prefix] = answer.path("ledgerRev").asLong()
             }
         }
-        cluster.clock.after(25.0) { stale = true }
+        cluster.clock.after(25.0) { isFeedStale = true }
         cluster.clock.after(32.0) { cluster.leader()?.let { cluster.crash(it, 3.0) } }
-        cluster.clock.after(45.0) { stale = false }
+        cluster.clock.after(45.0) { isFeedStale = false }
         cluster.run(150.0)
-        assertTrue(cluster.logged("standby replica not used") > 0, cluster.tail())
+        assertTrue(cluster.logLineCount("standby replica not used") > 0, cluster.logTail())
         cluster.assertCorrect(jobs)
     }
 }
--- a/src/test/kotlin/burlridge/failover/RequestGateTest.kt
+++ b/src/test/kotlin/burlridge/failover/RequestGateTest.kt
@@ -10,23 +10,26 @@
     private val results = ArrayList<Int>()
 
     @Test
-    fun `a result closes the gate before it is passed on`() {
-        val complete = gate.begin<Int> { if (!gate.isOpen) results += it }
-        assertTrue(gate.isOpen)
+    fun `a request is no longer in flight when its result is passed on`() {
+        val complete = gate.begin<Int> { if (!gate.hasRequestInFlight) results += it }
+        assertTrue(gate.hasRequestInFlight)
         complete(1)
         assertEquals(listOf(1), results)
-        assertFalse(gate.isOpen)
+        assertFalse(gate.hasRequestInFlight)
     }
 
-    /** Guards what was read anew since: the result of a request from before must neither be applied nor let a second one through. */
+    /**
+     * Guards what was read again since the reset: the result of an earlier request must neither be applied nor allow a second request to
+     * be in flight.
+     */
     @Test
     fun `a result from before a reset is dropped`() {
         val stale = gate.begin<Int> { results += it }
         gate.reset()
-        assertFalse(gate.isOpen)
+        assertFalse(gate.hasRequestInFlight)
         val current = gate.begin<Int> { results += it }
         stale(1)
-        assertTrue(gate.isOpen)
+        assertTrue(gate.hasRequestInFlight)
         current(2)
         assertEquals(listOf(2), results)
     }
--- a/src/test/kotlin/burlridge/failover/TransferInDoubtTest.kt
+++ b/src/test/kotlin/burlridge/failover/TransferInDoubtTest.kt
@@ -12,31 +12,31 @@
 import org.junit.jupiter.api.Assertions.assertTrue
 import org.junit.jupiter.api.Test
 
-/** Handovers whose transfer is refused, late, or of unknown outcome, in virtual time. */
+/** Handovers whose transfer is refused, late or of unknown outcome, in virtual time. */
 internal class TransferInDoubtTest {
-    /** Guards the stop of renewals while a transfer is under way: only the answer of the transfer is lost, and it was carried out. */
+    /** Guards the stop of lease renewals during a transfer: the transfer is executed, and only its response is lost. */
     @Test
-    fun `a transfer of which only the answer is lost makes one leader`() {
+    fun `a transfer whose response is lost results in one leader`() {
         val cluster = failoverCluster(6)
         val jobs = cluster.submitJobs(30)
-        var lost = 0
+        var lostResponses = 0
         cluster.onCall = { _, call ->
-            val transfer = call.path == "/multi" && call.body.orEmpty().contains("\"set\":\"leader\"") && cluster.clock.now > 19.0
-            if (transfer && lost++ == 0) SimulatedCluster.CallFate.ANSWER_LOST else SimulatedCluster.CallFate.FINE
+            val isTransfer = call.path == "/multi" && call.body.orEmpty().contains("\"set\":\"leader\"") && cluster.clock.now > 19.0
+            if (isTransfer && lostResponses++ == 0) SimulatedCluster.CallFate.ANSWER_LOST else SimulatedCluster.CallFate.FINE
         }
         cluster.clock.after(20.0) { cluster.leader()?.let(cluster::drain) }
         cluster.run(150.0)
         cluster.assertCorrect(jobs)
-        assertTrue(lost > 0)
-        assertEquals(1, cluster.logged("handed over by"), cluster.tail())
+        assertTrue(lostResponses > 0)
+        assertEquals(1, cluster.logLineCount("handed over by"), cluster.logTail())
     }
 
     /**
-     * Guards the silence of a leader whose transfer is in doubt: it was carried out, no answer of the state service to its writes
-     * arrives, no member tells it, and the next leader ends jobs that it would still call running.
+     * Guards that a leader whose transfer is in doubt does not answer from its own state: the transfer was executed, but no response of
+     * the state service to its writes arrives, no member informs it, and the next leader ends jobs that it would still report as running.
      */
     @Test
-    fun `a leader whose transfer is in doubt answers nothing of its own`() {
+    fun `a leader whose transfer is in doubt does not answer from its own state`() {
         for (seed in 30..33) {
             val cluster = failoverCluster(seed)
             val jobs =
@@ -44,14 +44,14 @@
                     cluster.job(i, 2, runSeconds = 3.0).also { job -> cluster.clock.after(5.0 + i * 0.4) { cluster.submit(job) } }
                 }
             cluster.closeLooks = true
-            var inDoubt: String? = null
+            var leaderInDoubt: String? = null
             cluster.onCall = { from, call ->
-                val transfer = inDoubt == null && cluster.clock.now > 19.9 && call.body.orEmpty().contains("\"set\":\"leader\"")
-                if (transfer) {
-                    inDoubt = from
+                val isTransfer = leaderInDoubt == null && cluster.clock.now > 19.9 && call.body.orEmpty().contains("\"set\":\"leader\"")
+                if (isTransfer) {
+                    leaderInDoubt = from
                     cluster.members.filter { it != from }.forEach { cluster.cut(from, it, 15.0) }
                 }
-                if (from == inDoubt && call.path == "/multi" &&
+                if (from == leaderInDoubt && call.path == "/multi" &&
                     cluster.clock.now < 35.0
                 ) {
                     SimulatedCluster.CallFate.ANSWER_LOST
@@ -61,62 +61,63 @@
             }
             cluster.clock.after(20.0) { cluster.leader()?.let(cluster::drain) }
             cluster.run(150.0)
-            assertNotEquals(null, inDoubt)
+            assertNotEquals(null, leaderInDoubt)
             cluster.assertCorrect(jobs)
         }
     }
 
     /**
-     * Guards the stop of renewals during a transfer, by itself: the old leader's lease could be renewed for ever, it hears a member that
-     * knows no better, and workers that reach only it run tasks that the next leader has cancelled.
+     * Guards the stop of lease renewals during a transfer, by itself: without it the old leader could renew its lease forever. It still
+     * receives statuses of a member that has not learned of the transfer, so that it does not count as isolated, and workers that reach
+     * only the old leader would keep running tasks that the next leader has cancelled.
      */
     @Test
-    fun `a leader whose transfer is in doubt keeps no cancelled task alive`() {
+    fun `a leader whose transfer is in doubt keeps no cancelled task running`() {
         val cluster = failoverCluster(34)
         val jobs = (0 until 6).map { cluster.job(it, 2, runSeconds = 300.0) }
         jobs.forEach { cluster.clock.after(5.0) { cluster.submit(it) } }
-        var inDoubt: String? = null
-        var confirmed = 0
-        cluster.onCancelled = { confirmed++ }
+        var leaderInDoubt: String? = null
+        var confirmedCancellations = 0
+        cluster.onCancelled = { confirmedCancellations++ }
         cluster.onCall = { from, call ->
-            val named = Json.parseOrNull(call.body)?.path("then")?.firstOrNull { it.path("set").asText() == "leader" }
-            if (inDoubt == null && cluster.clock.now > 59.9 && named != null) {
-                inDoubt = from
-                val next = named.path("value").path("member").asText()
-                val third = cluster.members.first { it != from && it != next }
+            val leaderRowUpdate = Json.parseOrNull(call.body)?.path("then")?.firstOrNull { it.path("set").asText() == "leader" }
+            if (leaderInDoubt == null && cluster.clock.now > 59.9 && leaderRowUpdate != null) {
+                leaderInDoubt = from
+                val successor = leaderRowUpdate.path("value").path("member").asText()
+                val third = cluster.members.first { it != from && it != successor }
                 cluster.refuse(third, 200.0)
-                listOf(from, third).forEach { cluster.cut(it, next, 200.0) }
-                cluster.cloud.names().forEach { cluster.cut(it, next, 200.0) }
-                jobs.forEach { job -> cluster.clock.after(1.0) { cluster.abort(job, next) } }
+                listOf(from, third).forEach { cluster.cut(it, successor, 200.0) }
+                cluster.cloud.names().forEach { cluster.cut(it, successor, 200.0) }
+                jobs.forEach { job -> cluster.clock.after(1.0) { cluster.abort(job, successor) } }
             }
-            if (from == inDoubt && call.path == "/multi") SimulatedCluster.CallFate.ANSWER_LOST else SimulatedCluster.CallFate.FINE
+            if (from == leaderInDoubt && call.path == "/multi") SimulatedCluster.CallFate.ANSWER_LOST else SimulatedCluster.CallFate.FINE
         }
         cluster.clock.after(60.0) { cluster.leader()?.let(cluster::drain) }
         cluster.run(60.0 + cluster.cancelSeconds * 2 + 30.0)
-        assertEquals(jobs.size, confirmed, "not confirmed by the next leader\n${cluster.tail()}")
-        assertEquals(emptyList<String>(), cluster.invariants.broken, cluster.tail())
+        assertEquals(jobs.size, confirmedCancellations, "not confirmed by the next leader\n${cluster.logTail()}")
+        assertEquals(emptyList<String>(), cluster.invariants.broken, cluster.logTail())
     }
 
     /**
-     * Guards the doubt: the first copy is carried out late, all others are refused, and a leader that gave up meanwhile would have a
-     * rival.
+     * Guards the in-doubt state of a transfer: the first copy is executed late and all others are refused. A leader that gave up in the
+     * meantime would lead at the same time as its successor.
      */
     @Test
-    fun `a transfer that is carried out late finds its leader still waiting`() {
-        // A long lease, so that it outlasts the wait for the first answer.
+    fun `a leader still waits for its transfer when that is executed late`() {
+        // A long lease, so that it outlasts the wait for the first response.
         val longLease = OperatorSettings(failover = FailoverSettings(), leaseReports = 3.0)
-        var copies = 0
+        var transferCopies = 0
         for (seed in 40..45) {
             val cluster = failoverCluster(seed, longLease)
             val jobs = cluster.submitJobs(30)
             cluster.lateSeconds = 8.0
-            var first = true
+            var isFirstCopy = true
             cluster.onCall = { _, call ->
-                val transfer = cluster.clock.now in 19.9..30.0 && call.body.orEmpty().contains("\"set\":\"leader\"")
-                if (transfer) copies++
+                val isTransfer = cluster.clock.now in 19.9..30.0 && call.body.orEmpty().contains("\"set\":\"leader\"")
+                if (isTransfer) transferCopies++
                 when {
-                    !transfer -> SimulatedCluster.CallFate.FINE
-                    first -> SimulatedCluster.CallFate.LATE.also { first = false }
+                    !isTransfer -> SimulatedCluster.CallFate.FINE
+                    isFirstCopy -> SimulatedCluster.CallFate.LATE.also { isFirstCopy = false }
                     else -> SimulatedCluster.CallFate.REFUSED
                 }
             }
@@ -124,26 +125,29 @@
             cluster.run(150.0)
             cluster.assertCorrect(jobs)
         }
-        assertTrue(copies > 6, "$copies copies, of which six are the first ones")
+        assertTrue(transferCopies > 6, "$transferCopies copies, of which six are the first ones")
     }
 
-    /** Guards the decision to lead on, which is taken only in the answer to a copy: a copy in the queue would transfer all the same. */
+    /**
+     * Guards that a leader decides to keep its term only on the response to a copy of the transfer: a copy that is still queued would
+     * transfer the leadership nevertheless.
+     */
     @Test
-    fun `a transfer that the state service refuses is given up and the leader leads on`() {
+    fun `a transfer that the state service refuses is abandoned and the leader keeps its term`() {
         val cluster = failoverCluster(7)
         val jobs = cluster.submitJobs(30)
         var leader: String? = null
         cluster.onCall = { _, call ->
-            val transfer = call.path == "/multi" && call.body.orEmpty().contains("\"set\":\"leader\"") && cluster.clock.now > 19.0
-            if (transfer && cluster.clock.now < 24.0) SimulatedCluster.CallFate.REFUSED else SimulatedCluster.CallFate.FINE
+            val isTransfer = call.path == "/multi" && call.body.orEmpty().contains("\"set\":\"leader\"") && cluster.clock.now > 19.0
+            if (isTransfer && cluster.clock.now < 24.0) SimulatedCluster.CallFate.REFUSED else SimulatedCluster.CallFate.FINE
         }
         cluster.clock.after(20.0) {
             leader = cluster.leader()
             cluster.leader()?.let(cluster::drain)
         }
         cluster.run(23.0)
-        assertEquals(leader, cluster.leader(), cluster.tail())
-        assertTrue(cluster.logged("outcome=abandoned reason=\"the state service refuses it\"") > 0, cluster.tail())
+        assertEquals(leader, cluster.leader(), cluster.logTail())
+        assertTrue(cluster.logLineCount("outcome=abandoned reason=\"the state service refuses it\"") > 0, cluster.logTail())
         cluster.run(150.0)
         cluster.assertCorrect(jobs)
         assertNotEquals(leader, cluster.leader())
