--- a/src/test/kotlin/burlridge/loopback/Await.kt
+++ b/src/test/kotlin/burlridge/loopback/Await.kt
@@ -1,20 +1,20 @@
 package burlridge.loopback
 
-private const val LONGEST_SECONDS = 90L
-private const val LOOK_MILLIS = 20L
+private const val DEFAULT_TIMEOUT_SECONDS = 90L
+private const val POLL_INTERVAL_MILLIS = 20L
 private const val NANOS_PER_SECOND = 1_000_000_000L
 
-/** Looks until [look] gives something other than null or false; a bound on the wait is all that time decides here. */
+/** Polls until [poll] returns something other than null or false, and returns that; fails only when [timeoutSeconds] have passed. */
 internal fun <T : Any> await(
-    what: String,
-    longestSeconds: Long = LONGEST_SECONDS,
-    look: () -> T?,
+    description: String,
+    timeoutSeconds: Long = DEFAULT_TIMEOUT_SECONDS,
+    poll: () -> T?,
 ): T {
-    val until = System.nanoTime() + longestSeconds * NANOS_PER_SECOND
+    val deadline = System.nanoTime() + timeoutSeconds * NANOS_PER_SECOND
     while (true) {
-        val found = look()
-        if (found != null && found != false) return found
-        check(System.nanoTime() < until) { "waited $longestSeconds s for: $what" }
-        Thread.sleep(LOOK_MILLIS)
+        val result = poll()
+        if (result != null && result != false) return result
+        check(System.nanoTime() < deadline) { "waited $timeoutSeconds s for: $description" }
+        Thread.sleep(POLL_INTERVAL_MILLIS)
     }
 }
--- a/src/test/kotlin/burlridge/loopback/BalanceLoopbackTest.kt
+++ b/src/test/kotlin/burlridge/loopback/BalanceLoopbackTest.kt
@@ -18,7 +18,7 @@
         @TempDir directory: File,
     ) {
         val plan =
-            LoopbackPlan(
+            LoopbackConfig(
                 controllers = 3,
                 machines = 16,
                 times = WorkerTimes(reportSeconds = 1.0, leaseSeconds = 6.0, cancelSeconds = 14.0),
@@ -27,7 +27,7 @@
                 jvmFlags = listOf("-XX:+UseSerialGC", "-XX:TieredStopAtLevel=1", "-Xmx96m"),
             )
         LoopbackCluster(plan, 2).use { cluster ->
-            await("the machines are up") { cluster.answered(1) >= 12 }
+            await("the machines are up") { cluster.workersAtTerm(1) >= 12 }
             cluster.onLoop {
                 repeat(JOBS) { i -> cluster.clock.after(i * 0.4) { cluster.submit(savingJob(cluster, i)) } }
             }
@@ -44,10 +44,10 @@
             cluster.process(second).freeze()
             await("a leader after the freeze") { leaderOrNull(cluster)?.takeIf { it != second } }
             await("the drained machines are gone") { cluster.onLoop { cluster.cloud.names().none { it in leaving } }.takeIf { it } }
-            cluster.process(second).wake()
+            cluster.process(second).resume()
             await("all jobs are over") { cluster.onLoop { cluster.unfinished.isEmpty() && cluster.jobs.size == JOBS }.takeIf { it } }
             await("all controllers answer") { cluster.controllers.all { it.isUp }.takeIf { it } }
-            cluster.onLoop { cluster.askEverywhere() }
+            cluster.onLoop { cluster.queryAllControllers() }
             val breaches =
                 cluster.onLoop {
                     cluster.invariants.broken + cluster.history.breaches(cluster.jobs) +
--- a/src/test/kotlin/burlridge/loopback/ControllerProcess.kt
+++ b/src/test/kotlin/burlridge/loopback/ControllerProcess.kt
@@ -6,54 +6,54 @@
 import java.util.concurrent.ConcurrentLinkedQueue
 import java.util.concurrent.TimeUnit
 
-/** What a controller of a [LoopbackCluster] is started with. */
-internal class ControllerPlan(
+/** Start configuration of a controller of a [LoopbackCluster]. */
+internal class ControllerConfig(
     val member: String,
     val serveOn: Endpoint,
     val peerOn: Endpoint,
     val platformFile: File,
-    /** The operators' own settings; null for none. */
+    /** File with the operator settings; null for none. */
     val operatorFile: File?,
     val jvmFlags: List<String>,
-    /** Class path of the version that is to run. */
+    /** Class path of the version to run. */
     val classPath: String,
 )
 
-/** A controller as a process of its own on this machine, with its log; it can be killed, frozen, woken and asked to stop. */
+/** A controller that runs as a separate process on this machine, with its log. It can be killed, frozen, resumed and terminated. */
 internal class ControllerProcess(
-    val plan: ControllerPlan,
+    val config: ControllerConfig,
 ) {
     class Line(
-        val atNs: Long,
+        val nanoTime: Long,
         val text: String,
     )
 
     val log = ConcurrentLinkedQueue<Line>()
     private var process: Process? = null
     private var reader: Thread? = null
-    var frozen: Boolean = false
+    var isFrozen: Boolean = false
         private set
     val isUp: Boolean get() = process?.isAlive == true
     private val pid: Long get() = process?.pid() ?: 0
 
     fun start() {
         val java = File(System.getProperty("java.home"), "bin/java").path
-        val settings = plan.operatorFile?.let { listOf("--settings", it.path) }.orEmpty()
+        val settings = config.operatorFile?.let { listOf("--settings", it.path) }.orEmpty()
         val command =
-            listOf(java) + plan.jvmFlags +
-                listOf("-cp", plan.classPath, "burlridge.app.MainKt", "serve", "--config", plan.platformFile.path) +
+            listOf(java) + config.jvmFlags +
+                listOf("-cp", config.classPath, "burlridge.app.MainKt", "serve", "--config", config.platformFile.path) +
                 settings
         val builder = ProcessBuilder(command).redirectOutput(ProcessBuilder.Redirect.DISCARD)
         builder.environment()["LOG_LEVEL"] = "info"
         val started = builder.start()
         process = started
-        frozen = false
+        isFrozen = false
         reader =
             Thread {
                 try {
                     started.errorStream.bufferedReader().useLines { lines -> lines.forEach { log += Line(System.nanoTime(), it) } }
                 } catch (_: IOException) {
-                    // A process that was killed: there is no more to read.
+                    // The process was killed, so there is nothing more to read.
                 }
             }.also {
                 it.isDaemon = true
@@ -61,34 +61,34 @@
             }
     }
 
-    /** Ends it at once, as a power failure would. */
+    /** Kills the process immediately, as a power failure would. */
     fun kill() {
-        process?.destroyForcibly()?.waitFor(KILL_SECONDS, TimeUnit.SECONDS)
-        frozen = false
+        process?.destroyForcibly()?.waitFor(KILL_TIMEOUT_SECONDS, TimeUnit.SECONDS)
+        isFrozen = false
     }
 
     fun freeze() {
         signal("STOP")
-        frozen = true
+        isFrozen = true
     }
 
-    fun wake() {
+    fun resume() {
         signal("CONT")
-        frozen = false
+        isFrozen = false
     }
 
-    /** Asks it to stop; true once it has. */
-    fun terminate(patienceSeconds: Long): Boolean {
-        val asked = process ?: return true
-        asked.destroy()
-        return asked.waitFor(patienceSeconds, TimeUnit.SECONDS)
+    /** Asks the process to stop; returns whether it has exited within [timeoutSeconds]. */
+    fun terminate(timeoutSeconds: Long): Boolean {
+        val running = process ?: return true
+        running.destroy()
+        return running.waitFor(timeoutSeconds, TimeUnit.SECONDS)
     }
 
     private fun signal(name: String) {
         ProcessBuilder("kill", "-$name", pid.toString()).start().waitFor()
     }
 
-    /** Seconds of processor time so far. */
+    /** CPU time used so far, in seconds. */
     fun cpuSeconds(): Double =
         process
             ?.info()
@@ -103,7 +103,7 @@
         } ?: 0.0
 
     private companion object {
-        const val KILL_SECONDS = 10L
+        const val KILL_TIMEOUT_SECONDS = 10L
         const val NANOS_PER_SECOND = 1e9
         const val KB_PER_MB = 1024
     }
--- a/src/test/kotlin/burlridge/loopback/FailoverLoopbackTest.kt
+++ b/src/test/kotlin/burlridge/loopback/FailoverLoopbackTest.kt
@@ -9,16 +9,16 @@
 import java.io.File
 
 /**
- * Three real controllers, killed, frozen and asked to stop while jobs run. What is asserted is what users were told and what ran where;
- * the waits are bounds, never figures. The long form is [FailoverMeasurement].
+ * Three real controllers, which are killed, frozen and terminated while jobs run. Asserts only which responses users received and what ran
+ * where; all waits are upper bounds, not measurements. [FailoverMeasurement] is the long form.
  */
 internal class FailoverLoopbackTest {
     @Test
-    fun `a leader that is killed, frozen and asked to stop leaves one final answer for each job`(
+    fun `each job has one final state while leaders are killed, frozen and terminated`(
         @TempDir directory: File,
     ) {
-        val plan =
-            LoopbackPlan(
+        val config =
+            LoopbackConfig(
                 controllers = 3,
                 machines = 16,
                 times = WorkerTimes(reportSeconds = 1.0, leaseSeconds = 6.0, cancelSeconds = 14.0),
@@ -26,9 +26,9 @@
                 directory = directory,
                 jvmFlags = listOf("-XX:+UseSerialGC", "-XX:TieredStopAtLevel=1", "-Xmx96m"),
             )
-        LoopbackCluster(plan, 1).use { cluster ->
-            await("the machines are up") { cluster.answered(1) >= 12 }
-            submitInTurns(cluster)
+        LoopbackCluster(config, 1).use { cluster ->
+            await("the machines are up") { cluster.workersAtTerm(1) >= 12 }
+            submitAtIntervals(cluster)
             val first = leaderOf(cluster)
             cluster.process(first).kill()
             val second = await("a leader after the kill") { leaderOrNull(cluster)?.takeIf { it != first } }
@@ -36,17 +36,17 @@
 
             cluster.process(second).freeze()
             val third = await("a leader after the freeze") { leaderOrNull(cluster)?.takeIf { it != second } }
-            await("starts under the next leader") { cluster.onLoop { cluster.leader()?.second in cluster.firstStarts.keys } }
-            cluster.process(second).wake()
+            await("starts under the next leader") { cluster.onLoop { cluster.leader()?.second in cluster.firstStartSeconds.keys } }
+            cluster.process(second).resume()
 
-            await("both others follow") { cluster.controllers.all { it.isUp } }
-            assertTrue(cluster.process(third).terminate(PATIENCE_SECONDS), "it does not stop")
+            await("all controllers are up") { cluster.controllers.all { it.isUp } }
+            assertTrue(cluster.process(third).terminate(TERMINATION_TIMEOUT_SECONDS), "the controller does not stop in time")
             val fourth = await("a leader after the stop") { leaderOrNull(cluster)?.takeIf { it != third } }
             assertNotEquals(third, fourth)
             cluster.process(third).start()
 
-            await("all jobs are over") { cluster.onLoop { cluster.unfinished.isEmpty() && cluster.jobs.size == JOBS }.takeIf { it } }
-            cluster.onLoop { cluster.askEverywhere() }
+            await("all jobs have finished") { cluster.onLoop { cluster.unfinished.isEmpty() && cluster.jobs.size == JOBS }.takeIf { it } }
+            cluster.onLoop { cluster.queryAllControllers() }
             await("all controllers answer") { cluster.onLoop { cluster.controllers.all { it.isUp } }.takeIf { it } }
             val breaches = cluster.onLoop { cluster.invariants.broken + cluster.history.breaches(cluster.jobs) }
             assertEquals(emptyList<String>(), breaches)
@@ -54,7 +54,7 @@
         }
     }
 
-    private fun submitInTurns(cluster: LoopbackCluster) {
+    private fun submitAtIntervals(cluster: LoopbackCluster) {
         cluster.onLoop {
             repeat(JOBS) { i -> cluster.clock.after(i * 0.5) { cluster.submit(cluster.job(i, 1 + i % 3, runSeconds = 1.0 + i % 4)) } }
         }
@@ -66,6 +66,6 @@
 
     private companion object {
         const val JOBS = 40
-        const val PATIENCE_SECONDS = 60L
+        const val TERMINATION_TIMEOUT_SECONDS = 60L
     }
 }
--- a/src/test/kotlin/burlridge/loopback/FailoverMeasurement.kt
+++ b/src/test/kotlin/burlridge/loopback/FailoverMeasurement.kt
@@ -6,12 +6,12 @@
 import java.nio.file.Files
 import kotlin.system.exitProcess
 
-/** How a leader is lost in a round of the measurement. */
-private enum class Loss { KILL, FREEZE, DRAIN }
+/** How the leader is lost in a round of the measurement. */
+private enum class LossKind { KILL, FREEZE, DRAIN }
 
-/** What one change of leader took, in seconds, and what it cost the successor. */
-private class Change(
-    val loss: Loss,
+/** Duration of one change of leader, and the resources that the successor used for it. */
+private class LeaderChangeResult(
+    val kind: LossKind,
     val firstStartSeconds: Double,
     val allAnsweredSeconds: Double,
     val cpuSeconds: Double,
@@ -19,136 +19,140 @@
 )
 
 /**
- * The long form of [FailoverLoopbackTest], a program outside CI: real controllers on loopback among some hundreds or thousands of stand-in
- * workers, under a steady load of jobs, whose leader is lost again and again. `docs/failover.md` has the command and its figures.
+ * The long form of [FailoverLoopbackTest], a program that does not run in CI. Real controllers on loopback manage hundreds or thousands of
+ * stand-in workers under a steady load of jobs, and repeatedly lose their leader. `docs/failover.md` has the command and its figures.
  *
- * Arguments: number of machines, rounds of each kind, `on` or `off`, number of controllers (3), and, where another version is to be
- * measured, its class path.
+ * Arguments: number of machines, rounds of each kind, failover `on` or `off`, number of controllers (default 3), and the class path of
+ * the version to measure if that is not this one.
  */
 internal class FailoverMeasurement(
     private val machines: Int,
     private val rounds: Int,
-    private val on: Boolean,
+    private val failoverEnabled: Boolean,
     controllers: Int,
     classPath: String,
-    flags: List<String>,
+    jvmFlags: List<String>,
 ) {
     private val directory: File = Files.createTempDirectory("burlridge-measurement").toFile()
     private val times = WorkerTimes(reportSeconds = 3.0, leaseSeconds = 24.0, cancelSeconds = 54.0)
     private val plan =
-        LoopbackPlan(controllers, machines, times, if (on) "[failover]\n" else null, directory, flags, classPath)
+        LoopbackConfig(controllers, machines, times, if (failoverEnabled) "[failover]\n" else null, directory, jvmFlags, classPath)
     private val cluster = LoopbackCluster(plan, 1)
-    private val changes = ArrayList<Change>()
-    private var number = 0
+    private val results = ArrayList<LeaderChangeResult>()
+    private var nextJobNumber = 0
 
     fun run() {
-        val begun = System.nanoTime()
-        await("the machines are up", UP_SECONDS) { (cluster.onLoop { cluster.answered(1) } >= machines * MOST_OF_THEM).takeIf { it } }
-        println("$machines machines up after %.0f s".format((System.nanoTime() - begun) / NANOS_PER_SECOND))
-        load()
+        val startedAt = System.nanoTime()
+        await("the machines are up", TIMEOUT_SECONDS) {
+            (cluster.onLoop { cluster.workersAtTerm(1) } >= machines * MIN_FRACTION_UP).takeIf { it }
+        }
+        println("$machines machines up after %.0f s".format((System.nanoTime() - startedAt) / NANOS_PER_SECOND))
+        startLoad()
         Thread.sleep(SETTLE_MILLIS)
-        val kinds = if (on) Loss.entries else listOf(Loss.KILL, Loss.FREEZE)
+        val kinds = if (failoverEnabled) LossKind.entries else listOf(LossKind.KILL, LossKind.FREEZE)
         // Each freeze takes a minute, so there are fewer of them.
-        repeat(rounds) { round -> kinds.filter { it != Loss.FREEZE || round < rounds * FREEZES_PER_ROUND }.forEach { lose(it) } }
+        repeat(rounds) { round ->
+            kinds.filter { it != LossKind.FREEZE || round < rounds * FREEZE_ROUNDS_FRACTION }.forEach { forceLeaderChange(it) }
+        }
         report()
         cluster.onLoop { stopLoad = true }
-        await("all jobs are over", UP_SECONDS) { cluster.onLoop { cluster.unfinished.isEmpty() }.takeIf { it } }
-        cluster.onLoop { cluster.askEverywhere() }
+        await("all jobs have finished", TIMEOUT_SECONDS) { cluster.onLoop { cluster.unfinished.isEmpty() }.takeIf { it } }
+        cluster.onLoop { cluster.queryAllControllers() }
         Thread.sleep(SETTLE_MILLIS)
         val breaches = cluster.onLoop { cluster.invariants.broken + cluster.history.breaches(cluster.jobs) }
         println("jobs ${cluster.onLoop { cluster.jobs.size }}, starts ${cluster.onLoop { cluster.invariants.starts }}, breaches $breaches")
-        println("false suspicions: ${cluster.controllers.sumOf { c -> c.log.count { takesSuspicionBack(it.text) } }}")
+        println("false suspicions: ${cluster.controllers.sumOf { c -> c.log.count { isFalseSuspicion(it.text) } }}")
     }
 
-    /** A member is alive again whose process was not restarted. */
-    private fun takesSuspicionBack(line: String): Boolean = "state=alive" in line && line.endsWith("reason=\"heard again\"")
+    /** Whether [line] reports a suspected member as alive again although its process was not restarted. */
+    private fun isFalseSuspicion(line: String): Boolean = "state=alive" in line && line.endsWith("reason=\"heard again\"")
 
     private var stopLoad = false
 
-    /** A few jobs a second, as many as end. */
-    private fun load() {
-        fun next() {
+    /** Starts to submit a few jobs a second, about as many as finish. */
+    private fun startLoad() {
+        fun submitNext() {
             if (stopLoad) return
-            cluster.submit(cluster.job(number++, TASKS, runSeconds = RUN_SECONDS))
-            cluster.clock.after(1.0 / JOBS_PER_SECOND) { next() }
+            cluster.submit(cluster.job(nextJobNumber++, TASKS, runSeconds = RUN_SECONDS))
+            cluster.clock.after(1.0 / JOBS_PER_SECOND) { submitNext() }
         }
-        cluster.onLoop { next() }
+        cluster.onLoop { submitNext() }
     }
 
-    private fun lose(loss: Loss) {
+    private fun forceLeaderChange(kind: LossKind) {
         val (leader, term) = await("a leader") { cluster.onLoop { cluster.leader() } }
-        val old = cluster.process(leader)
+        val oldLeader = cluster.process(leader)
         val cpuBefore = cluster.controllers.associateWith { it.cpuSeconds() }
         val lostAt = cluster.onLoop { cluster.clock.now }
-        when (loss) {
-            Loss.KILL -> old.kill()
-            Loss.FREEZE -> old.freeze()
-            Loss.DRAIN -> Thread { old.terminate(UP_SECONDS) }.start()
+        when (kind) {
+            LossKind.KILL -> oldLeader.kill()
+            LossKind.FREEZE -> oldLeader.freeze()
+            LossKind.DRAIN -> Thread { oldLeader.terminate(TIMEOUT_SECONDS) }.start()
         }
-        val next = await("the next term", UP_SECONDS) { cluster.onLoop { cluster.leader() }?.second?.takeIf { it > term } }
-        val started =
-            await("its first start", UP_SECONDS) {
+        val nextTerm = await("the next term", TIMEOUT_SECONDS) { cluster.onLoop { cluster.leader() }?.second?.takeIf { it > term } }
+        val firstStartAt =
+            await("its first start", TIMEOUT_SECONDS) {
                 cluster.onLoop {
-                    cluster.firstStarts
-                        .filterKeys { it >= next }
+                    cluster.firstStartSeconds
+                        .filterKeys { it >= nextTerm }
                         .values
                         .minOrNull()
                 }
             }
         await(
             "all workers answered",
-            UP_SECONDS,
-        ) { (cluster.onLoop { cluster.answered(next) == cluster.cloud.names().size }).takeIf { it } }
-        val answered = cluster.onLoop { cluster.clock.now }
+            TIMEOUT_SECONDS,
+        ) { (cluster.onLoop { cluster.workersAtTerm(nextTerm) == cluster.cloud.names().size }).takeIf { it } }
+        val allAnsweredAt = cluster.onLoop { cluster.clock.now }
         val successor = cluster.process(cluster.onLoop { cluster.leader() }!!.first)
-        val cpu = successor.cpuSeconds() - (cpuBefore[successor] ?: 0.0)
-        changes += Change(loss, started - lostAt, answered - lostAt, cpu, successor.residentMb())
-        println(describe(changes.last()))
-        if (loss == Loss.FREEZE) {
-            Thread.sleep((FROZEN_SECONDS - (answered - lostAt)).coerceAtLeast(0.0).toLong() * MILLIS_PER_SECOND)
-            old.wake()
+        val cpuSeconds = successor.cpuSeconds() - (cpuBefore[successor] ?: 0.0)
+        results += LeaderChangeResult(kind, firstStartAt - lostAt, allAnsweredAt - lostAt, cpuSeconds, successor.residentMb())
+        println(describe(results.last()))
+        if (kind == LossKind.FREEZE) {
+            Thread.sleep((FREEZE_SECONDS - (allAnsweredAt - lostAt)).coerceAtLeast(0.0).toLong() * MILLIS_PER_SECOND)
+            oldLeader.resume()
         } else {
-            await("the old leader is gone", UP_SECONDS) { (!old.isUp).takeIf { it } }
-            old.start()
+            await("the old leader has exited", TIMEOUT_SECONDS) { (!oldLeader.isUp).takeIf { it } }
+            oldLeader.start()
         }
         Thread.sleep(SETTLE_MILLIS)
     }
 
-    private fun describe(change: Change) =
+    private fun describe(result: LeaderChangeResult) =
         "%-6s first start %6.2f s, all answered %6.2f s, successor's processor time %5.2f s, resident %4.0f MB".format(
-            change.loss,
-            change.firstStartSeconds,
-            change.allAnsweredSeconds,
-            change.cpuSeconds,
-            change.residentMb,
+            result.kind,
+            result.firstStartSeconds,
+            result.allAnsweredSeconds,
+            result.cpuSeconds,
+            result.residentMb,
         )
 
     private fun report() {
-        for ((loss, all) in changes.groupBy { it.loss }) {
+        for ((kind, all) in results.groupBy { it.kind }) {
             println(
-                "$machines machines, failover ${if (on) "on" else "off"}, $loss x ${all.size}: " +
-                    "first start ${spread(all) { it.firstStartSeconds }}, all answered ${spread(all) { it.allAnsweredSeconds }}, " +
-                    "processor time ${spread(all) { it.cpuSeconds }}, resident ${spread(all) { it.residentMb }}",
+                "$machines machines, failover ${if (failoverEnabled) "on" else "off"}, $kind x ${all.size}: " +
+                    "first start ${summarize(all) { it.firstStartSeconds }}, all answered ${summarize(all) { it.allAnsweredSeconds }}, " +
+                    "processor time ${summarize(all) { it.cpuSeconds }}, resident ${summarize(all) { it.residentMb }}",
             )
         }
     }
 
-    private fun spread(
-        all: List<Change>,
-        of: (Change) -> Double,
+    private fun summarize(
+        all: List<LeaderChangeResult>,
+        value: (LeaderChangeResult) -> Double,
     ): String {
-        val sorted = all.map(of).sorted()
+        val sorted = all.map(value).sorted()
         return "%.2f (worst %.2f)".format(sorted[sorted.size / 2], sorted.last())
     }
 
     fun close() = cluster.close()
 
     private companion object {
-        const val MOST_OF_THEM = 0.95
-        const val UP_SECONDS = 240L
+        const val MIN_FRACTION_UP = 0.95
+        const val TIMEOUT_SECONDS = 240L
         const val SETTLE_MILLIS = 6_000L
-        const val FROZEN_SECONDS = 60.0
-        const val FREEZES_PER_ROUND = 0.4
+        const val FREEZE_SECONDS = 60.0
+        const val FREEZE_ROUNDS_FRACTION = 0.4
         const val JOBS_PER_SECOND = 4.0
         const val TASKS = 4
         const val RUN_SECONDS = 5.0
@@ -157,7 +161,7 @@
     }
 }
 
-/** The JVM flags of the deploy file's `run` line, without its class archive, which holds for the jar alone. */
+/** Returns the JVM flags of the deploy file's `run` line without its class-data archive, which is valid for the jar only. */
 private fun deployedFlags(): List<String> {
     val run = File("deploy/service.toml").readLines().first { it.startsWith("run") }
     return Json
@@ -171,10 +175,10 @@
 internal fun main(args: Array<String>) {
     val machines = args.getOrNull(0)?.toIntOrNull() ?: 100
     val rounds = args.getOrNull(1)?.toIntOrNull() ?: 3
-    val on = args.getOrNull(2) != "off"
+    val failoverEnabled = args.getOrNull(2) != "off"
     val controllers = args.getOrNull(3)?.toIntOrNull() ?: 3
     val classPath = args.getOrNull(4) ?: "target/classes:target/lib/*"
-    val measurement = FailoverMeasurement(machines, rounds, on, controllers, classPath, deployedFlags())
+    val measurement = FailoverMeasurement(machines, rounds, failoverEnabled, controllers, classPath, deployedFlags())
     try {
         measurement.run()
     } finally {
--- a/src/test/kotlin/burlridge/loopback/LoopbackCluster.kt
+++ b/src/test/kotlin/burlridge/loopback/LoopbackCluster.kt
@@ -33,8 +33,8 @@
 import java.util.concurrent.ConcurrentLinkedQueue
 import kotlin.random.Random
 
-/** The size of a [LoopbackCluster] and what its controllers run with. */
-internal class LoopbackPlan(
+/** Configuration of a [LoopbackCluster] and of the controllers that it runs. */
+internal class LoopbackConfig(
     val controllers: Int,
     val machines: Int,
     val times: WorkerTimes,
@@ -48,24 +48,24 @@
 )
 
 /**
- * Controllers as real processes on loopback, among the stand-ins of the simulation driven by the real clock. All stand-ins live on one
- * event loop; [onLoop] is the only way in from outside.
+ * Controllers as real processes on loopback. The state service, the cloud, the workers and the users are the stand-ins of the simulation,
+ * driven by the real clock. All stand-ins run on one event loop; other threads may access them only through [onLoop].
  */
 internal class LoopbackCluster(
-    private val plan: LoopbackPlan,
+    private val config: LoopbackConfig,
     seed: Int,
 ) : SimulationEnvironment,
     AutoCloseable {
     override val clock = Clock()
     override val random = Random(seed)
-    override val members = (0 until plan.controllers).map { "drover-$it" }
-    override val types = mapOf("small" to MachineTypeSpec(4.0, 16.0, (plan.machines + POOLS - 1) / POOLS))
+    override val members = (0 until config.controllers).map { "drover-$it" }
+    override val types = mapOf("small" to MachineTypeSpec(4.0, 16.0, (config.machines + POOLS - 1) / POOLS))
     override val zones = listOf("a", "b")
-    override val reportSeconds = plan.times.reportSeconds
-    override val leaseSeconds = plan.times.leaseSeconds
+    override val reportSeconds = config.times.reportSeconds
+    override val leaseSeconds = config.times.leaseSeconds
     override val gangWaitSeconds = 30.0
     override val gangPeerSeconds = 4.0
-    override val invariants = InvariantChecker(clock, plan.times.cancelSeconds, emptyMap())
+    override val invariants = InvariantChecker(clock, config.times.cancelSeconds, emptyMap())
     override val gangBarrier = GangBarrier(this)
     override val cloud = CloudService(this)
     override val word: (String) -> String = { it }
@@ -74,20 +74,20 @@
     private val loop = EventLoop()
     private val scope = CoroutineScope(loop + SupervisorJob())
     private val startedAt = System.nanoTime()
-    private val commands = ConcurrentLinkedQueue<() -> Unit>()
+    private val pendingTasks = ConcurrentLinkedQueue<() -> Unit>()
     private val clients = HashMap<String, HttpClient>()
-    private val ports = freePorts(plan.controllers * 2 + 2)
-    private val stateAt = Endpoint(HOST, ports[plan.controllers * 2])
-    private val cloudAt = Endpoint(HOST, ports[plan.controllers * 2 + 1])
-    val controllers = members.mapIndexed { i, member -> ControllerProcess(planOf(member, i)) }
+    private val ports = freePorts(config.controllers * 2 + 2)
+    private val stateEndpoint = Endpoint(HOST, ports[config.controllers * 2])
+    private val cloudEndpoint = Endpoint(HOST, ports[config.controllers * 2 + 1])
+    val controllers = members.mapIndexed { i, member -> ControllerProcess(configOf(member, i)) }
 
-    /** When the first start of each term came to a worker, in seconds of [clock]. */
-    val firstStarts = HashMap<Long, Double>()
+    /** Time at which a worker received the first task start of each term, in seconds of [clock], by term. */
+    val firstStartSeconds = HashMap<Long, Double>()
 
     init {
         invariants.onStart = { task, worker ->
             history.started(task, worker.id, clock.now)
-            firstStarts.putIfAbsent(worker.term, clock.now)
+            firstStartSeconds.putIfAbsent(worker.term, clock.now)
         }
         invariants.onEnd = { task, worker -> history.ended(task, worker.id, clock.now) }
         invariants.onStop = { task -> history.stopped(task, clock.now) }
@@ -101,13 +101,13 @@
         return sockets.map { it.localPort }.also { sockets.forEach { it.close() } }
     }
 
-    private fun planOf(
+    private fun configOf(
         member: String,
         index: Int,
-    ): ControllerPlan {
-        val platform = File(plan.directory, "$member.json").also { it.writeText(platformSettings(member, index)) }
-        val operator = plan.operatorSettings?.let { text -> File(plan.directory, "$member.ini").also { it.writeText(text) } }
-        return ControllerPlan(member, serveOn(index), peerOn(index), platform, operator, plan.jvmFlags, plan.classPath)
+    ): ControllerConfig {
+        val platform = File(config.directory, "$member.json").also { it.writeText(platformSettings(member, index)) }
+        val operator = config.operatorSettings?.let { text -> File(config.directory, "$member.ini").also { it.writeText(text) } }
+        return ControllerConfig(member, serveOn(index), peerOn(index), platform, operator, config.jvmFlags, config.classPath)
     }
 
     private fun serveOn(index: Int) = Endpoint(HOST, ports[index * 2])
@@ -123,21 +123,21 @@
                 """{"member":"${members[it]}","zone":"a","endpoint":"${peerOn(it)}"}"""
             }
         return """{"member":"$member","zone":"a","serve_on":"${serveOn(index)}","peer_bind":"${peerOn(index)}","others":[$others],
-            "services":{"cloud":"$cloudAt","state":"$stateAt"},
+            "services":{"cloud":"$cloudEndpoint","state":"$stateEndpoint"},
             "params":{"teams":[{"name":"crew","cpus":0,"cpus_max":0}],
             "objectives":[{"kind":"wait","class":"urgent","within_s":10.0,"share":0.9}],
-            "workers":{"report_s":$reportSeconds,"lease_s":$leaseSeconds,"cancel_s":${plan.times.cancelSeconds}},
-            "state":{"rps":200,"write_rps":${plan.writeRps},"value_kb":8,"txn_ops":8},"cloud":{"rps":8,"list_lag_s":3},
-            "limits":{"cpu_share":0.25,"memory_mb":${plan.memoryMb},"max_connections":${plan.maxConnections}}}}"""
+            "workers":{"report_s":$reportSeconds,"lease_s":$leaseSeconds,"cancel_s":${config.times.cancelSeconds}},
+            "state":{"rps":200,"write_rps":${config.writeRps},"value_kb":8,"txn_ops":8},"cloud":{"rps":8,"list_lag_s":3},
+            "limits":{"cpu_share":0.25,"memory_mb":${config.memoryMb},"max_connections":${config.maxConnections}}}}"""
     }
 
     private fun runLoop() {
-        serve(stateAt) { request, reply -> state.handle(request.method, target(request.path, request.query), request.body, reply) }
-        serve(cloudAt) { request, reply -> cloud.handle(target(request.path, request.query), request.body, reply) }
+        serve(stateEndpoint) { request, reply -> state.handle(request.method, target(request.path, request.query), request.body, reply) }
+        serve(cloudEndpoint) { request, reply -> cloud.handle(target(request.path, request.query), request.body, reply) }
         scope.launch {
             while (true) {
                 clock.runUntil((System.nanoTime() - startedAt) / NANOS_PER_SECOND)
-                while (true) commands.poll()?.invoke() ?: break
+                while (true) pendingTasks.poll()?.invoke() ?: break
                 invariants.sweep()
                 delay(STEP_MILLIS)
             }
@@ -151,21 +151,21 @@
     ) = if (query.isEmpty()) path else "$path?$query"
 
     private fun serve(
-        at: Endpoint,
+        endpoint: Endpoint,
         handle: (Input.Request, (Int, String) -> Unit) -> Unit,
     ) {
         lateinit var server: HttpServer
         server =
-            HttpServer(loop, ConnectionBudget(CONNECTIONS), IDLE_SECONDS) { request ->
+            HttpServer(loop, ConnectionBudget(MAX_CONNECTIONS), IDLE_TIMEOUT_SECONDS) { request ->
                 handle(request) { status, body -> server.respond(Effect.Respond(request.id, status, body, null)) }
             }
-        server.serve(at, scope)
+        server.serve(endpoint, scope)
     }
 
-    /** Runs [work] among the stand-ins and waits for what it gives. */
+    /** Runs [work] on the event loop of the stand-ins and waits for its result. */
     fun <T> onLoop(work: () -> T): T {
         val result = CompletableFuture<T>()
-        commands += {
+        pendingTasks += {
             try {
                 result.complete(work())
             } catch (e: RuntimeException) {
@@ -177,15 +177,16 @@
 
     override fun addressOf(number: Int): String {
         val port = ServerSocket(0, 1, InetAddress.getByName(HOST)).use { it.localPort }
-        val at = Endpoint(HOST, port)
-        serve(at) { request, reply ->
-            cloud.workerAt(at.toString())?.handle(request.path, request.body)?.let { (status, body) -> reply(status, body) }
+        val endpoint = Endpoint(HOST, port)
+        serve(endpoint) { request, reply ->
+            cloud.workerAt(endpoint.toString())?.handle(request.path, request.body)?.let { (status, body) -> reply(status, body) }
         }
-        return at.toString()
+        return endpoint.toString()
     }
 
-    /** Each worker has connections of its own; users share theirs. */
-    private fun clientOf(from: String): HttpClient = clients.getOrPut(from) { HttpClient(loop, scope, AT_ONCE, KEPT, emptySet()) }
+    /** Each worker has its own connections; all users share theirs. */
+    private fun clientOf(from: String): HttpClient =
+        clients.getOrPut(from) { HttpClient(loop, scope, MAX_CONCURRENT_CALLS, MAX_IDLE_CONNECTIONS, emptySet()) }
 
     override fun request(
         from: String,
@@ -196,28 +197,28 @@
         timeoutSeconds: Double,
         onResult: (Int, String) -> Unit,
     ) {
-        val at = serveOn(members.indexOf(name))
-        val askedAt = clock.now
+        val endpoint = serveOn(members.indexOf(name))
+        val sentAt = clock.now
         scope.launch {
-            val outcome = clientOf(from).call(Effect.HttpCall(0, at, method, path, body.ifEmpty { null }, timeoutSeconds))
-            val answer = outcome as? CallOutcome.Responded
-            if (from == USER && answer != null) remember(name, path, body, askedAt, answer)
-            onResult(answer?.status ?: 0, answer?.body.orEmpty())
+            val outcome = clientOf(from).call(Effect.HttpCall(0, endpoint, method, path, body.ifEmpty { null }, timeoutSeconds))
+            val response = outcome as? CallOutcome.Responded
+            if (from == USER && response != null) recordResponse(name, path, body, sentAt, response)
+            onResult(response?.status ?: 0, response?.body.orEmpty())
         }
     }
 
-    private fun remember(
+    private fun recordResponse(
         member: String,
         path: String,
         body: String,
-        askedAt: Double,
-        answer: CallOutcome.Responded,
+        sentAt: Double,
+        response: CallOutcome.Responded,
     ) {
         val job = if (path == "/api/jobs") Json.parseOrNull(body)?.path("id")?.asText() else path.split('/').getOrNull(3)
-        history.told += ExecutionHistory.Told(job.orEmpty(), member, answer.status, standing(answer.body), askedAt, clock.now)
+        history.told += ExecutionHistory.Told(job.orEmpty(), member, response.status, standingOf(response.body), sentAt, clock.now)
     }
 
-    private fun standing(body: String): String? =
+    private fun standingOf(body: String): String? =
         Json
             .parseOrNull(body)
             ?.path("standing")
@@ -246,13 +247,13 @@
     private fun poll(spec: JobSpec) {
         clock.after(1.0 + random.nextDouble()) {
             request(USER, members.random(random), "GET", "/api/jobs/${spec.id}", "", POLL_SECONDS) { status, body ->
-                if (status == 200 && standing(body) == "done") finished += spec.id else poll(spec)
+                if (status == 200 && standingOf(body) == "done") finished += spec.id else poll(spec)
             }
         }
     }
 
-    /** Asks every controller about every job once more. */
-    fun askEverywhere() {
+    /** Queries every controller once more for the state of every job. */
+    fun queryAllControllers() {
         submitted.forEach { job -> members.forEach { request(USER, it, "GET", "/api/jobs/$job", "", POLL_SECONDS) { _, _ -> } } }
     }
 
@@ -281,36 +282,36 @@
             deadlineSeconds = null,
         )
 
-    // --- what can be seen from outside
+    // --- observation from outside
 
-    /** The leader by the state service's row, with its term; null for none. */
+    /** Returns the leader according to the leader row, with its term; null if there is no such row. */
     fun leader(): Pair<String, Long>? {
         val row = state.value("leader") ?: return null
         return row.path("member").asText() to row.path("term").asLong()
     }
 
-    /** How many workers have seen [term] or a later one. */
-    fun answered(term: Long): Int = cloud.names().count { (cloud.worker(it)?.term ?: 0L) >= term }
+    /** Returns the number of workers that have seen [term] or a later one. */
+    fun workersAtTerm(term: Long): Int = cloud.names().count { (cloud.worker(it)?.term ?: 0L) >= term }
 
-    fun process(member: String): ControllerProcess = controllers.first { it.plan.member == member }
+    fun process(member: String): ControllerProcess = controllers.first { it.config.member == member }
 
     override fun close() {
         controllers.forEach { it.kill() }
-        commands += { loop.stop() }
+        pendingTasks += { loop.stop() }
     }
 
     private companion object {
         const val HOST = "127.0.0.1"
         const val USER = "user"
 
-        /** Types, zones and kinds between which the machines are divided. */
+        /** Number of combinations of type, zone and kind among which the machines are divided. */
         const val POOLS = 4
         const val NANOS_PER_SECOND = 1e9
         const val STEP_MILLIS = 5L
-        const val CONNECTIONS = 20_000
-        const val IDLE_SECONDS = 600.0
-        const val AT_ONCE = 2_000
-        const val KEPT = 64
+        const val MAX_CONNECTIONS = 20_000
+        const val IDLE_TIMEOUT_SECONDS = 600.0
+        const val MAX_CONCURRENT_CALLS = 2_000
+        const val MAX_IDLE_CONNECTIONS = 64
         const val SUBMIT_SECONDS = 5.0
         const val POLL_SECONDS = 2.0
     }
