--- a/src/main/kotlin/burlridge/placement/PlacementPlan.kt
+++ b/src/main/kotlin/burlridge/placement/PlacementPlan.kt
@@ -100,5 +100,8 @@
 
     /** The pools whose machines [spec] may use and that are large enough for one of its tasks. */
     fun poolsFor(spec: JobSpec): List<MachinePool> =
-        pools.filter { spec.taskResources.fits(it.total) && spec.allows(it.representative.type, it.representative.zone, it.representative.spot) }
+        pools.filter {
+            spec.taskResources.fits(it.total) &&
+                spec.allows(it.representative.type, it.representative.zone, it.representative.spot)
+        }
 }
--- a/src/main/kotlin/burlridge/placement/ResourceRequest.kt
+++ b/src/main/kotlin/burlridge/placement/ResourceRequest.kt
@@ -13,7 +13,8 @@
     val size: Resources,
 ) {
     /** Whether each machine that satisfies [spec] satisfies this request too: if none satisfies this request, none satisfies [spec]. */
-    fun isNoStricterThan(spec: JobSpec): Boolean = types == spec.machineTypes && zone == spec.zone && (spot || !spec.allowsSpot) && size.fits(spec.taskResources)
+    fun isNoStricterThan(spec: JobSpec): Boolean =
+        types == spec.machineTypes && zone == spec.zone && (spot || !spec.allowsSpot) && size.fits(spec.taskResources)
 
     internal companion object {
         fun of(spec: JobSpec): ResourceRequest = ResourceRequest(spec.machineTypes, spec.zone, spec.allowsSpot, spec.taskResources)
--- a/src/main/kotlin/burlridge/worker/LeaseMonitor.kt
+++ b/src/main/kotlin/burlridge/worker/LeaseMonitor.kt
@@ -41,8 +41,17 @@
 
     /** Returns the latest time, by the steady clock of this member, at which the lease can expire. */
     private fun leaseExpiresAt(machine: Machine): Double {
-        val leaseRenewedAt = if (isFenced(machine)) machine.leaseRenewedAt else maxOf(machine.leaseRenewedAt, leadership.formerLeadersAnswerUntil)
-        return leaseRenewedAt + workerSettings.leaseSeconds * (1 + Leadership.CLOCK_DRIFT) + workerSettings.reportSeconds / RESPONSE_DELAY_DIVISOR
+        val leaseRenewedAt =
+            if (isFenced(
+                    machine,
+                )
+            ) {
+                machine.leaseRenewedAt
+            } else {
+                maxOf(machine.leaseRenewedAt, leadership.formerLeadersAnswerUntil)
+            }
+        return leaseRenewedAt + workerSettings.leaseSeconds * (1 + Leadership.CLOCK_DRIFT) +
+            workerSettings.reportSeconds / RESPONSE_DELAY_DIVISOR
     }
 
     private companion object {
