--- a/src/main/kotlin/burlridge/leadership/ElectionCampaign.kt
+++ b/src/main/kotlin/burlridge/leadership/ElectionCampaign.kt
@@ -157,7 +157,7 @@
         candidacy: Candidacy,
     ) {
         val transaction =
-            beginTermTransaction(revisions, candidacy.term, member, candidacy.leaseId, candidacy.formerLeaders.orEmpty())
+            newTermTransaction(revisions, candidacy.term, member, candidacy.leaseId, candidacy.formerLeaders.orEmpty())
         store.commit(transaction, RequestPriority.LEADERSHIP) { result ->
             isCampaigning = false
             if (result is TransactionResult.Committed) {
--- a/src/main/kotlin/burlridge/leadership/Leadership.kt
+++ b/src/main/kotlin/burlridge/leadership/Leadership.kt
@@ -123,13 +123,7 @@
         onResult: (TransferOutcome) -> Unit,
     ) {
         val transaction =
-            beginTermTransaction(
-                LeadershipRevisions(fencingToken, fencingToken),
-                term + 1,
-                successor,
-                leaseId,
-                formerLeaders.afterOwnTerm(),
-            )
+            newTermTransaction(LeadershipRevisions(fencingToken, fencingToken), term + 1, successor, leaseId, formerLeaders.afterOwnTerm())
         transfer.begin(transaction, fencingToken, lease.ttlSeconds) { outcome ->
             when (outcome) {
                 TransferOutcome.Completed -> onHandedOver(successor, term + 1)
--- a/src/main/kotlin/burlridge/leadership/LeadershipRevisions.kt
+++ b/src/main/kotlin/burlridge/leadership/LeadershipRevisions.kt
@@ -11,7 +11,7 @@
 )
 
 /** Returns the transaction that begins a term: it writes both rows on condition that neither has changed since [expected]. */
-internal fun beginTermTransaction(
+internal fun newTermTransaction(
     expected: LeadershipRevisions,
     term: Long,
     leader: String,
