--- a/src/test/kotlin/burlridge/loopback/FailoverMeasurement.kt
+++ b/src/test/kotlin/burlridge/loopback/FailoverMeasurement.kt
@@ -35,9 +35,9 @@
 ) {
     private val directory: File = Files.createTempDirectory("burlridge-measurement").toFile()
     private val times = WorkerTimes(reportSeconds = 3.0, leaseSeconds = 24.0, cancelSeconds = 54.0)
-    private val plan =
+    private val config =
         LoopbackConfig(controllers, machines, times, if (failoverEnabled) "[failover]\n" else null, directory, jvmFlags, classPath)
-    private val cluster = LoopbackCluster(plan, 1)
+    private val cluster = LoopbackCluster(config, 1)
     private val results = ArrayList<LeaderChangeResult>()
     private var nextJobNumber = 0
 
@@ -61,11 +61,11 @@
         Thread.sleep(SETTLE_MILLIS)
         val breaches = cluster.onLoop { cluster.invariants.broken + cluster.history.breaches(cluster.jobs) }
         println("jobs ${cluster.onLoop { cluster.jobs.size }}, starts ${cluster.onLoop { cluster.invariants.starts }}, breaches $breaches")
-        println("false suspicions: ${cluster.controllers.sumOf { c -> c.log.count { isFalseSuspicion(it.text) } }}")
+        println("false suspicions: ${cluster.controllers.sumOf { c -> c.log.count { isAliveWithoutRestart(it.text) } }}")
     }
 
-    /** Whether [line] reports a suspected member as alive again although its process was not restarted. */
-    private fun isFalseSuspicion(line: String): Boolean = "state=alive" in line && line.endsWith("reason=\"heard again\"")
+    /** Whether [line] reports that a member is alive again although its process was not restarted. */
+    private fun isAliveWithoutRestart(line: String): Boolean = "state=alive" in line && line.endsWith("reason=\"heard again\"")
 
     private var stopLoad = false
 
