--- a/src/main/kotlin/burlridge/fleet/InventorySync.kt
+++ b/src/main/kotlin/burlridge/fleet/InventorySync.kt
@@ -117,7 +117,7 @@
         }
     }
 
-    /** Whether [getOrRegisterMachine] is known only from allocations of an earlier leader. */
+    /** Whether [machine] is known only from allocations of an earlier leader. */
     private fun isOnlyInherited(machine: Machine): Boolean =
         !machine.isListed && !machine.isUp &&
             registry.allocations.byMachine[machine.id]
--- a/src/main/kotlin/burlridge/placement/GangPlacement.kt
+++ b/src/main/kotlin/burlridge/placement/GangPlacement.kt
@@ -121,7 +121,7 @@
             )
     }
 
-    /** Takes capacity for up to [taskCount] tasks of [spec]; returns the machine of each task. */
+    /** Takes capacity for up to [tasks] tasks of [spec]; returns the machine of each task. */
     private fun assign(
         spec: JobSpec,
         tasks: Int,
