--- a/src/main/kotlin/burlridge/api/JobValidation.kt
+++ b/src/main/kotlin/burlridge/api/JobValidation.kt
@@ -40,9 +40,9 @@
     ): String? {
         val team = context.settings.teams[spec.team] ?: return "unknown team ${spec.team}"
         return when {
-            team.cpusMax > 0 && spec.size.cpus > team.cpusMax -> "a task needs more CPUs than the limit of ${team.name}"
-            team.gpusMax > 0 && spec.size.gpus > team.gpusMax -> "a task needs more GPUs than the limit of ${team.name}"
-            catalog.allowed(spec).isEmpty() -> "a task fits no allowed machine type"
+            team.cpusMax > 0 && spec.taskResources.cpus > team.cpusMax -> "a task needs more CPUs than the limit of ${team.name}"
+            team.gpusMax > 0 && spec.taskResources.gpus > team.gpusMax -> "a task needs more GPUs than the limit of ${team.name}"
+            catalog.eligibleTypes(spec).isEmpty() -> "a task fits no allowed machine type"
             !store.fitsValueLimit(activeRow(spec)) -> "the description is longer than the state service takes"
             spec.gang -> reasonAgainstGang(spec, team, catalog)
             else -> null
@@ -54,11 +54,11 @@
         team: Team,
         catalog: Catalog,
     ): String? {
-        val total = spec.size * spec.tasks
+        val total = spec.taskResources * spec.taskCount
         return when {
             team.cpusMax > 0 && total.cpus > team.cpusMax -> "all tasks together need more CPUs than the limit of ${team.name}"
             team.gpusMax > 0 && total.gpus > team.gpusMax -> "all tasks together need more GPUs than the limit of ${team.name}"
-            spec.spread && spec.tasks > 1 && !canSpread(spec, catalog) -> "its tasks can be in one zone only, and must be spread"
+            spec.spread && spec.taskCount > 1 && !canSpread(spec, catalog) -> "its tasks can be in one zone only, and must be spread"
             else -> null
         }
     }
@@ -67,7 +67,7 @@
         spec: JobSpec,
         catalog: Catalog,
     ): Boolean {
-        val zones = catalog.allowed(spec).flatMapTo(HashSet()) { it.zones }
+        val zones = catalog.eligibleTypes(spec).flatMapTo(HashSet()) { it.zones }
         return !spec.oneZone && zones.size > 1
     }
 
--- a/src/main/kotlin/burlridge/leadership/FormerLeaders.kt
+++ b/src/main/kotlin/burlridge/leadership/FormerLeaders.kt
@@ -3,64 +3,65 @@
 import burlridge.core.StepContext
 
 /**
- * Who led before the current term and may still answer workers by an earlier one, and which of them have confirmed that they no longer do.
+ * Tracks which members led before the current term and may still answer workers under an earlier term, and which of them have confirmed
+ * that they no longer do.
  */
 internal class FormerLeaders(
     private val context: StepContext,
-    /** How long after its last renewal a leader may answer workers. */
-    private val answerBoundSeconds: Double,
+    /** How long a leader may answer workers after its last lease renewal. */
+    private val answerWindowSeconds: Double,
 ) {
     private val member = context.settings.member
     private val otherMembers: Set<String> = context.settings.others.mapTo(HashSet()) { it.member }
 
-    /** Who may not have noticed yet that its term is over. */
-    private var mayAnswer: Set<String> = emptySet()
+    /** Members that may not have detected yet that their term has ended. */
+    private var mayStillAnswer: Set<String> = emptySet()
 
-    /** When the terms before this one ended, in milliseconds of the wall clock. */
-    private var endedMillis: Map<String, Long> = emptyMap()
+    /** Wall-clock time in milliseconds at which the term of each former leader ended. */
+    private var termEndMillis: Map<String, Long> = emptyMap()
     private val confirmed = HashSet<String>()
     private var lastConfirmedAt = 0.0
     private var electedAt = 0.0
 
-    /** No former leader can be answering workers after this time of the steady clock. */
+    /** Monotonic time after which no former leader can be answering workers, in seconds. */
     val answerUntil: Double
-        get() = if (confirmed.containsAll(mayAnswer)) maxOf(lastConfirmedAt, electedAt) else electedAt + answerBoundSeconds
+        get() = if (confirmed.containsAll(mayStillAnswer)) maxOf(lastConfirmedAt, electedAt) else electedAt + answerWindowSeconds
 
     /**
-     * A term of this member begins. The member itself is left out of [formerLeaders]: its former self is dead. Null means that the rows do
-     * not say who led, so that any other member may have.
+     * Begins a term of this member. The member itself is left out of [formerLeaders], since its own earlier term has ended. Null means that
+     * the rows do not name the former leaders, so that any other member may be one.
      */
     fun beginTerm(formerLeaders: Map<String, Long>?) {
-        mayAnswer = (formerLeaders?.keys ?: otherMembers) - member
-        endedMillis = formerLeaders.orEmpty()
+        mayStillAnswer = (formerLeaders?.keys ?: otherMembers) - member
+        termEndMillis = formerLeaders.orEmpty()
         electedAt = context.now
         confirmed.clear()
         lastConfirmedAt = 0.0
     }
 
-    /** [from] confirms that it answers no worker by a term before the current one. */
+    /** Records the confirmation of [from] that it answers no worker under a term before the current one. */
     fun onConfirmed(from: String) {
-        if (from in mayAnswer && confirmed.add(from)) lastConfirmedAt = context.now
+        if (from in mayStillAnswer && confirmed.add(from)) lastConfirmedAt = context.now
     }
 
-    /** What the term row of this member's successor says, if the term of this member ends now. */
-    fun afterOwnTerm(): Map<String, Long> = recent(endedMillis + (member to context.wallMillis))
+    /** Returns the former leaders for the term row of this member's successor, if this member's term ends now. */
+    fun afterOwnTerm(): Map<String, Long> = filterRecent(termEndMillis + (member to context.wallMillis))
 
-    /** What the term row says after the term of [row] has ended, at the latest now; null where [row] does not say who led. */
-    fun after(row: TermRow): Map<String, Long>? {
+    /** Returns the former leaders for the term row after [row], whose term has ended by now; null if [row] does not name them. */
+    fun afterTerm(row: TermRow): Map<String, Long>? {
         val formerLeaders = row.formerLeaders ?: return null
         val lastLeader = row.leader ?: return null
-        return recent(formerLeaders + (lastLeader to context.wallMillis))
+        return filterRecent(formerLeaders + (lastLeader to context.wallMillis))
     }
 
-    private fun recent(endedMillis: Map<String, Long>): Map<String, Long> {
-        val retentionMillis = (answerBoundSeconds * RETENTION_BOUNDS * MILLIS_PER_SECOND).toLong()
-        return endedMillis.filterValues { context.wallMillis - it < retentionMillis }
+    private fun filterRecent(termEndMillis: Map<String, Long>): Map<String, Long> {
+        val retentionMillis = (answerWindowSeconds * RETENTION_WINDOWS * MILLIS_PER_SECOND).toLong()
+        return termEndMillis.filterValues { context.wallMillis - it < retentionMillis }
     }
 
     private companion object {
-        /** The wall clocks of two members differ by far less than the bound for which a former leader is remembered. */
-        const val RETENTION_BOUNDS = 2
+        /** How long a former leader is kept, in answer windows. The wall clocks of two members differ by far less than that. */
+        const val RETENTION_WINDOWS = 2
         const val MILLIS_PER_SECOND = 1000
     }
 }
--- a/src/main/kotlin/burlridge/leadership/LeadershipTransfer.kt
+++ b/src/main/kotlin/burlridge/leadership/LeadershipTransfer.kt
@@ -9,65 +9,65 @@
 
 /** How a transfer of leadership ended. */
 internal sealed interface TransferOutcome {
-    /** The rows name the successor. */
-    data object Done : TransferOutcome
+    /** The leader row and the term row name the successor. */
+    data object Completed : TransferOutcome
 
-    /** The term is over: by an earlier copy of the transfer, or by another member's election. */
+    /** This member's term has ended: by an earlier copy of the transfer, another member's election or the expiry of its lease. */
     data class Deposed(
         val reason: StepDownReason,
     ) : TransferOutcome
 
-    /** Nothing was changed and nothing will be; the leader leads on. */
-    data class Refused(
+    /** Nothing was changed and nothing will be; this member continues to lead. */
+    data class Aborted(
         val reason: String,
     ) : TransferOutcome
 }
 
 /**
- * The one transaction by which a leader transfers its leadership, retried until its outcome is definite. It is conditional on the fence of
- * the term, so that of all copies at most one is executed, and none after another election.
+ * Sends the transaction by which a leader transfers its leadership, and retries it until its outcome is definite. The transaction is
+ * conditional on the fencing token of the term, so that at most one of all copies is executed, and none after another election.
  */
 internal class LeadershipTransfer(
     private val context: StepContext,
     private val store: StoreClient,
 ) {
     private class Attempt(
-        val fence: Long,
+        val fencingToken: Long,
         val transaction: Transaction,
-        val leaseSeconds: Double,
+        val leaseTtlSeconds: Double,
         val giveUpAt: Double,
         val onResult: (TransferOutcome) -> Unit,
     ) {
         /** Whether a copy of the transaction may have been executed, or may still be. */
-        var isInDoubt = false
+        var mayHaveCommitted = false
 
-        val retryDelaySeconds: Double get() = leaseSeconds / RETRIES_PER_LEASE
+        val retryDelaySeconds: Double get() = leaseTtlSeconds / RETRIES_PER_LEASE
     }
 
     private var current: Attempt? = null
 
-    /** True from the moment the first copy leaves until the outcome is definite. */
-    val isUnderWay: Boolean get() = current != null
+    /** Whether a transfer is in progress: from the sending of the first copy until the outcome is definite. */
+    val isInProgress: Boolean get() = current != null
 
-    /** Sends [transaction], which is conditional on the leader's [fence]; [leaseSeconds] is the time to live of the leader's lease. */
+    /** Sends [transaction], conditional on the leader's [fencingToken]; [leaseTtlSeconds] is the time to live of the leader's lease. */
     fun begin(
         transaction: Transaction,
-        fence: Long,
-        leaseSeconds: Double,
+        fencingToken: Long,
+        leaseTtlSeconds: Double,
         onResult: (TransferOutcome) -> Unit,
     ) {
-        val giveUpAt = context.now + leaseSeconds / GIVE_UP_FRACTION
-        val attempt = Attempt(fence, transaction, leaseSeconds, giveUpAt, onResult)
+        val giveUpAt = context.now + leaseTtlSeconds / GIVE_UP_DIVISOR
+        val attempt = Attempt(fencingToken, transaction, leaseTtlSeconds, giveUpAt, onResult)
         current = attempt
         send(attempt)
     }
 
-    /** The term is over for another reason; the outcome of the copies does not matter any more. */
+    /** Stops the transfer because the term has ended for another reason; the outcome of the copies no longer matters. */
     fun cancel() {
         current = null
     }
 
-    private fun end(
+    private fun finish(
         attempt: Attempt,
         outcome: TransferOutcome,
     ) {
@@ -75,9 +75,9 @@
         attempt.onResult(outcome)
     }
 
-    /** Only in the answer to one copy is another sent or the transfer given up, so that none can leave after that. */
+    /** Sends one copy. Another is sent, or the transfer given up, only after its outcome, so that no copy is sent after giving up. */
     private fun send(attempt: Attempt) {
-        store.commit(attempt.transaction, RequestPriority.LEADERSHIP, attempt.leaseSeconds / GIVE_UP_FRACTION) { result ->
+        store.commit(attempt.transaction, RequestPriority.LEADERSHIP, attempt.leaseTtlSeconds / GIVE_UP_DIVISOR) { result ->
             if (current === attempt) onAnswer(attempt, result)
         }
     }
@@ -88,12 +88,12 @@
     ) {
         when (result) {
             is TransactionResult.Committed -> {
-                end(attempt, TransferOutcome.Done)
+                finish(attempt, TransferOutcome.Completed)
             }
 
             is TransactionResult.Conflict -> {
-                val reason = if (TermRow.KEY in result.failed) StepDownReason.TermPassed else StepDownReason.LeaseExpired
-                end(attempt, TransferOutcome.Deposed(reason))
+                val reason = if (TermRow.KEY in result.failed) StepDownReason.TermSuperseded else StepDownReason.LeaseExpired
+                finish(attempt, TransferOutcome.Deposed(reason))
             }
 
             TransactionResult.Rejected -> {
@@ -101,30 +101,30 @@
             }
 
             TransactionResult.Unknown -> {
-                attempt.isInDoubt = true
+                attempt.mayHaveCommitted = true
                 retryOrGiveUp(attempt)
             }
 
             TransactionResult.LeaseNotFound, TransactionResult.TooLarge -> {
-                if (attempt.isInDoubt) readOutcome(attempt) else end(attempt, TransferOutcome.Refused(LEASE_ENDED))
+                if (attempt.mayHaveCommitted) readOutcome(attempt) else finish(attempt, TransferOutcome.Aborted(SUCCESSOR_LEASE_EXPIRED))
             }
         }
     }
 
     private fun retryOrGiveUp(attempt: Attempt) {
-        if (!attempt.isInDoubt && context.now >= attempt.giveUpAt) {
-            return end(attempt, TransferOutcome.Refused(SERVICE_REFUSES))
+        if (!attempt.mayHaveCommitted && context.now >= attempt.giveUpAt) {
+            return finish(attempt, TransferOutcome.Aborted(STORE_REFUSED))
         }
         context.schedule(attempt.retryDelaySeconds) { if (current === attempt) send(attempt) }
     }
 
-    /** The successor's lease is gone, so that no copy can be executed any more; the term row says whether one was. */
+    /** Reads from the term row whether a copy was executed. None can be any more, since the successor's lease no longer exists. */
     private fun readOutcome(attempt: Attempt) {
         store.get(TermRow.KEY, RequestPriority.LEADERSHIP) { read ->
             if (current !== attempt) return@get
             when {
-                read is ReadResult.Found && read.value.modRevision == attempt.fence -> {
-                    end(attempt, TransferOutcome.Refused(LEASE_ENDED))
+                read is ReadResult.Found && read.value.modRevision == attempt.fencingToken -> {
+                    finish(attempt, TransferOutcome.Aborted(SUCCESSOR_LEASE_EXPIRED))
                 }
 
                 read is ReadResult.Failed -> {
@@ -132,19 +132,19 @@
                 }
 
                 else -> {
-                    end(attempt, TransferOutcome.Deposed(StepDownReason.TermPassed))
+                    finish(attempt, TransferOutcome.Deposed(StepDownReason.TermSuperseded))
                 }
             }
         }
     }
 
     private companion object {
-        /** What the state service refuses is given up after this part of a lease, so that the leader's own does not expire over it. */
-        const val GIVE_UP_FRACTION = 4
+        /** A refused transfer is given up after the time to live divided by this, so that the leader's lease does not expire meanwhile. */
+        const val GIVE_UP_DIVISOR = 4
         const val RETRIES_PER_LEASE = 16
 
-        // Both reach the other member in a message.
-        const val LEASE_ENDED = "the successor's lease has ended"
-        const val SERVICE_REFUSES = "the state service refuses it"
+        // Both texts are sent to the successor in a message.
+        const val SUCCESSOR_LEASE_EXPIRED = "the successor's lease has ended"
+        const val STORE_REFUSED = "the state service refuses it"
     }
 }
