--- a/src/main/kotlin/burlridge/app/BalanceReportFormatter.kt
+++ b/src/main/kotlin/burlridge/app/BalanceReportFormatter.kt
@@ -8,9 +8,9 @@
     /** All drains, hot machines and open moves. */
     fun describe(report: JsonNode): String =
         buildString {
-            val lately = "${report.path("moved_lately").asInt()} of ${report.path("moves_per_minute").asInt()} lately"
+            val recentMoves = "${report.path("moved_lately").asInt()} of ${report.path("moves_per_minute").asInt()} lately"
             appendLine(
-                "machines, as ${report.path("leader").asText()} sees them: ${report.path("open_moves").asInt()} moves under way, $lately",
+                "machines, as ${report.path("leader").asText()} sees them: ${report.path("open_moves").asInt()} moves under way, $recentMoves",
             )
             report.path("drains").forEach { appendLine("  ${drain(it)}") }
             report.path("machines_with_notice").takeIf { it.size() > 0 }?.let { list ->
@@ -26,13 +26,13 @@
     /** One drain, in a line. */
     fun drain(report: JsonNode): String {
         val kind = listOf("machine", "network", "zone").first { report.has(it) }
-        val known = report.has("machines_left")
+        val isCountKnown = report.has("machines_left")
         val left =
-            if (known) ", ${report.path("machines_left").asInt()} machines and ${report.path("tasks_left").asInt()} tasks left" else ""
-        val waits = report.path("waits_for").properties().joinToString { (reason, count) -> "${count.asInt()} $reason" }
-        val why = if (waits.isEmpty()) "" else ": $waits"
+            if (isCountKnown) ", ${report.path("machines_left").asInt()} machines and ${report.path("tasks_left").asInt()} tasks left" else ""
+        val waitReasons = report.path("waits_for").properties().joinToString { (reason, count) -> "${count.asInt()} $reason" }
+        val waitText = if (waitReasons.isEmpty()) "" else ": $waitReasons"
         val cause = report.path("cause").asText()
-        return "drain of $kind ${report.path(kind).asText()} ($cause): ${report.path("state").asText()}$left$why"
+        return "drain of $kind ${report.path(kind).asText()} ($cause): ${report.path("state").asText()}$left$waitText"
     }
 
     /** Decisions about a task or machine, a line each. */
@@ -40,13 +40,13 @@
         val decisions = answer.path("decisions").map { "  ${Instant.ofEpochMilli(it.path("at_ms").asLong())} ${it.path("text").asText()}" }
         val since = Instant.ofEpochMilli(answer.path("since_ms").asLong())
         val dropped = answer.path("dropped").asLong().let { if (it > 0) "; $it older decisions are dropped" else "" }
-        val head = "${answer.path("subject").asText()}, as ${answer.path("member").asText()} decided since $since$dropped:"
-        return (listOf(head) + decisions.ifEmpty { listOf("  nothing off the ordinary path") }).joinToString("\n")
+        val heading = "${answer.path("subject").asText()}, as ${answer.path("member").asText()} decided since $since$dropped:"
+        return (listOf(heading) + decisions.ifEmpty { listOf("  nothing off the ordinary path") }).joinToString("\n")
     }
 
     private fun move(move: JsonNode): String {
-        val to = move.path("to").takeIf { it.isTextual }?.asText() ?: "wherever there is room"
+        val target = move.path("to").takeIf { it.isTextual }?.asText() ?: "wherever there is room"
         return "move ${move.path("time").asInt()} of ${move.path("task").asText()} run ${move.path("run").asInt()}: " +
-            "${move.path("from").asText()} to $to (${move.path("reason").asText()})"
+            "${move.path("from").asText()} to $target (${move.path("reason").asText()})"
     }
 }
--- a/src/main/kotlin/burlridge/app/CommandLine.kt
+++ b/src/main/kotlin/burlridge/app/CommandLine.kt
@@ -90,7 +90,7 @@
     ) : CommandLine
 
     /** Run once by the build: the classes that it loads go into the class data archive, which makes a start cheap. */
-    data object Rehearse : CommandLine
+    data object TrainClassArchive : CommandLine
 
     /** Print the usage. */
     data object Help : CommandLine
@@ -128,7 +128,7 @@
                 "drain" -> withFiles(args.drop(1), drainOptions(), ::drain)
                 "undrain" -> withFiles(args.drop(1), targetOptions(), ::undrain)
                 "explain" -> withFiles(args.drop(1), explainOptions(), ::explain)
-                "rehearse" -> if (args.size == 1) Rehearse else Invalid("rehearse takes no arguments")
+                "rehearse" -> if (args.size == 1) TrainClassArchive else Invalid("rehearse takes no arguments")
                 else -> Invalid("no such command: $command")
             }
 
--- a/src/main/kotlin/burlridge/app/Controller.kt
+++ b/src/main/kotlin/burlridge/app/Controller.kt
@@ -121,7 +121,7 @@
             is Input.MessageReceived -> peerMessages.handle(input.message)
         }
         context.runDue()
-        if (placementTimer.takeDue()) place()
+        if (placementTimer.consumeDueRequest()) place()
         store.sendQueued()
         return context.finishStep()
     }
--- a/src/main/kotlin/burlridge/app/FailoverReportFormatter.kt
+++ b/src/main/kotlin/burlridge/app/FailoverReportFormatter.kt
@@ -12,8 +12,8 @@
     fun describe(report: JsonNode): String =
         buildString {
             val isRecovering = report.path("doubts_itself").asBoolean()
-            val recovering = if (isRecovering) ", doubts its own view after a pause" else ""
-            appendLine("${report.text("member")}: ${report.text("role")}${draining(report)}$recovering")
+            val recoveringNote = if (isRecovering) ", doubts its own view after a pause" else ""
+            appendLine("${report.text("member")}: ${report.text("role")}${draining(report)}$recoveringNote")
             appendLine("  leader ${report.path("leader").asText("unknown")}, term ${report.text("term")}")
             report.path("members").forEach { appendLine("  ${describeMember(it)}") }
             appendLine("  ${describeReplica(report.path("replica"))}")
@@ -23,20 +23,20 @@
         }.trimEnd()
 
     private fun describeMember(member: JsonNode): String {
-        val silent = if (member.has("silent_s")) "%.1f s ago".format(member.path("silent_s").asDouble()) else "never heard"
-        val slow = if (member.path("slow").asBoolean()) ", slow" else ""
+        val lastHeartbeat = if (member.has("silent_s")) "%.1f s ago".format(member.path("silent_s").asDouble()) else "never heard"
+        val slowNote = if (member.path("slow").asBoolean()) ", slow" else ""
         val revision = member.path("replica_revision").asLong()
         val replica = if (revision >= 0) ", replica at $revision" else ""
         return "${member.text(
             "member",
-        )} ${member.text("state")} ($silent, level %.1f, ${member.text("reason")})${draining(member)}$slow$replica"
+        )} ${member.text("state")} ($lastHeartbeat, level %.1f, ${member.text("reason")})${draining(member)}$slowNote$replica"
             .format(member.path("level").asDouble())
     }
 
     private fun describeReplica(replica: JsonNode): String {
         val lag = if (replica.has("lag_s")) ", refreshed %.1f s ago".format(replica.path("lag_s").asDouble()) else ""
-        val discard = replica.text("last_discard").let { if (it.isEmpty()) "" else "; last thrown away: $it" }
-        return "standby replica ${replica.text("state")}: ${replica.text("rows")} rows, ${replica.text("bytes")} bytes$lag$discard"
+        val lastDiscard = replica.text("last_discard").let { if (it.isEmpty()) "" else "; last thrown away: $it" }
+        return "standby replica ${replica.text("state")}: ${replica.text("rows")} rows, ${replica.text("bytes")} bytes$lag$lastDiscard"
     }
 
     private fun describeChange(change: JsonNode): String {
--- a/src/main/kotlin/burlridge/app/LeaderStateLoader.kt
+++ b/src/main/kotlin/burlridge/app/LeaderStateLoader.kt
@@ -26,9 +26,9 @@
     private val fleet: Fleet,
     private val failover: Failover?,
     private val balance: Balance?,
-    onSubmissions: () -> Unit,
+    onJobsChanged: () -> Unit,
 ) {
-    private val submissions = SubmissionWatch(context, store, registry, onSubmissions)
+    private val submissions = SubmissionWatch(context, store, registry, onJobsChanged)
 
     /** Reads every row for [term], which this member leads; [onLoaded] is not called where the term ends before all are read. */
     fun load(
@@ -66,7 +66,7 @@
                 }
 
                 listing !is ListResult.Listed -> {
-                    context.schedule(RETRY_SECONDS) { if (pass.isStillLeading()) readAll(pass) }
+                    context.schedule(RETRY_DELAY_SECONDS) { if (pass.isStillLeading()) readAll(pass) }
                 }
 
                 else -> {
@@ -96,7 +96,7 @@
 
     internal companion object {
         private const val RENTALS = "rental/"
-        private const val RETRY_SECONDS = 0.5
+        private const val RETRY_DELAY_SECONDS = 0.5
 
         /** The prefixes of all rows that a new leader reads, those of drains and moves where they are switched on. */
         fun prefixes(withBalance: Boolean): List<String> =
--- a/src/main/kotlin/burlridge/app/Main.kt
+++ b/src/main/kotlin/burlridge/app/Main.kt
@@ -19,7 +19,7 @@
     println("settings of ${settings.member} are fine: ${settings.controllers} members; $gangs; at most $value bytes a value")
 }
 
-private fun administer(
+private fun runAdminCommand(
     files: SettingsFiles,
     request: AdminCommand.() -> String,
 ) {
@@ -57,13 +57,13 @@
     configureLogging()
     when (val command = CommandLine.parse(args.toList())) {
         is CommandLine.Serve -> Service(command.files.read()).run()
-        is CommandLine.Status -> administer(command.files) { status() }
-        is CommandLine.Drain -> administer(command.files) { drain(command.member, command.waitSeconds) }
-        is CommandLine.DrainMachines -> administer(command.files) { drainMachines(command.target, command.forced) }
-        is CommandLine.Explain -> administer(command.files) { explain(command.subject) }
-        is CommandLine.UndrainMachines -> administer(command.files) { undrainMachines(command.target) }
+        is CommandLine.Status -> runAdminCommand(command.files) { status() }
+        is CommandLine.Drain -> runAdminCommand(command.files) { drain(command.member, command.waitSeconds) }
+        is CommandLine.DrainMachines -> runAdminCommand(command.files) { drainMachines(command.target, command.forced) }
+        is CommandLine.Explain -> runAdminCommand(command.files) { explain(command.subject) }
+        is CommandLine.UndrainMachines -> runAdminCommand(command.files) { undrainMachines(command.target) }
         is CommandLine.Check -> reportValidSettings(command.files.read())
-        CommandLine.Rehearse -> trainClassArchive()
+        CommandLine.TrainClassArchive -> trainClassArchive()
         CommandLine.Help -> println(HELP)
         CommandLine.Version -> println("burlridge version ${CommandLine::class.java.`package`.implementationVersion ?: "development"}")
         is CommandLine.Invalid -> fail("${command.reason}; see burlridge --help")
--- a/src/main/kotlin/burlridge/app/Metrics.kt
+++ b/src/main/kotlin/burlridge/app/Metrics.kt
@@ -19,7 +19,7 @@
     }
 
     /** The core is about to take a step for [input]. */
-    fun stepped(input: Input) =
+    fun onInput(input: Input) =
         count(
             when (input) {
                 Input.Tick -> {
@@ -49,7 +49,7 @@
         )
 
     /** [effect] is about to be carried out. */
-    fun carriedOut(effect: Effect) {
+    fun onEffect(effect: Effect) {
         when (effect) {
             is Effect.Respond -> count(statusCounters.getOrPut(effect.status) { "out.answer.${effect.status}" })
             is Effect.HttpCall -> count("out.call")
@@ -59,7 +59,7 @@
     }
 
     /** A message of a kind that this version does not know has come from another controller. */
-    fun unknownPeerMessage() = count("in.peer.unknown")
+    fun onUnknownPeerMessage() = count("in.peer.unknown")
 
     /** All counters as `name=value`; [coreCounters] are those of the core. */
     fun line(coreCounters: Map<String, Long>): String {
--- a/src/main/kotlin/burlridge/app/PlacementTimer.kt
+++ b/src/main/kotlin/burlridge/app/PlacementTimer.kt
@@ -9,9 +9,9 @@
 internal class PlacementTimer(
     private val context: StepContext,
 ) {
-    private val minIntervalSeconds = context.settings.workers.reportSeconds / ROUNDS_PER_REPORT
+    private val minIntervalSeconds = context.settings.workers.reportSeconds / MAX_ROUNDS_PER_REPORT_INTERVAL
     private var isRequested = false
-    private var lastRoundAt = LONG_AGO
+    private var lastRoundAt = BEFORE_ANY_ROUND
 
     /** Asks for a round as soon as the spacing allows. */
     fun request() {
@@ -24,7 +24,7 @@
     }
 
     /** Whether a requested round is due now; the request is then used up. */
-    fun takeDue(): Boolean {
+    fun consumeDueRequest(): Boolean {
         val isDue = isRequested && context.now >= lastRoundAt + minIntervalSeconds
         if (isDue) isRequested = false
         return isDue
@@ -37,7 +37,7 @@
 
     private companion object {
         const val MAX_IDLE_SECONDS = 1.0
-        const val ROUNDS_PER_REPORT = 25
-        const val LONG_AGO = -1e9
+        const val MAX_ROUNDS_PER_REPORT_INTERVAL = 25
+        const val BEFORE_ANY_ROUND = -1e9
     }
 }
--- a/src/main/kotlin/burlridge/app/Service.kt
+++ b/src/main/kotlin/burlridge/app/Service.kt
@@ -32,12 +32,12 @@
     private val scope =
         CoroutineScope(loop + SupervisorJob() + CoroutineExceptionHandler { _, unexpected -> log.error("coroutine failed", unexpected) })
     private val budget = ConnectionBudget(settings.limits.maxConnections)
-    private val client = HttpClient(loop, scope, budget.commands, budget.kept, setOf(settings.state, settings.cloud), settings.state)
-    private val server = HttpServer(loop, budget, settings.workers.reportSeconds * IDLE_REPORTS) { step(it) }
+    private val client = HttpClient(loop, scope, budget.maxConcurrentCalls, budget.maxIdle, setOf(settings.state, settings.cloud), settings.state)
+    private val server = HttpServer(loop, budget, settings.workers.reportSeconds * RECLAIM_AFTER_INTERVALS) { step(it) }
     private val metrics = Metrics()
-    private val peers = PeerTransport(settings, loop, metrics::unknownPeerMessage) { step(Input.MessageReceived(it)) }
+    private val peers = PeerTransport(settings, loop, metrics::onUnknownPeerMessage) { step(Input.MessageReceived(it)) }
     private val serveOn = settings.serveOn
-    private var metricsLoggedAt = 0L
+    private var metricsLoggedAtNanos = 0L
     private val failover = settings.operator.failover
     private val tracer = failover?.traceFile?.let { LeaderChangeTracer(File(it), settings.member) }
     private val shutdown = if (failover == null) null else OrderlyShutdown(failover.drainPatienceSeconds(settings))
@@ -47,13 +47,13 @@
         shutdown?.install()
         start {
             step(Input.Tick)
-            shutdown?.let { drainIfAsked(it) }
-            server.sweep()
+            shutdown?.let { drainIfRequested(it) }
+            server.expirePending()
             logMetrics()
         }
     }
 
-    private fun drainIfAsked(shutdown: OrderlyShutdown) {
+    private fun drainIfRequested(shutdown: OrderlyShutdown) {
         if (!shutdown.isRequested) return
         step(Input.DrainRequested)
         if (controller.isDrained || !controller.isDraining) shutdown.complete()
@@ -61,7 +61,7 @@
 
     private fun start(tick: suspend () -> Unit) {
         WarmUp(settings).run()
-        peers.start(scope + loop.urgent)
+        peers.start(scope + loop.urgentDispatcher)
         server.serve(serveOn, scope)
         scope.launch {
             while (true) {
@@ -73,17 +73,17 @@
     }
 
     private fun logMetrics() {
-        if (!log.isDebugEnabled || System.nanoTime() - metricsLoggedAt < METRICS_NANOS) return
-        metricsLoggedAt = System.nanoTime()
-        log.debug("metrics: {} net.open={}", metrics.line(controller.counters), server.open)
+        if (!log.isDebugEnabled || System.nanoTime() - metricsLoggedAtNanos < METRICS_INTERVAL_NANOS) return
+        metricsLoggedAtNanos = System.nanoTime()
+        log.debug("metrics: {} net.open={}", metrics.line(controller.counters), server.openConnections)
     }
 
     /** Runs for two seconds with itself as store, cloud and worker, so that the class archive holds the classes of all I/O paths. */
     fun trainClassArchive() {
         // Without guarantees other code scales out, and gangs have code of their own: both belong in the archive.
         val gang = GangTimings(settings.workers.reportSeconds, settings.workers.reportSeconds)
-        val unguaranteed = settings.teams.mapValues { it.value.copy(cpus = 0.0) }
-        WarmUp(settings.copy(teams = unguaranteed, workers = settings.workers.copy(gang = gang))).run()
+        val teamsWithoutGuarantee = settings.teams.mapValues { it.value.copy(cpus = 0.0) }
+        WarmUp(settings.copy(teams = teamsWithoutGuarantee, workers = settings.workers.copy(gang = gang))).run()
         scope.launch {
             delay(TRAINING_MILLIS)
             loop.stop()
@@ -99,7 +99,7 @@
     }
 
     private fun step(input: Input) {
-        metrics.stepped(input)
+        metrics.onInput(input)
         val effects =
             try {
                 controller.step(input, System.nanoTime() / NANOS_PER_SECOND, System.currentTimeMillis())
@@ -108,18 +108,18 @@
                 log.error("core step failed input={}", input, unexpected)
                 exitProcess(EXIT_FAILED)
             }
-        effects.forEach(::carryOut)
+        effects.forEach(::execute)
     }
 
-    private fun carryOut(effect: Effect) {
-        metrics.carriedOut(effect)
+    private fun execute(effect: Effect) {
+        metrics.onEffect(effect)
         when (effect) {
             is Effect.Respond -> {
                 server.respond(effect)
             }
 
             is Effect.HttpCall -> {
-                val context = if (effect.target == settings.state) loop.urgent else EmptyCoroutineContext
+                val context = if (effect.target == settings.state) loop.urgentDispatcher else EmptyCoroutineContext
                 scope.launch(context) { step(Input.CallCompleted(effect.callId, client.call(effect))) }
             }
 
@@ -144,11 +144,11 @@
     private companion object {
         const val NANOS_PER_SECOND = 1e9
         const val TICK_MILLIS = 100L
-        const val METRICS_NANOS = 60_000_000_000L
+        const val METRICS_INTERVAL_NANOS = 60_000_000_000L
         const val TRAINING_MILLIS = 2_000L
         const val EXIT_FAILED = 70
 
         /** A live worker sends a heartbeat at least every one and a quarter intervals. */
-        const val IDLE_REPORTS = 1.5
+        const val RECLAIM_AFTER_INTERVALS = 1.5
     }
 }
--- a/src/main/kotlin/burlridge/app/SubmissionWatch.kt
+++ b/src/main/kotlin/burlridge/app/SubmissionWatch.kt
@@ -16,7 +16,7 @@
     private val store: StoreClient,
     private val registry: JobRegistry,
     /** Called after rows have changed. */
-    private val onSubmissions: () -> Unit,
+    private val onJobsChanged: () -> Unit,
 ) {
     /** Changes after this revision have not been seen yet. */
     private var revision = 0L
@@ -36,10 +36,10 @@
             if (!isStillLeading()) return@watch
             when (result) {
                 is WatchResult.Changes -> onChanges(result)
-                WatchResult.Compacted -> listAgain(isStillLeading)
+                WatchResult.Compacted -> relist(isStillLeading)
                 is WatchResult.Failed -> Unit
             }
-            context.schedule(PAUSE_SECONDS) { watch(isStillLeading) }
+            context.schedule(WATCH_RESTART_DELAY_SECONDS) { watch(isStillLeading) }
         }
     }
 
@@ -50,11 +50,11 @@
             }
         }
         revision = maxOf(revision, changes.revision)
-        if (changes.hasEvents) onSubmissions()
+        if (changes.hasEvents) onJobsChanged()
     }
 
     /** The state service no longer keeps the changes since [revision]. */
-    private fun listAgain(isStillLeading: () -> Boolean) {
+    private fun relist(isStillLeading: () -> Boolean) {
         store.list(ActiveJobRow.KEY_PREFIX, RequestPriority.CLAIM) { listing ->
             if (listing !is ListResult.Listed || !isStillLeading()) return@list
             listing.value.rows.forEach { registry.admit(it) }
@@ -64,6 +64,6 @@
 
     private companion object {
         const val WATCH_SECONDS = 10.0
-        const val PAUSE_SECONDS = 0.5
+        const val WATCH_RESTART_DELAY_SECONDS = 0.5
     }
 }
--- a/src/main/kotlin/burlridge/app/WarmUp.kt
+++ b/src/main/kotlin/burlridge/app/WarmUp.kt
@@ -15,15 +15,15 @@
 internal class WarmUp(
     private val settings: Settings,
 ) {
-    private val core = Controller(settings, 1)
+    private val controller = Controller(settings, 1)
     private val inputs = ArrayDeque<Input>()
     private var revision = 1L
     private var nextId = 1L
     private var sequence = 1L
-    private val reported = Json.arr()
+    private val taskReports = Json.arr()
 
     /** Counters of the core that was warmed up. */
-    val counters: Map<String, Long> get() = core.counters
+    val counters: Map<String, Long> get() = controller.counters
 
     /** Runs the warm-up. */
     fun run() {
@@ -39,12 +39,12 @@
                 inputs += Input.Request(nextId++, "POST", "/agent/beat", "", Json.write(heartbeat()))
             }
             while (inputs.isNotEmpty()) {
-                core.step(inputs.removeFirst(), now, (now * MILLIS_PER_SECOND).toLong()).forEach { if (it is Effect.HttpCall) reply(it) }
+                controller.step(inputs.removeFirst(), now, (now * MILLIS_PER_SECOND).toLong()).forEach { if (it is Effect.HttpCall) answerCall(it) }
             }
         }
     }
 
-    private fun reply(call: Effect.HttpCall) {
+    private fun answerCall(call: Effect.HttpCall) {
         val path = call.path.substringBefore('?')
         val status = if (call.method == "GET" && path.startsWith("/store/")) HttpStatus.NOT_FOUND else HttpStatus.OK
         val body =
@@ -65,7 +65,7 @@
 
                 path == "/rentals" -> """{"drovers":[$MACHINE],"truncated":false}"""
 
-                path == "/do" -> Json.write(execute(Json.parse(call.body.orEmpty())))
+                path == "/do" -> Json.write(executeCommand(Json.parse(call.body.orEmpty())))
 
                 // A watch stays open.
                 else -> return
@@ -73,9 +73,9 @@
         inputs += Input.CallCompleted(call.callId, CallOutcome.Responded(status, body))
     }
 
-    private fun execute(command: JsonNode): JsonNode {
+    private fun executeCommand(command: JsonNode): JsonNode {
         command.path("orders").filter { it.path("verb").asText() == "run" }.forEach {
-            reported
+            taskReports
                 .addObject()
                 .put("piece", it.path("piece").asText())
                 .put("try", it.path("try").asInt())
@@ -95,7 +95,7 @@
             put("stint", 1)
             put("tally", sequence++)
             put("baton", FIRST_TOKEN)
-            set<JsonNode>("pieces", reported.deepCopy())
+            set<JsonNode>("pieces", taskReports.deepCopy())
         }
 
     private companion object {
--- a/src/main/kotlin/burlridge/net/ClientConnections.kt
+++ b/src/main/kotlin/burlridge/net/ClientConnections.kt
@@ -6,7 +6,7 @@
  */
 internal class ClientConnections<T : Any>(
     private val maxOpen: Int,
-    private val crowdedAbove: Int,
+    private val softLimit: Int,
     private val reclaimAfterSeconds: Double,
 ) {
     private val idleSince = LinkedHashMap<T, Double>()
@@ -16,7 +16,7 @@
     val size: Int get() = idleSince.size + busy.size
 
     /** Whether a worker's connection should be closed with its response. */
-    val isCrowded: Boolean get() = size > crowdedAbove
+    val isAboveSoftLimit: Boolean get() = size > softLimit
 
     /** Whether no more may be accepted. */
     val isFull: Boolean get() = size >= maxOpen
--- a/src/main/kotlin/burlridge/net/Connection.kt
+++ b/src/main/kotlin/burlridge/net/Connection.kt
@@ -29,7 +29,7 @@
     private val loop: EventLoop,
     private val scope: CoroutineScope,
     private val channel: SocketChannel,
-) : EventLoop.Ready {
+) : EventLoop.ReadinessListener {
     /** Serves an accepted connection. */
     internal interface Handler {
         /** Handles [bytes] if they are one whole request that needs no parser; false if they have to be read from [input]. */
@@ -58,37 +58,37 @@
     private var handler: Handler? = null
 
     /** Whether a coroutine reads the socket. */
-    private var isPumping = false
+    private var isReadByCoroutine = false
 
     /** Whether a read is due already, so that a socket that stays readable is not queued twice. */
     private var isReadQueued = false
-    private val readTurn =
+    private val queuedRead =
         Runnable {
             isReadQueued = false
-            if (!isPumping && channel.isOpen) readOrWait()
+            if (!isReadByCoroutine && channel.isOpen) readOrWait()
         }
-    private var reading: Continuation<Unit>? = null
-    private var writing: Continuation<Unit>? = null
+    private var readWaiter: Continuation<Unit>? = null
+    private var writeWaiter: Continuation<Unit>? = null
     private var responseWaiter: Continuation<Unit>? = null
 
     /** Whether a request that was handled whole still waits for its response. */
     private var isAwaitingResponse = false
 
     /** Whether it can neither be read nor written any more. */
-    val isClosed: Boolean get() = !channel.isOpen || (isPumping && incoming.isClosedForRead)
+    val isClosed: Boolean get() = !channel.isOpen || (isReadByCoroutine && incoming.isClosedForRead)
 
-    override fun ready(operations: Int) {
+    override fun onReady(operations: Int) {
         if (operations and WRITE != 0) {
             key.interestOpsAnd(WRITE.inv())
-            writing?.also { writing = null }?.resume(Unit)
+            writeWaiter?.also { writeWaiter = null }?.resume(Unit)
         }
         if (operations and READ == 0) return
-        if (isPumping) {
+        if (isReadByCoroutine) {
             key.interestOpsAnd(READ.inv())
-            reading?.also { reading = null }?.resume(Unit)
+            readWaiter?.also { readWaiter = null }?.resume(Unit)
         } else if (!isReadQueued) {
             isReadQueued = true
-            loop.enqueue(readTurn)
+            loop.enqueue(queuedRead)
         }
     }
 
@@ -97,7 +97,7 @@
         if (isAwaitingResponse) key.interestOpsAnd(READ.inv()) else readRequest()
     }
 
-    private fun handled(bytes: ByteArray): Boolean {
+    private fun handleWithoutParser(bytes: ByteArray): Boolean {
         isAwaitingResponse = true
         val isHandled = handler?.tryHandle(this, bytes) == true
         if (!isHandled) isAwaitingResponse = false
@@ -108,7 +108,7 @@
     fun onResponse() {
         isAwaitingResponse = false
         if (!channel.isOpen) return
-        if (isPumping) responseWaiter?.also { responseWaiter = null }?.resume(Unit) else key.interestOpsOr(READ)
+        if (isReadByCoroutine) responseWaiter?.also { responseWaiter = null }?.resume(Unit) else key.interestOpsOr(READ)
     }
 
     /** Reads once outside any coroutine: a whole request that needs no parser, or the beginning of anything else. */
@@ -119,11 +119,11 @@
             } catch (_: IOException) {
                 null
             } ?: return close()
-        if (handled(bytes)) return
-        isPumping = true
+        if (handleWithoutParser(bytes)) return
+        isReadByCoroutine = true
         key.interestOpsAnd(READ.inv())
         requestBytes = bytes
-        scope.launch { pump(bytes) }
+        scope.launch { copyToInput(bytes) }
         scope.launch(start = CoroutineStart.UNDISPATCHED) { serve() }
     }
 
@@ -141,25 +141,25 @@
 
     /** What has arrived; null at the end of the stream. */
     private fun read(): ByteArray? {
-        loop.buffer.clear()
-        val size = channel.read(loop.buffer)
+        loop.readBuffer.clear()
+        val size = channel.read(loop.readBuffer)
         if (size < 0) return null
-        return ByteArray(size).also { loop.buffer.flip().get(it) }
+        return ByteArray(size).also { loop.readBuffer.flip().get(it) }
     }
 
-    private suspend fun readable() =
+    private suspend fun awaitReadable() =
         suspendCancellableCoroutine {
-            reading = it
-            want(SelectionKey.OP_READ)
+            readWaiter = it
+            addInterest(SelectionKey.OP_READ)
         }
 
-    private suspend fun writable(operation: Int) =
+    private suspend fun awaitWritable(operation: Int) =
         suspendCancellableCoroutine {
-            writing = it
-            want(operation)
+            writeWaiter = it
+            addInterest(operation)
         }
 
-    private fun want(operation: Int) {
+    private fun addInterest(operation: Int) {
         try {
             key.interestOpsOr(operation)
         } catch (e: CancelledKeyException) {
@@ -169,11 +169,11 @@
 
     /** Writes all of [bytes]. Throws [IOException] when the connection is closed. */
     suspend fun write(bytes: ByteArray) {
-        val rest = ByteBuffer.wrap(bytes)
-        channel.write(rest)
-        while (rest.hasRemaining()) {
-            writable(SelectionKey.OP_WRITE)
-            channel.write(rest)
+        val unwritten = ByteBuffer.wrap(bytes)
+        channel.write(unwritten)
+        while (unwritten.hasRemaining()) {
+            awaitWritable(SelectionKey.OP_WRITE)
+            channel.write(unwritten)
         }
     }
 
@@ -184,24 +184,24 @@
 
     /** Writes what the socket takes at once; returns the rest of [bytes], or null when all was written. */
     fun tryWrite(bytes: ByteArray): ByteArray? {
-        val rest = ByteBuffer.wrap(bytes)
-        channel.write(rest)
-        return if (rest.hasRemaining()) bytes.copyOfRange(rest.position(), bytes.size) else null
+        val unwritten = ByteBuffer.wrap(bytes)
+        channel.write(unwritten)
+        return if (unwritten.hasRemaining()) bytes.copyOfRange(unwritten.position(), bytes.size) else null
     }
 
-    private suspend fun pump(first: ByteArray?) {
+    private suspend fun copyToInput(first: ByteArray?) {
         try {
-            first?.let { pass(it) }
+            first?.let { writeToInput(it) }
             while (true) {
-                readable()
+                awaitReadable()
                 val bytes = read() ?: break
-                val between = requestBytes == null
-                if (between && handled(bytes)) {
+                val isBetweenRequests = requestBytes == null
+                if (isBetweenRequests && handleWithoutParser(bytes)) {
                     if (isAwaitingResponse) suspendCancellableCoroutine { responseWaiter = it }
                     continue
                 }
-                if (between) requestBytes = bytes
-                pass(bytes)
+                if (isBetweenRequests) requestBytes = bytes
+                writeToInput(bytes)
             }
             incoming.flushAndClose()
         } catch (e: CancellationException) {
@@ -212,7 +212,7 @@
         }
     }
 
-    private suspend fun pass(bytes: ByteArray) {
+    private suspend fun writeToInput(bytes: ByteArray) {
         incoming.writeFully(bytes)
         incoming.flush()
     }
@@ -220,8 +220,8 @@
     /** Closes the connection and tells its handler; may be called twice. */
     fun close() {
         channel.close()
-        reading?.also { reading = null }?.resume(Unit)
-        writing?.also { writing = null }?.resume(Unit)
+        readWaiter?.also { readWaiter = null }?.resume(Unit)
+        writeWaiter?.also { writeWaiter = null }?.resume(Unit)
         responseWaiter?.also { responseWaiter = null }?.resume(Unit)
         handler?.also { handler = null }?.onClosed(this)
     }
@@ -241,12 +241,12 @@
                 channel.configureBlocking(false)
                 val connection = Connection(loop, scope, channel)
                 if (!channel.connect(InetSocketAddress(target.host, target.port))) {
-                    connection.writable(SelectionKey.OP_CONNECT)
+                    connection.awaitWritable(SelectionKey.OP_CONNECT)
                     channel.finishConnect()
                 }
                 channel.setOption(StandardSocketOptions.TCP_NODELAY, true)
-                connection.isPumping = true
-                scope.launch { connection.pump(null) }
+                connection.isReadByCoroutine = true
+                scope.launch { connection.copyToInput(null) }
                 return connection
             } catch (unexpected: Throwable) {
                 // Whatever happens, cancellation included, the socket must not leak.
--- a/src/main/kotlin/burlridge/net/ConnectionBudget.kt
+++ b/src/main/kotlin/burlridge/net/ConnectionBudget.kt
@@ -5,27 +5,27 @@
     maxConnections: Int,
 ) {
     /** Maximum open from outside: users, health checks and workers. */
-    val clients: Int = (maxConnections * CLIENTS_SHARE).toInt()
+    val maxClients: Int = (maxConnections * CLIENTS_SHARE).toInt()
 
     /** Above this number a worker's connection is closed with its response; it reconnects for its next heartbeat. */
-    val crowded: Int = (maxConnections * CROWDED_SHARE).toInt()
+    val clientSoftLimit: Int = (maxConnections * CLIENT_SOFT_LIMIT_SHARE).toInt()
 
     /** Established but not yet accepted connections, which take a socket too. */
     val backlog: Int = (maxConnections * BACKLOG_SHARE).toInt().coerceAtLeast(1)
 
     /** Maximum of concurrent calls to workers. Machines that hang hold theirs until the timeout. */
-    val commands: Int = (maxConnections * COMMANDS_SHARE).toInt().coerceAtLeast(1)
+    val maxConcurrentCalls: Int = (maxConnections * CONCURRENT_CALLS_SHARE).toInt().coerceAtLeast(1)
 
     /** Maximum of idle connections kept for later calls. */
-    val kept: Int = (maxConnections * KEPT_SHARE).toInt().coerceAtLeast(1)
+    val maxIdle: Int = (maxConnections * IDLE_SHARE).toInt().coerceAtLeast(1)
 
     private companion object {
         const val CLIENTS_SHARE = 0.64
-        const val CROWDED_SHARE = 0.6
+        const val CLIENT_SOFT_LIMIT_SHARE = 0.6
         const val BACKLOG_SHARE = 0.06
 
         // The rest, three hundredths, is for other controllers, the key-value store, the cloud and connections that are closing.
-        const val COMMANDS_SHARE = 0.2
-        const val KEPT_SHARE = 0.07
+        const val CONCURRENT_CALLS_SHARE = 0.2
+        const val IDLE_SHARE = 0.07
     }
 }
--- a/src/main/kotlin/burlridge/net/ConnectionListener.kt
+++ b/src/main/kotlin/burlridge/net/ConnectionListener.kt
@@ -12,7 +12,7 @@
 
 /** Accepts connections on the event loop. */
 internal object ConnectionListener {
-    private const val PAUSE_MILLIS = 20L
+    private const val ACCEPT_PAUSE_MILLIS = 20L
 
     /**
      * Accepts connections on [endpoint] for as long as the loop runs. When [admit] refuses, or no socket can be had, accepting pauses for a
@@ -32,27 +32,27 @@
         server.configureBlocking(false)
         lateinit var key: SelectionKey
 
-        fun pause() {
+        fun pauseAccepting() {
             key.interestOps(0)
             scope.launch {
-                delay(PAUSE_MILLIS)
+                delay(ACCEPT_PAUSE_MILLIS)
                 key.interestOps(SelectionKey.OP_ACCEPT)
             }
         }
-        val ready =
-            EventLoop.Ready {
+        val listener =
+            EventLoop.ReadinessListener {
                 while (true) {
-                    if (!admit()) return@Ready pause()
+                    if (!admit()) return@ReadinessListener pauseAccepting()
                     val channel =
                         try {
                             server.accept() ?: break
                         } catch (_: IOException) {
-                            return@Ready pause()
+                            return@ReadinessListener pauseAccepting()
                         }
                     // Registered at once, so that it counts before the next one is admitted.
                     Connection.accept(loop, scope, channel, newHandler)
                 }
             }
-        key = server.register(loop.selector, SelectionKey.OP_ACCEPT, ready)
+        key = server.register(loop.selector, SelectionKey.OP_ACCEPT, listener)
     }
 }
--- a/src/main/kotlin/burlridge/net/EventLoop.kt
+++ b/src/main/kotlin/burlridge/net/EventLoop.kt
@@ -21,59 +21,59 @@
     CoroutineDispatcher(),
     Delay {
     /** Waits for a socket; called on the loop with the operations that are possible now. */
-    internal fun interface Ready {
-        fun ready(operations: Int)
+    internal fun interface ReadinessListener {
+        fun onReady(operations: Int)
     }
 
     private class Timer(
-        val at: Long,
-        val order: Long,
+        val atNanos: Long,
+        val sequence: Long,
         var work: Runnable?,
     ) : Comparable<Timer> {
-        override fun compareTo(other: Timer): Int = compareValuesBy(this, other, Timer::at, Timer::order)
+        override fun compareTo(other: Timer): Int = compareValuesBy(this, other, Timer::atNanos, Timer::sequence)
     }
 
-    /** Where channels register, with a [Ready] as attachment. */
+    /** Where channels register, with a [ReadinessListener] as attachment. */
     val selector: Selector = Selector.open()
 
     /** Read buffer shared by all connections; what is read is copied out at once. */
-    val buffer: ByteBuffer = ByteBuffer.allocateDirect(READ_BYTES)
-    private val due = ArrayDeque<Runnable>()
+    val readBuffer: ByteBuffer = ByteBuffer.allocateDirect(READ_BUFFER_BYTES)
+    private val readyQueue = ArrayDeque<Runnable>()
 
     /** Runs before all bulk work: lease renewals depend on it, and a busy leader must not be taken for a dead one. */
-    private val urgentDue = ArrayDeque<Runnable>()
+    private val urgentQueue = ArrayDeque<Runnable>()
     private val timers = PriorityQueue<Timer>()
 
     /** Timeouts that have run out, to be run again after the sockets have been read. */
-    private val afterSelect = ArrayList<Runnable>()
-    private var nextOrder = 0L
-    private var cancelled = 0
+    private val expiredTimeouts = ArrayList<Runnable>()
+    private var nextSequence = 0L
+    private var cancelledTimers = 0
     private var stopped = false
 
     override fun dispatch(
         context: CoroutineContext,
         block: Runnable,
     ) {
-        due.addLast(block)
+        readyQueue.addLast(block)
     }
 
     /** The same loop for coroutines that run before all others. */
-    val urgent: CoroutineDispatcher = Urgent()
+    val urgentDispatcher: CoroutineDispatcher = UrgentDispatcher()
 
-    private inner class Urgent :
+    private inner class UrgentDispatcher :
         CoroutineDispatcher(),
         Delay by this@EventLoop {
         override fun dispatch(
             context: CoroutineContext,
             block: Runnable,
         ) {
-            urgentDue.addLast(block)
+            urgentQueue.addLast(block)
         }
     }
 
     /** Runs [work] after everything that is due already. */
     fun enqueue(work: Runnable) {
-        due.addLast(work)
+        readyQueue.addLast(work)
     }
 
     /** Ends [run] after the current turn. */
@@ -85,64 +85,64 @@
     fun run() {
         while (!stopped) {
             // Only a slice of what is due, so that sockets, timers and urgent work get their turn however much waits.
-            var remaining = minOf(due.size, SLICE)
+            var remaining = minOf(readyQueue.size, MAX_RUNNABLES_PER_TURN)
             runUrgent()
             while (remaining-- > 0) {
-                due.removeFirst().run()
+                readyQueue.removeFirst().run()
                 runUrgent()
             }
             runTimers()
             select()
-            due.addAll(afterSelect)
-            afterSelect.clear()
+            readyQueue.addAll(expiredTimeouts)
+            expiredTimeouts.clear()
         }
     }
 
     private fun runUrgent() {
-        while (urgentDue.isNotEmpty()) urgentDue.removeFirst().run()
+        while (urgentQueue.isNotEmpty()) urgentQueue.removeFirst().run()
     }
 
     private fun runTimers() {
         val now = System.nanoTime()
         while (true) {
             val timer = timers.peek() ?: return
-            if (timer.work != null && timer.at > now) return
+            if (timer.work != null && timer.atNanos > now) return
             timers.poll()
             val work = timer.work
-            if (work == null) cancelled-- else work.run()
+            if (work == null) cancelledTimers-- else work.run()
         }
     }
 
     private fun select() {
-        if (due.isNotEmpty() || urgentDue.isNotEmpty() || afterSelect.isNotEmpty()) {
+        if (readyQueue.isNotEmpty() || urgentQueue.isNotEmpty() || expiredTimeouts.isNotEmpty()) {
             selector.selectNow()
         } else {
             val waitMillis =
-                timers.peek()?.let { (it.at - System.nanoTime() + NANOS_PER_MILLI - 1) / NANOS_PER_MILLI } ?: MAX_WAIT_MILLIS
+                timers.peek()?.let { (it.atNanos - System.nanoTime() + NANOS_PER_MILLI - 1) / NANOS_PER_MILLI } ?: MAX_WAIT_MILLIS
             if (waitMillis <= 0) selector.selectNow() else selector.select(waitMillis)
         }
         val keys = selector.selectedKeys()
         if (keys.isEmpty()) return
-        keys.forEach { ready(it) }
+        keys.forEach { notifyListener(it) }
         keys.clear()
     }
 
-    private fun ready(key: SelectionKey) {
-        if (key.isValid) (key.attachment() as Ready).ready(key.readyOps())
+    private fun notifyListener(key: SelectionKey) {
+        if (key.isValid) (key.attachment() as ReadinessListener).onReady(key.readyOps())
     }
 
-    private fun after(
+    private fun addTimer(
         millis: Long,
         work: Runnable,
-    ): Timer = Timer(System.nanoTime() + millis * NANOS_PER_MILLI, nextOrder++, work).also { timers.add(it) }
+    ): Timer = Timer(System.nanoTime() + millis * NANOS_PER_MILLI, nextSequence++, work).also { timers.add(it) }
 
     private fun cancel(timer: Timer) {
         if (timer.work == null) return
         timer.work = null
         // Most timers are cancelled long before they are due, so they are removed in bulk.
-        if (++cancelled > timers.size / 2 + SPARE_TIMERS) {
+        if (++cancelledTimers > timers.size / 2 + CANCELLED_TIMERS_SLACK) {
             timers.removeIf { it.work == null }
-            cancelled = 0
+            cancelledTimers = 0
         }
     }
 
@@ -150,7 +150,7 @@
         timeMillis: Long,
         continuation: CancellableContinuation<Unit>,
     ) {
-        val timer = after(timeMillis) { with(continuation) { resumeUndispatched(Unit) } }
+        val timer = addTimer(timeMillis) { with(continuation) { resumeUndispatched(Unit) } }
         continuation.invokeOnCancellation { cancel(timer) }
     }
 
@@ -160,7 +160,7 @@
         context: CoroutineContext,
     ): DisposableHandle {
         val timeout = Timeout(block)
-        val timer = after(timeMillis, timeout)
+        val timer = addTimer(timeMillis, timeout)
         return DisposableHandle {
             timeout.disposed = true
             cancel(timer)
@@ -181,7 +181,7 @@
         override fun run() {
             when {
                 disposed -> Unit
-                roundsLeft-- > 0 -> afterSelect.add(this)
+                roundsLeft-- > 0 -> expiredTimeouts.add(this)
                 else -> block.run()
             }
         }
@@ -189,11 +189,11 @@
 
     private companion object {
         /** Coroutine turns, a handful of requests, between two checks of sockets and timers. */
-        const val SLICE = 32
-        const val READ_BYTES = 64 * 1024
+        const val MAX_RUNNABLES_PER_TURN = 32
+        const val READ_BUFFER_BYTES = 64 * 1024
         const val NANOS_PER_MILLI = 1_000_000L
         const val MAX_WAIT_MILLIS = 1_000L
-        const val SPARE_TIMERS = 64
+        const val CANCELLED_TIMERS_SLACK = 64
 
         /** One round each for the read of a socket, the parser, and whoever waits for the parser, and one to spare. */
         const val TIMEOUT_ROUNDS = 4
--- a/src/main/kotlin/burlridge/net/HttpClient.kt
+++ b/src/main/kotlin/burlridge/net/HttpClient.kt
@@ -17,71 +17,71 @@
     maxConcurrent: Int,
     private val maxIdle: Int,
     /** Targets whose calls do not count against the limit of concurrent calls. */
-    private val unlimited: Set<Endpoint>,
+    private val unlimitedTargets: Set<Endpoint>,
     /** Target whose responses are processed before all bulk work. */
-    private val urgent: Endpoint? = null,
+    private val urgentTarget: Endpoint? = null,
 ) {
-    private val urgentScope = scope + loop.urgent
+    private val urgentScope = scope + loop.urgentDispatcher
     private val permits = Semaphore(maxConcurrent)
 
     /** Idle connections to all targets, the least recently used first. */
-    private val idle = LinkedHashSet<Link>()
-    private val idleAt = HashMap<Endpoint, ArrayDeque<Link>>()
+    private val idle = LinkedHashSet<PooledConnection>()
+    private val idleByTarget = HashMap<Endpoint, ArrayDeque<PooledConnection>>()
 
-    private class Link(
+    private class PooledConnection(
         val target: Endpoint,
         val connection: Connection,
     )
 
     /** Makes the call of [effect] and tells how it ended; never throws but for cancellation. */
     suspend fun call(effect: Effect.HttpCall): CallOutcome {
-        if (effect.target in unlimited) return callNow(effect)
+        if (effect.target in unlimitedTargets) return sendAndReceive(effect)
         // Hundreds of machines that hang must not take all sockets. A call that waited in vain was never sent.
         if (!permits.tryAcquire()) {
             withTimeoutOrNull((effect.timeoutSeconds * MILLIS_PER_SECOND).toLong()) { permits.acquire() }
                 ?: return CallOutcome.NotSent
         }
         return try {
-            callNow(effect)
+            sendAndReceive(effect)
         } finally {
             permits.release()
         }
     }
 
-    private suspend fun callNow(effect: Effect.HttpCall): CallOutcome {
+    private suspend fun sendAndReceive(effect: Effect.HttpCall): CallOutcome {
         val timeoutMillis = (effect.timeoutSeconds * MILLIS_PER_SECOND).toLong()
-        val link =
-            takeIdle(effect.target) ?: withTimeoutOrNull(minOf(timeoutMillis, CONNECT_MILLIS)) { connect(effect.target) }
+        val pooled =
+            takeIdle(effect.target) ?: withTimeoutOrNull(minOf(timeoutMillis, CONNECT_TIMEOUT_MILLIS)) { connect(effect.target) }
                 ?: return CallOutcome.NotSent
         val outcome =
             try {
-                withTimeoutOrNull(timeoutMillis) { exchange(link, effect) }
+                withTimeoutOrNull(timeoutMillis) { exchange(pooled, effect) }
             } catch (e: CancellationException) {
-                link.connection.close()
+                pooled.connection.close()
                 throw e
             } catch (_: Exception) {
                 // Ktor's parser throws exceptions of several types on malformed input; like a reset, it leaves the outcome unknown.
                 null
             }
-        if (outcome == null) link.connection.close()
+        if (outcome == null) pooled.connection.close()
         return outcome ?: CallOutcome.Unknown
     }
 
-    private fun takeIdle(target: Endpoint): Link? {
-        val links = idleAt[target] ?: return null
+    private fun takeIdle(target: Endpoint): PooledConnection? {
+        val connections = idleByTarget[target] ?: return null
         while (true) {
-            val link = links.removeLastOrNull()
-            if (links.isEmpty()) idleAt.remove(target)
-            if (link == null) return null
-            idle.remove(link)
-            if (!link.connection.isClosed) return link
-            link.connection.close()
+            val pooled = connections.removeLastOrNull()
+            if (connections.isEmpty()) idleByTarget.remove(target)
+            if (pooled == null) return null
+            idle.remove(pooled)
+            if (!pooled.connection.isClosed) return pooled
+            pooled.connection.close()
         }
     }
 
-    private suspend fun connect(target: Endpoint): Link? =
+    private suspend fun connect(target: Endpoint): PooledConnection? =
         try {
-            Link(target, Connection.connect(loop, if (target == urgent) urgentScope else scope, target))
+            PooledConnection(target, Connection.connect(loop, if (target == urgentTarget) urgentScope else scope, target))
         } catch (e: CancellationException) {
             throw e
         } catch (_: Exception) {
@@ -90,7 +90,7 @@
         }
 
     private suspend fun exchange(
-        link: Link,
+        pooled: PooledConnection,
         effect: Effect.HttpCall,
     ): CallOutcome? {
         val body = effect.body?.encodeToByteArray()
@@ -107,17 +107,17 @@
             }.encodeToByteArray()
         if (isPastDeadline(effect)) {
             // The call waited for a permit or a connection, or the process was paused: the decision behind it may no longer stand.
-            keep(link)
+            returnToPool(pooled)
             return CallOutcome.NotSent
         }
-        link.connection.write(if (body == null) head else head + body)
-        val response = parseResponse(link.connection.input) ?: return null
+        pooled.connection.write(if (body == null) head else head + body)
+        val response = parseResponse(pooled.connection.input) ?: return null
         try {
-            val text = readBody(response.headers, link.connection.input, MAX_RESPONSE_BYTES) ?: return null
+            val text = readBody(response.headers, pooled.connection.input, MAX_RESPONSE_BYTES) ?: return null
             if (response.headers["Connection"]?.contains("close", ignoreCase = true) == true) {
-                link.connection.close()
+                pooled.connection.close()
             } else {
-                keep(link)
+                returnToPool(pooled)
             }
             return CallOutcome.Responded(response.status, text)
         } finally {
@@ -127,24 +127,24 @@
 
     private fun isPastDeadline(effect: Effect.HttpCall) = effect.sendDeadline < System.nanoTime() / NANOS_PER_SECOND
 
-    private fun keep(link: Link) {
-        idle.add(link)
-        idleAt.getOrPut(link.target) { ArrayDeque() }.addLast(link)
-        if (idle.size > maxIdle) drop(idle.first())
+    private fun returnToPool(pooled: PooledConnection) {
+        idle.add(pooled)
+        idleByTarget.getOrPut(pooled.target) { ArrayDeque() }.addLast(pooled)
+        if (idle.size > maxIdle) evict(idle.first())
     }
 
-    private fun drop(link: Link) {
-        idle.remove(link)
-        idleAt[link.target]?.let {
-            it.remove(link)
-            if (it.isEmpty()) idleAt.remove(link.target)
+    private fun evict(pooled: PooledConnection) {
+        idle.remove(pooled)
+        idleByTarget[pooled.target]?.let {
+            it.remove(pooled)
+            if (it.isEmpty()) idleByTarget.remove(pooled.target)
         }
-        link.connection.close()
+        pooled.connection.close()
     }
 
     private companion object {
         const val MILLIS_PER_SECOND = 1000
-        const val CONNECT_MILLIS = 1_000L
+        const val CONNECT_TIMEOUT_MILLIS = 1_000L
         const val NANOS_PER_SECOND = 1e9
         const val MAX_RESPONSE_BYTES = 8 * 1024 * 1024
     }
--- a/src/main/kotlin/burlridge/net/HttpServer.kt
+++ b/src/main/kotlin/burlridge/net/HttpServer.kt
@@ -21,39 +21,39 @@
     private val handle: (Input.Request) -> Unit,
 ) {
     private class PendingRequest(
-        val since: Long,
+        val receivedAtNanos: Long,
         val respond: (HttpResponse) -> Unit,
     )
 
     private val log = LoggerFactory.getLogger("burlridge")
     private var nextId = 1L
     private val pending = LinkedHashMap<Long, PendingRequest>()
-    private val clients = ClientConnections<Connection>(budget.clients, budget.crowded, reclaimAfterSeconds)
+    private val clients = ClientConnections<Connection>(budget.maxClients, budget.clientSoftLimit, reclaimAfterSeconds)
     private val knownHeads = KnownRequestHeads()
-    private var reclaimed = 0L
-    private var fullLoggedAt = 0L
+    private var reclaimedConnections = 0L
+    private var limitLoggedAtNanos = 0L
 
     /** Connections open from outside. */
-    val open: Int get() = clients.size
+    val openConnections: Int get() = clients.size
 
     /** Whether one more connection may be accepted; at the limit the one that has been idle longest is closed for it. */
     private fun admit(): Boolean {
         if (!clients.isFull) return true
-        val idleLongest = clients.reclaimable(seconds())
-        if (idleLongest != null) {
-            clients.onClosed(idleLongest)
-            idleLongest.close()
-            reclaimed++
+        val longestIdle = clients.reclaimable(nowSeconds())
+        if (longestIdle != null) {
+            clients.onClosed(longestIdle)
+            longestIdle.close()
+            reclaimedConnections++
         }
         val now = System.nanoTime()
-        if (fullLoggedAt == 0L || now - fullLoggedAt > LOG_INTERVAL_NANOS) {
-            fullLoggedAt = now
-            log.info("connection limit reached open={} idleClosed={}", clients.size, reclaimed)
+        if (limitLoggedAtNanos == 0L || now - limitLoggedAtNanos > LIMIT_LOG_INTERVAL_NANOS) {
+            limitLoggedAtNanos = now
+            log.info("connection limit reached open={} idleClosed={}", clients.size, reclaimedConnections)
         }
-        return idleLongest != null
+        return longestIdle != null
     }
 
-    private fun seconds() = System.nanoTime() / NANOS_PER_SECOND
+    private fun nowSeconds() = System.nanoTime() / NANOS_PER_SECOND
 
     /** Sends the response to the request that [effect] names; a request that was given up meanwhile is passed over. */
     fun respond(effect: Effect.Respond) {
@@ -62,11 +62,11 @@
     }
 
     /** Answers requests that the core has left open for too long; it should never do so. */
-    fun sweep() {
+    fun expirePending() {
         val now = System.nanoTime()
         while (true) {
             val (id, oldest) = pending.entries.firstOrNull() ?: return
-            if (now - oldest.since < HANDLE_NANOS) return
+            if (now - oldest.receivedAtNanos < PENDING_TIMEOUT_NANOS) return
             pending.remove(id)
             oldest.respond(HttpResponse.unavailable("no answer in time"))
         }
@@ -78,7 +78,7 @@
         scope: CoroutineScope,
     ) {
         ConnectionListener.listen(loop, scope, endpoint, budget.backlog, ::admit) {
-            clients.onOpened(it, seconds())
+            clients.onOpened(it, nowSeconds())
             Session(scope)
         }
     }
@@ -89,14 +89,14 @@
         override fun tryHandle(
             connection: Connection,
             bytes: ByteArray,
-        ): Boolean = handleWithKnownHead(connection, bytes, scope)
+        ): Boolean = handleWithoutParser(connection, bytes, scope)
 
-        override suspend fun serve(connection: Connection) = serveParsed(connection)
+        override suspend fun serve(connection: Connection) = serveWithParser(connection)
 
         override fun onClosed(connection: Connection) = clients.onClosed(connection)
     }
 
-    private suspend fun serveParsed(connection: Connection) {
+    private suspend fun serveWithParser(connection: Connection) {
         while (true) {
             val request = parseRequest(connection.input) ?: return
             try {
@@ -108,19 +108,19 @@
                     write(connection, HttpResponse.error(HttpStatus.BAD_REQUEST, "the body is longer than $MAX_BODY_BYTES bytes"), true)
                     return
                 }
-                val deferred = CompletableDeferred<HttpResponse>()
+                val pendingResponse = CompletableDeferred<HttpResponse>()
                 val id = nextId++
-                val since = System.nanoTime()
-                pending[id] = PendingRequest(since, deferred::complete)
+                val receivedAtNanos = System.nanoTime()
+                pending[id] = PendingRequest(receivedAtNanos, pendingResponse::complete)
                 handle(Input.Request(id, request.method.value, uri.substringBefore('?'), uri.substringAfter('?', ""), body))
-                val answer = deferred.await()
-                logIfNotable(request, uri, answer.status, since)
-                clients.onResponse(connection, seconds())
+                val response = pendingResponse.await()
+                logIfNotable(request, uri, response.status, receivedAtNanos)
+                clients.onResponse(connection, nowSeconds())
                 // A worker loses nothing by reconnecting for its next heartbeat; a request of a user might cross the close.
-                val close = closeRequested || (clients.isCrowded && uri == WORKER_PATH)
-                if (uri in FREQUENT_PATHS) knownHeads.learn(connection.requestBytes, request, uri)
+                val close = closeRequested || (clients.isAboveSoftLimit && uri == WORKER_PATH)
+                if (uri in FREQUENT_PATHS) knownHeads.add(connection.requestBytes, request, uri)
                 connection.requestCompleted()
-                write(connection, answer, close)
+                write(connection, response, close)
                 if (close) return
             } finally {
                 request.release()
@@ -132,51 +132,51 @@
         request: Request,
         uri: String,
         status: Int,
-        since: Long,
+        receivedAtNanos: Long,
     ) {
-        val elapsedMillis = (System.nanoTime() - since) / NANOS_PER_MILLI
-        if (elapsedMillis <= SLOW_MILLIS && status < SERVER_ERROR) return
+        val elapsedMillis = (System.nanoTime() - receivedAtNanos) / NANOS_PER_MILLI
+        if (elapsedMillis <= SLOW_REQUEST_MILLIS && status < FIRST_SERVER_ERROR_STATUS) return
         log.debug("request slow or failed method={} uri={} status={} millis={}", request.method.value, uri, status, elapsedMillis)
     }
 
     /** Handles [bytes] without parsing if they are one whole request with a known head. */
-    private fun handleWithKnownHead(
+    private fun handleWithoutParser(
         connection: Connection,
         bytes: ByteArray,
         scope: CoroutineScope,
     ): Boolean {
-        val (head, bodyAt) = knownHeads.match(bytes, MAX_BODY_BYTES) ?: return false
+        val (head, bodyOffset) = knownHeads.match(bytes, MAX_BODY_BYTES) ?: return false
         clients.onRequest(connection)
         val id = nextId++
-        pending[id] = PendingRequest(System.nanoTime()) { finish(connection, head.uri, it, scope) }
-        handle(Input.Request(id, head.method, head.uri, "", String(bytes, bodyAt, bytes.size - bodyAt)))
+        pending[id] = PendingRequest(System.nanoTime()) { sendResponse(connection, head.uri, it, scope) }
+        handle(Input.Request(id, head.method, head.uri, "", String(bytes, bodyOffset, bytes.size - bodyOffset)))
         return true
     }
 
-    private fun finish(
+    private fun sendResponse(
         connection: Connection,
         uri: String,
-        answer: HttpResponse,
+        response: HttpResponse,
         scope: CoroutineScope,
     ) {
-        clients.onResponse(connection, seconds())
-        val close = clients.isCrowded && uri == WORKER_PATH
-        val rest =
+        clients.onResponse(connection, nowSeconds())
+        val close = clients.isAboveSoftLimit && uri == WORKER_PATH
+        val unwritten =
             try {
-                connection.tryWrite(HttpResponseEncoder.encode(answer, seconds(), close))
+                connection.tryWrite(HttpResponseEncoder.encode(response, nowSeconds(), close))
             } catch (_: IOException) {
                 return connection.close()
             }
-        if (rest == null) onWritten(connection, close) else scope.launch { writeRest(connection, rest, close) }
+        if (unwritten == null) onWritten(connection, close) else scope.launch { writeUnwritten(connection, unwritten, close) }
     }
 
-    private suspend fun writeRest(
+    private suspend fun writeUnwritten(
         connection: Connection,
-        rest: ByteArray,
+        unwritten: ByteArray,
         close: Boolean,
     ) {
         try {
-            connection.write(rest)
+            connection.write(unwritten)
             onWritten(connection, close)
         } catch (_: IOException) {
             connection.close()
@@ -192,9 +192,9 @@
 
     private suspend fun write(
         connection: Connection,
-        answer: HttpResponse,
+        response: HttpResponse,
         close: Boolean,
-    ) = connection.write(HttpResponseEncoder.encode(answer, seconds(), close))
+    ) = connection.write(HttpResponseEncoder.encode(response, nowSeconds(), close))
 
     private companion object {
         const val MAX_BODY_BYTES = 64 * 1024
@@ -203,10 +203,10 @@
         /** Paths that are requested again and again with the same head. */
         val FREQUENT_PATHS = setOf(WORKER_PATH, "/ready", "/api/jobs")
         const val NANOS_PER_SECOND = 1e9
-        const val LOG_INTERVAL_NANOS = 10_000_000_000L
-        const val HANDLE_NANOS = 4_000_000_000L
+        const val LIMIT_LOG_INTERVAL_NANOS = 10_000_000_000L
+        const val PENDING_TIMEOUT_NANOS = 4_000_000_000L
         const val NANOS_PER_MILLI = 1_000_000
-        const val SLOW_MILLIS = 100
-        const val SERVER_ERROR = 500
+        const val SLOW_REQUEST_MILLIS = 100
+        const val FIRST_SERVER_ERROR_STATUS = 500
     }
 }
--- a/src/main/kotlin/burlridge/net/KnownRequestHeads.kt
+++ b/src/main/kotlin/burlridge/net/KnownRequestHeads.kt
@@ -10,13 +10,13 @@
     /** A request whose head is known, and where its body begins. */
     data class Match(
         val head: RequestHead,
-        val bodyAt: Int,
+        val bodyOffset: Int,
     )
 
     private val heads = ArrayDeque<RequestHead>()
 
     /** Remembers the head of [request], which came as [requestBytes]; null where that is not known. */
-    fun learn(
+    fun add(
         requestBytes: ByteArray?,
         request: Request,
         uri: String,
@@ -37,8 +37,8 @@
         maxBodyBytes: Int,
     ): Match? {
         for (head in heads) {
-            val bodyAt = head.bodyAt(bytes)
-            if (bodyAt >= 0 && bytes.size - bodyAt <= maxBodyBytes) return Match(head, bodyAt)
+            val bodyOffset = head.bodyOffset(bytes)
+            if (bodyOffset >= 0 && bytes.size - bodyOffset <= maxBodyBytes) return Match(head, bodyOffset)
         }
         return null
     }
--- a/src/main/kotlin/burlridge/net/RequestHead.kt
+++ b/src/main/kotlin/burlridge/net/RequestHead.kt
@@ -7,25 +7,25 @@
 internal class RequestHead private constructor(
     private val head: ByteArray,
     /** Where the digits of the body's length stand in [head]; both are its size where a request has no body. */
-    private val lengthAt: Int,
+    private val lengthStart: Int,
     private val lengthEnd: Int,
     val method: String,
     val uri: String,
 ) {
     /** Where the body begins in [bytes] if they are one whole request with this very head; -1 for anything else. */
-    fun bodyAt(bytes: ByteArray): Int {
-        if (!matches(bytes, 0, 0, lengthAt)) return -1
-        if (lengthAt == head.size) return if (bytes.size == head.size) bytes.size else -1
-        var end = lengthAt
+    fun bodyOffset(bytes: ByteArray): Int {
+        if (!matches(bytes, 0, 0, lengthStart)) return -1
+        if (lengthStart == head.size) return if (bytes.size == head.size) bytes.size else -1
+        var end = lengthStart
         var length = 0
-        while (end < bytes.size && end < lengthAt + MAX_LENGTH_DIGITS &&
+        while (end < bytes.size && end < lengthStart + MAX_LENGTH_DIGITS &&
             bytes[end] in ZERO..NINE
         ) {
             length = length * DECIMAL + (bytes[end++] - ZERO)
         }
-        val rest = head.size - lengthEnd
-        val bodyAt = end + rest
-        return if (end > lengthAt && bodyAt + length == bytes.size && matches(bytes, end, lengthEnd, rest)) bodyAt else -1
+        val tailSize = head.size - lengthEnd
+        val bodyOffset = end + tailSize
+        return if (end > lengthStart && bodyOffset + length == bytes.size && matches(bytes, end, lengthEnd, tailSize)) bodyOffset else -1
     }
 
     private fun matches(
@@ -41,7 +41,7 @@
         private const val DECIMAL = 10
         private const val ZERO = '0'.code.toByte()
         private const val NINE = '9'.code.toByte()
-        private const val NAME = "\r\ncontent-length:"
+        private const val LENGTH_HEADER = "\r\ncontent-length:"
 
         /** The head of a request that came whole as [bytes] and was parsed as [method] and [uri]; null if its form is unusual. */
         fun of(
@@ -51,23 +51,23 @@
             bodySize: Int,
         ): RequestHead? {
             val size = bytes.size - bodySize
-            if (size < END.length) return null
+            if (size < HEAD_END.length) return null
             val text = String(bytes, 0, size, Charsets.ISO_8859_1)
-            if (!text.endsWith(END) || text.indexOf(END) != size - END.length) return null
+            if (!text.endsWith(HEAD_END) || text.indexOf(HEAD_END) != size - HEAD_END.length) return null
             val lower = text.lowercase()
             if ("\r\ntransfer-encoding" in lower || "\r\nconnection:" in lower) return null
             val head = bytes.copyOf(size)
-            val name = lower.indexOf(NAME)
-            if (name < 0) return if (bodySize == 0) RequestHead(head, size, size, method, uri) else null
-            if (lower.indexOf(NAME, name + 1) >= 0) return null
-            var at = name + NAME.length
-            while (lower[at] == ' ') at++
-            var end = at
+            val headerStart = lower.indexOf(LENGTH_HEADER)
+            if (headerStart < 0) return if (bodySize == 0) RequestHead(head, size, size, method, uri) else null
+            if (lower.indexOf(LENGTH_HEADER, headerStart + 1) >= 0) return null
+            var start = headerStart + LENGTH_HEADER.length
+            while (lower[start] == ' ') start++
+            var end = start
             while (lower[end] in '0'..'9') end++
-            val plain = end > at && lower.startsWith("\r\n", end) && text.substring(at, end) == bodySize.toString()
-            return if (plain) RequestHead(head, at, end, method, uri) else null
+            val isPlain = end > start && lower.startsWith("\r\n", end) && text.substring(start, end) == bodySize.toString()
+            return if (isPlain) RequestHead(head, start, end, method, uri) else null
         }
 
-        private const val END = "\r\n\r\n"
+        private const val HEAD_END = "\r\n\r\n"
     }
 }
--- a/src/test/kotlin/burlridge/app/LeaderChangeTracerTest.kt
+++ b/src/test/kotlin/burlridge/app/LeaderChangeTracerTest.kt
@@ -12,7 +12,7 @@
 import java.io.File
 
 internal class LeaderChangeTracerTest {
-    private fun LeaderChangeTracer.at(
+    private fun LeaderChangeTracer.recordAt(
         ms: Long,
         event: LeaderChangeEvent,
     ) = record(Effect.Trace(event, ms))
@@ -24,14 +24,14 @@
         val file = File(directory, "trace.jsonl")
         val tracer = LeaderChangeTracer(file, "drover-1")
         val suspected = LivenessChange("drover-0", Liveness.ALIVE, Liveness.SUSPECTED, "silent for 1.50 s, level 4.2")
-        tracer.at(1_000, LeaderChangeEvent.LivenessChanged(suspected))
-        tracer.at(2_000, LeaderChangeEvent.Elected(7, "the leader's lease had ended"))
-        tracer.at(2_030, LeaderChangeEvent.RowsRead(7, 120, fromReplica = true))
-        tracer.at(2_500, LeaderChangeEvent.FirstTaskStart(7))
-        tracer.at(5_000, LeaderChangeEvent.AllWorkersAnswered(7, 40))
-        tracer.at(9_000, LeaderChangeEvent.HandoverBegan("drover-2", "it is draining"))
-        tracer.at(9_040, LeaderChangeEvent.HandoverEnded("drover-2", "done"))
-        tracer.at(9_041, LeaderChangeEvent.Deposed(7, "handed over to drover-2"))
+        tracer.recordAt(1_000, LeaderChangeEvent.LivenessChanged(suspected))
+        tracer.recordAt(2_000, LeaderChangeEvent.Elected(7, "the leader's lease had ended"))
+        tracer.recordAt(2_030, LeaderChangeEvent.RowsRead(7, 120, fromReplica = true))
+        tracer.recordAt(2_500, LeaderChangeEvent.FirstTaskStart(7))
+        tracer.recordAt(5_000, LeaderChangeEvent.AllWorkersAnswered(7, 40))
+        tracer.recordAt(9_000, LeaderChangeEvent.HandoverBegan("drover-2", "it is draining"))
+        tracer.recordAt(9_040, LeaderChangeEvent.HandoverEnded("drover-2", "done"))
+        tracer.recordAt(9_041, LeaderChangeEvent.Deposed(7, "handed over to drover-2"))
         val spans = file.readLines().map { Json.parse(it) }
         assertEquals(
             listOf("read rows" to 30L, "first start" to 500L, "leader change" to 4_000L, "handover" to 40L),
@@ -60,10 +60,10 @@
         @TempDir directory: File,
     ) {
         val tracer = LeaderChangeTracer(File(directory, "no/such/folder/trace.jsonl"), "drover-1")
-        tracer.at(1, LeaderChangeEvent.HandoverBegan("drover-2", "it is draining"))
-        tracer.at(2, LeaderChangeEvent.HandoverEnded("drover-2", "done"))
-        tracer.at(3, LeaderChangeEvent.Elected(8, "handed over by drover-0"))
-        tracer.at(4, LeaderChangeEvent.Deposed(8, "its term has been passed"))
+        tracer.recordAt(1, LeaderChangeEvent.HandoverBegan("drover-2", "it is draining"))
+        tracer.recordAt(2, LeaderChangeEvent.HandoverEnded("drover-2", "done"))
+        tracer.recordAt(3, LeaderChangeEvent.Elected(8, "handed over by drover-0"))
+        tracer.recordAt(4, LeaderChangeEvent.Deposed(8, "its term has been passed"))
         assertTrue(directory.listFiles().orEmpty().isEmpty())
     }
 }
--- a/src/test/kotlin/burlridge/net/ClientConnectionsTest.kt
+++ b/src/test/kotlin/burlridge/net/ClientConnectionsTest.kt
@@ -18,16 +18,16 @@
     /** Guards a controller's sockets at half as many machines again as it has connections for. */
     @Test
     fun `the parts of the budget leave room below the limit`() {
-        for (most in listOf(100, 1729, 1919, 2000)) {
-            val budget = ConnectionBudget(most)
-            assertTrue(budget.clients + budget.backlog + budget.commands + budget.kept < most * 0.98, "of $most: $budget")
-            assertTrue(budget.crowded < budget.clients)
+        for (maxConnections in listOf(100, 1729, 1919, 2000)) {
+            val budget = ConnectionBudget(maxConnections)
+            assertTrue(budget.maxClients + budget.backlog + budget.maxConcurrentCalls + budget.maxIdle < maxConnections * 0.98, "of $maxConnections: $budget")
+            assertTrue(budget.clientSoftLimit < budget.maxClients)
         }
     }
 
     @Test
     fun `at the limit the one longest quiet goes, and nobody who waits for an answer or has just come`() {
-        val clients = ClientConnections<String>(maxOpen = 4, crowdedAbove = 2, reclaimAfterSeconds = 9.0)
+        val clients = ClientConnections<String>(maxOpen = 4, softLimit = 2, reclaimAfterSeconds = 9.0)
         listOf("dead", "worker", "probe").forEach {
             clients.onOpened(it, 0.0)
             clients.onRequest(it)
@@ -52,38 +52,38 @@
         val loop = EventLoop()
         val scope = CoroutineScope(loop + SupervisorJob())
         val budget = ConnectionBudget(64)
-        val at = Endpoint("127.0.0.1", ServerSocket(0).use { it.localPort })
-        var most = 0
+        val endpoint = Endpoint("127.0.0.1", ServerSocket(0).use { it.localPort })
+        var maxOpen = 0
         lateinit var server: HttpServer
         server =
             HttpServer(loop, budget, 9.0) {
-                most = maxOf(most, server.open)
+                maxOpen = maxOf(maxOpen, server.openConnections)
                 server.respond(Effect.Respond(it.id, if (it.path == "/agent/beat") 200 else 404, "{}", null))
             }
-        server.serve(at, scope)
-        val workers = List(CROWD) { HttpClient(loop, scope, 1, 1, emptySet()) }
-        var answered = 0
+        server.serve(endpoint, scope)
+        val workers = List(WORKERS) { HttpClient(loop, scope, 1, 1, emptySet()) }
+        var responses = 0
         scope.launch {
-            repeat(TURNS) { turn ->
+            repeat(ROUNDS) { round ->
                 // No more at once than may knock; each keeps its connection for the next turn, if it may.
                 workers.withIndex().chunked(budget.backlog).forEach { group ->
                     group
                         .map { (i, worker) ->
-                            async { worker.call(Effect.HttpCall(turn * CROWD + i.toLong(), at, "POST", "/agent/beat", "{}", 5.0)) }
+                            async { worker.call(Effect.HttpCall(round * WORKERS + i.toLong(), endpoint, "POST", "/agent/beat", "{}", 5.0)) }
                         }.awaitAll()
-                        .forEach { if (it is CallOutcome.Responded && it.status == 200) answered++ }
+                        .forEach { if (it is CallOutcome.Responded && it.status == 200) responses++ }
                 }
             }
             loop.stop()
         }
         loop.run()
-        assertEquals(TURNS * CROWD, answered)
-        assertTrue(server.open <= budget.clients, "${server.open} stay open")
-        assertTrue(most <= budget.clients, "$most at once")
+        assertEquals(ROUNDS * WORKERS, responses)
+        assertTrue(server.openConnections <= budget.maxClients, "${server.openConnections} stay open")
+        assertTrue(maxOpen <= budget.maxClients, "$maxOpen at once")
     }
 
     private companion object {
-        const val CROWD = 192
-        const val TURNS = 3
+        const val WORKERS = 192
+        const val ROUNDS = 3
     }
 }
--- a/src/test/kotlin/burlridge/net/ConnectionTest.kt
+++ b/src/test/kotlin/burlridge/net/ConnectionTest.kt
@@ -33,7 +33,7 @@
     }
 
     /** A server that tells each request back. */
-    private fun server(): Int =
+    private fun echoServer(): Int =
         server { server, request ->
             server.respond(Effect.Respond(request.id, 200, "${request.method} ${request.path} ${request.body}", null))
         }
@@ -57,12 +57,12 @@
         }
 
     /** Lets the server parse one plain request, alone, so that it knows the head from then on. */
-    private fun teach(port: Int): Int {
+    private fun withKnownHead(port: Int): Int {
         Socket(InetAddress.getLoopbackAddress(), port).use { socket ->
             socket.soTimeout = TIMEOUT_MILLIS
             socket.getOutputStream().write(request("{}").encodeToByteArray())
-            val answer = StringBuilder()
-            while (!answer.endsWith("{}")) answer.append(socket.getInputStream().read().toChar())
+            val response = StringBuilder()
+            while (!response.endsWith("{}")) response.append(socket.getInputStream().read().toChar())
         }
         return port
     }
@@ -79,37 +79,37 @@
             "${body.length.toString(16)}\r\n$body\r\n0\r\n\r\n".takeIf { body.isNotEmpty() }.orEmpty() +
             "0\r\n\r\n".takeIf { body.isEmpty() }.orEmpty()
 
-    private val last = request("bye", extra = "Connection: close\r\n")
+    private val closingRequest = request("bye", extra = "Connection: close\r\n")
 
-    private fun pieces(
+    private fun splitRandomly(
         text: String,
         random: Random,
     ): List<ByteArray> {
         val bytes = text.encodeToByteArray()
-        val cuts = List(random.nextInt(4)) { random.nextInt(bytes.size) }.sorted()
-        return (listOf(0) + cuts + bytes.size).zipWithNext { from, to -> bytes.copyOfRange(from, to) }.filter { it.isNotEmpty() }
+        val offsets = List(random.nextInt(4)) { random.nextInt(bytes.size) }.sorted()
+        return (listOf(0) + offsets + bytes.size).zipWithNext { from, to -> bytes.copyOfRange(from, to) }.filter { it.isNotEmpty() }
     }
 
-    private fun streams(random: Random): List<String> {
+    private fun requestStreams(random: Random): List<String> {
         val body = "x".repeat(random.nextInt(2000))
         return listOf(
-            request(body) + last,
-            request(body) + request("b", path = "/other") + request("c") + last,
-            request("b", path = "/other") + request(body) + last,
-            chunked(body) + request(body) + last,
-            request(body).replace("Host:", "host:") + request(body, extra = "X: y\r\n") + last,
-            request("", length = "0") + last,
+            request(body) + closingRequest,
+            request(body) + request("b", path = "/other") + request("c") + closingRequest,
+            request("b", path = "/other") + request(body) + closingRequest,
+            chunked(body) + request(body) + closingRequest,
+            request(body).replace("Host:", "host:") + request(body, extra = "X: y\r\n") + closingRequest,
+            request("", length = "0") + closingRequest,
         )
     }
 
     @Test
     fun `known heads change no answer`() {
         val random = Random(7)
-        val knowing = teach(server())
+        val serverWithKnownHead = withKnownHead(echoServer())
         repeat(ROUNDS) { round ->
-            streams(random).forEachIndexed { i, stream ->
-                val parts = pieces(stream, random)
-                assertEquals(exchange(server(), parts), exchange(knowing, parts), "round $round, stream $i")
+            requestStreams(random).forEachIndexed { i, stream ->
+                val parts = splitRandomly(stream, random)
+                assertEquals(exchange(echoServer(), parts), exchange(serverWithKnownHead, parts), "round $round, stream $i")
             }
         }
     }
@@ -117,7 +117,7 @@
     /** Sent whole and last, since the server closes without reading on. */
     @Test
     fun `what is malformed is never taken by a known head`() {
-        val knowing = teach(server())
+        val serverWithKnownHead = withKnownHead(echoServer())
         val malformed =
             listOf(
                 request("{}", length = "1x"),
@@ -127,8 +127,8 @@
                 "\u0000\u0001\r\n\r\n",
             )
         for (bytes in malformed) {
-            val parts = listOf(bytes.encodeToByteArray() + last.encodeToByteArray())
-            assertEquals(exchange(server(), parts), exchange(knowing, parts), bytes)
+            val parts = listOf(bytes.encodeToByteArray() + closingRequest.encodeToByteArray())
+            assertEquals(exchange(echoServer(), parts), exchange(serverWithKnownHead, parts), bytes)
         }
     }
 
@@ -136,23 +136,23 @@
     @Test
     fun `answers keep the order of their requests`() {
         val handled = CountDownLatch(1)
-        var slow = 0L
+        var slowId = 0L
         val port =
             server { server, request ->
-                if (request.body == "slow") slow = request.id
-                if (request.path == "/release") server.respond(Effect.Respond(slow, 200, "slow", null))
+                if (request.body == "slow") slowId = request.id
+                if (request.path == "/release") server.respond(Effect.Respond(slowId, 200, "slow", null))
                 if (request.body == "slow") handled.countDown() else server.respond(Effect.Respond(request.id, 200, request.body, null))
             }
-        teach(port)
+        withKnownHead(port)
         Socket(InetAddress.getLoopbackAddress(), port).use { socket ->
             socket.soTimeout = TIMEOUT_MILLIS
             socket.getOutputStream().write(request("slow").encodeToByteArray())
             handled.await()
-            socket.getOutputStream().write((request("next") + last).encodeToByteArray())
+            socket.getOutputStream().write((request("next") + closingRequest).encodeToByteArray())
             // Served after what came before it on the other connection, and only then is the slow one answered.
             exchange(port, listOf(request("release", path = "/release", extra = "Connection: close\r\n").encodeToByteArray()))
-            val answers = socket.getInputStream().readBytes().decodeToString()
-            assertEquals(listOf("slow", "next", "bye"), Regex("slow|next|bye").findAll(answers).map { it.value }.toList())
+            val responses = socket.getInputStream().readBytes().decodeToString()
+            assertEquals(listOf("slow", "next", "bye"), Regex("slow|next|bye").findAll(responses).map { it.value }.toList())
         }
     }
 
--- a/src/test/kotlin/burlridge/net/EventLoopTest.kt
+++ b/src/test/kotlin/burlridge/net/EventLoopTest.kt
@@ -29,7 +29,7 @@
         repeat(500) { i ->
             scope.launch {
                 order += "bulk"
-                if (i == 3) scope.launch(loop.urgent) { order += "urgent" }
+                if (i == 3) scope.launch(loop.urgentDispatcher) { order += "urgent" }
                 // So that the timer's millisecond is over before all is done, whatever the machine.
                 if (i == 5) System.nanoTime().let { from -> while (System.nanoTime() - from < 2_000_000) Unit }
             }
@@ -47,17 +47,17 @@
         val loop = EventLoop()
         val scope = CoroutineScope(loop)
         val received = CountDownLatch(1)
-        val standsStill = CountDownLatch(1)
-        val answered = CountDownLatch(1)
+        val loopBlocked = CountDownLatch(1)
+        val responseSent = CountDownLatch(1)
         var outcome: CallOutcome? = null
         ServerSocket(0, 1, InetAddress.getLoopbackAddress()).use { server ->
             thread(isDaemon = true) {
                 server.accept().use { socket ->
                     socket.getInputStream().read()
                     received.countDown()
-                    standsStill.await()
+                    loopBlocked.await()
                     socket.getOutputStream().write("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n{}".encodeToByteArray())
-                    answered.countDown()
+                    responseSent.countDown()
                     socket.getInputStream().readAllBytes()
                 }
             }
@@ -70,8 +70,8 @@
                 }
                 // Stands still once the request is out, until the answer is there and the time is over.
                 while (received.count > 0) yield()
-                standsStill.countDown()
-                answered.await()
+                loopBlocked.countDown()
+                responseSent.await()
                 System.nanoTime().let { from -> while (System.nanoTime() - from < TIMEOUT_SECONDS * 1e9) Unit }
             }
             loop.run()
@@ -84,8 +84,8 @@
     fun `a call whose time to leave is over is never written`() {
         val loop = EventLoop()
         val scope = CoroutineScope(loop)
-        var late: CallOutcome? = null
-        var inTime: CallOutcome? = null
+        var lateOutcome: CallOutcome? = null
+        var timelyOutcome: CallOutcome? = null
         val written = ArrayList<String>()
         ServerSocket(0, 1, InetAddress.getLoopbackAddress()).use { server ->
             thread(isDaemon = true) {
@@ -106,14 +106,14 @@
             val target = Endpoint("127.0.0.1", server.localPort)
             val now = System.nanoTime() / 1e9
             scope.launch {
-                late = client.call(Effect.HttpCall(1, target, "GET", "/late", null, LONG_SECONDS, sendDeadline = now - 1))
-                inTime = client.call(Effect.HttpCall(2, target, "GET", "/in-time", null, LONG_SECONDS, sendDeadline = now + LONG_SECONDS))
+                lateOutcome = client.call(Effect.HttpCall(1, target, "GET", "/late", null, LONG_SECONDS, sendDeadline = now - 1))
+                timelyOutcome = client.call(Effect.HttpCall(2, target, "GET", "/in-time", null, LONG_SECONDS, sendDeadline = now + LONG_SECONDS))
                 loop.stop()
             }
             loop.run()
         }
-        assertEquals(CallOutcome.NotSent, late)
-        assertEquals(CallOutcome.Responded(200, "{}"), inTime)
+        assertEquals(CallOutcome.NotSent, lateOutcome)
+        assertEquals(CallOutcome.Responded(200, "{}"), timelyOutcome)
         assertEquals(listOf("GET /in-time HTTP/1.1"), written)
     }
 
--- a/src/test/kotlin/burlridge/net/RequestHeadTest.kt
+++ b/src/test/kotlin/burlridge/net/RequestHeadTest.kt
@@ -13,47 +13,47 @@
         extra: String = "",
     ) = "POST /agent/beat HTTP/1.1\r\nHost: a:1\r\n${extra}Content-Length: $length\r\nX: y\r\n\r\n$body".encodeToByteArray()
 
-    private fun known(bytes: ByteArray) = RequestHead.of(bytes, "POST", "/agent/beat", 2)
+    private fun headOf(bytes: ByteArray) = RequestHead.of(bytes, "POST", "/agent/beat", 2)
 
-    private val head = checkNotNull(known(request("{}")))
+    private val head = checkNotNull(headOf(request("{}")))
 
-    private fun body(bytes: ByteArray): String? = head.bodyAt(bytes).takeIf { it >= 0 }?.let { String(bytes, it, bytes.size - it) }
+    private fun matchedBody(bytes: ByteArray): String? = head.bodyOffset(bytes).takeIf { it >= 0 }?.let { String(bytes, it, bytes.size - it) }
 
     @Test
     fun `a body of any length is found`() {
-        assertEquals("{}", body(request("{}")))
-        assertEquals("x".repeat(1234), body(request("x".repeat(1234))))
-        assertEquals("", body(request("")))
+        assertEquals("{}", matchedBody(request("{}")))
+        assertEquals("x".repeat(1234), matchedBody(request("x".repeat(1234))))
+        assertEquals("", matchedBody(request("")))
     }
 
     @Test
     fun `what is not whole, not alone or not the same is left to the parser`() {
-        assertNull(body(request("{}", length = "3")))
-        assertNull(body(request("{}", length = "1")))
-        assertNull(body(request("{}", length = "-2")))
-        assertNull(body(request("{}", length = "")))
-        assertNull(body(request("{}", length = "000002")))
-        assertNull(body(request("{}", extra = "Connection: close\r\n")))
-        assertNull(body(request("{}").copyOf(40)))
-        assertNull(body(ByteArray(0)))
-        assertNull(body(request("{}") + request("{}")))
+        assertNull(matchedBody(request("{}", length = "3")))
+        assertNull(matchedBody(request("{}", length = "1")))
+        assertNull(matchedBody(request("{}", length = "-2")))
+        assertNull(matchedBody(request("{}", length = "")))
+        assertNull(matchedBody(request("{}", length = "000002")))
+        assertNull(matchedBody(request("{}", extra = "Connection: close\r\n")))
+        assertNull(matchedBody(request("{}").copyOf(40)))
+        assertNull(matchedBody(ByteArray(0)))
+        assertNull(matchedBody(request("{}") + request("{}")))
     }
 
     @Test
     fun `only a plain head is remembered`() {
-        assertNull(known(request("{}", extra = "Transfer-Encoding: chunked\r\n")))
-        assertNull(known(request("{}", extra = "Connection: close\r\n")))
-        assertNull(known(request("{}", extra = "Content-Length: 2\r\n")))
-        assertNull(known(request("{}").copyOf(30)))
-        assertNotNull(known(request("{}", extra = "Accept: */*\r\n")))
+        assertNull(headOf(request("{}", extra = "Transfer-Encoding: chunked\r\n")))
+        assertNull(headOf(request("{}", extra = "Connection: close\r\n")))
+        assertNull(headOf(request("{}", extra = "Content-Length: 2\r\n")))
+        assertNull(headOf(request("{}").copyOf(30)))
+        assertNotNull(headOf(request("{}", extra = "Accept: */*\r\n")))
     }
 
     @Test
     fun `a request without a body matches to the last byte`() {
         val probe = "GET /ready HTTP/1.1\r\nHost: a:1\r\n\r\n".encodeToByteArray()
         val ready = checkNotNull(RequestHead.of(probe, "GET", "/ready", 0))
-        assertEquals(probe.size, ready.bodyAt(probe))
-        assertEquals(-1, ready.bodyAt(probe + 'x'.code.toByte()))
-        assertEquals(-1, ready.bodyAt(probe.copyOf(probe.size - 1)))
+        assertEquals(probe.size, ready.bodyOffset(probe))
+        assertEquals(-1, ready.bodyOffset(probe + 'x'.code.toByte()))
+        assertEquals(-1, ready.bodyOffset(probe.copyOf(probe.size - 1)))
     }
 }
