--- a/src/main/kotlin/burlridge/app/AdminCommand.kt
+++ b/src/main/kotlin/burlridge/app/AdminCommand.kt
@@ -13,11 +13,11 @@
 import java.net.http.HttpResponse
 import java.time.Duration
 
-/** The operators' commands against a running controller, over its HTTP address. */
+/** Sends the operators' commands to a running controller, over HTTP. */
 internal class AdminCommand(
     settings: Settings,
 ) {
-    /** The controller cannot be reached or refuses; the message is one line for the operator. */
+    /** Thrown if the controller cannot be reached or refuses a request; the message is one line for the operator. */
     class Failure(
         message: String,
         cause: Throwable? = null,
@@ -31,7 +31,7 @@
             .connectTimeout(TIMEOUT)
             .build()
 
-    /** State of failover and balance, as far as they are switched on. Throws [Failure]. */
+    /** Returns the state of failover and balance, as far as they are enabled. Throws [Failure]. */
     fun status(): String {
         val members = requestIfEnabled("GET", MemberRequests.STATUS)?.let(FailoverReportFormatter::describe)
         val machines = requestIfEnabled("GET", MachineRequests.STATUS)?.let(BalanceReportFormatter::describe)
@@ -40,16 +40,16 @@
         return parts.joinToString("\n")
     }
 
-    /** Begins a drain of [target] and returns once that is durable. Throws [Failure]. */
+    /** Starts a drain of [target] and returns once it is durable. Throws [Failure]. */
     fun drainMachines(
         target: MachineTarget,
         forced: Boolean,
     ): String = change(MachineRequests.DRAIN, target, forced)
 
-    /** Cancels the drain of [target] and returns once that is durable. Throws [Failure]. */
+    /** Cancels the drain of [target] and returns once the cancellation is durable. Throws [Failure]. */
     fun undrainMachines(target: MachineTarget): String = change(MachineRequests.UNDRAIN, target, forced = false)
 
-    /** The leader's decisions about the task or machine [subject]. Throws [Failure]. */
+    /** Returns the leader's decisions about the task or machine [subject]. Throws [Failure]. */
     fun explain(subject: String): String {
         val answer =
             requestIfEnabled("GET", MachineRequests.EXPLAIN + subject)
@@ -73,14 +73,17 @@
         return BalanceReportFormatter.drain(answer)
     }
 
-    /** Drains [member], or the controller itself if null, and waits until it is drained. Throws [Failure]. */
+    /**
+     * Drains [member], or the controller at this address if null. Waits up to [waitSeconds] until the latter is drained; does not wait for
+     * another member. Throws [Failure].
+     */
     fun drain(
         member: String?,
         waitSeconds: Long,
     ): String {
         val answer = request("POST", MemberRequests.DRAIN + member?.let { "/$it" }.orEmpty())
         val name = answer.path("member").asText()
-        // Only the controller at this address can be watched from here.
+        // Only the drain of the controller at this address can be polled from here.
         if (member != null && member != selfName()) return "$name is draining"
         val until = System.nanoTime() + Duration.ofSeconds(waitSeconds).toNanos()
         while (!request("GET", MemberRequests.STATUS).path("drained").asBoolean()) {
@@ -97,7 +100,7 @@
         path: String,
     ): JsonNode = requestIfEnabled(method, path) ?: throw Failure("the controller at $address has no failover switched on")
 
-    /** Null if the controller does not know [path] because the feature is off. */
+    /** Sends a request; returns null if the controller does not serve [path] because the feature is disabled. */
     private fun requestIfEnabled(
         method: String,
         path: String,
--- a/src/main/kotlin/burlridge/app/BalanceReportFormatter.kt
+++ b/src/main/kotlin/burlridge/app/BalanceReportFormatter.kt
@@ -5,12 +5,12 @@
 
 /** Formats the leader's report about drains and moves for a terminal. */
 internal object BalanceReportFormatter {
-    /** All drains, hot machines and open moves. */
+    /** Formats all drains, hot machines and open moves. */
     fun describe(report: JsonNode): String =
         buildString {
-            val recentMoves = "${report.path("moved_lately").asInt()} of ${report.path("moves_per_minute").asInt()} lately"
+            val recent = "${report.path("moved_lately").asInt()} of ${report.path("moves_per_minute").asInt()} lately"
             appendLine(
-                "machines, as ${report.path("leader").asText()} sees them: ${report.path("open_moves").asInt()} moves under way, $recentMoves",
+                "machines, as ${report.path("leader").asText()} sees them: ${report.path("open_moves").asInt()} moves under way, $recent",
             )
             report.path("drains").forEach { appendLine("  ${drain(it)}") }
             report.path("machines_with_notice").takeIf { it.size() > 0 }?.let { list ->
@@ -23,19 +23,19 @@
             report.path("damaged_rows").forEach { appendLine("  damaged row, left as it is: ${it.asText()}") }
         }.trimEnd()
 
-    /** One drain, in a line. */
+    /** Formats one drain as one line. */
     fun drain(report: JsonNode): String {
         val kind = listOf("machine", "network", "zone").first { report.has(it) }
-        val isCountKnown = report.has("machines_left")
+        val isKnown = report.has("machines_left")
         val left =
-            if (isCountKnown) ", ${report.path("machines_left").asInt()} machines and ${report.path("tasks_left").asInt()} tasks left" else ""
+            if (isKnown) ", ${report.path("machines_left").asInt()} machines and ${report.path("tasks_left").asInt()} tasks left" else ""
         val waitReasons = report.path("waits_for").properties().joinToString { (reason, count) -> "${count.asInt()} $reason" }
         val waitText = if (waitReasons.isEmpty()) "" else ": $waitReasons"
         val cause = report.path("cause").asText()
         return "drain of $kind ${report.path(kind).asText()} ($cause): ${report.path("state").asText()}$left$waitText"
     }
 
-    /** Decisions about a task or machine, a line each. */
+    /** Formats the decisions about a task or machine, one line each. */
     fun explain(answer: JsonNode): String {
         val decisions = answer.path("decisions").map { "  ${Instant.ofEpochMilli(it.path("at_ms").asLong())} ${it.path("text").asText()}" }
         val since = Instant.ofEpochMilli(answer.path("since_ms").asLong())
--- a/src/main/kotlin/burlridge/app/ClassArchiveTraining.kt
+++ b/src/main/kotlin/burlridge/app/ClassArchiveTraining.kt
@@ -5,9 +5,9 @@
 import java.net.InetAddress
 import java.net.ServerSocket
 
-/** Settings and calls for [Service.trainClassArchive]: everything on loopback, and every outside system is the controller itself. */
+/** Settings and calls for [Service.trainClassArchive]: all on loopback, with the controller itself in place of every external system. */
 internal object ClassArchiveTraining {
-    /** A platform settings file with free ports. */
+    /** Returns the text of a platform settings file with free ports. */
     fun settings(): String {
         val (serve, peer) =
             List(2) { ServerSocket(0, 1, InetAddress.getLoopbackAddress()) }
@@ -17,7 +17,7 @@
         return SETTINGS.replace("SERVE", "127.0.0.1:$serve").replace("PEER", "127.0.0.1:$peer")
     }
 
-    /** One call of each kind to [endpoint]. */
+    /** Returns one call of each kind to [endpoint]. */
     fun calls(endpoint: Endpoint): List<Effect.HttpCall> =
         listOf(
             "GET /ready ",
@@ -30,7 +30,7 @@
             Effect.HttpCall(0, endpoint, method, path, body.ifEmpty { null }, 1.0)
         }
 
-    /** A call to a port on which nobody listens. */
+    /** Returns a call to a port on which no process listens. */
     fun refusedCall(): Effect.HttpCall {
         val port = ServerSocket(0, 1, InetAddress.getLoopbackAddress()).use { it.localPort }
         return Effect.HttpCall(0, Endpoint("127.0.0.1", port), "GET", "/", null, 1.0)
--- a/src/main/kotlin/burlridge/app/CommandLine.kt
+++ b/src/main/kotlin/burlridge/app/CommandLine.kt
@@ -40,13 +40,13 @@
 
   -h, --help        show this message and exit"""
 
-/** Machines as an operator names them: one machine, a network or a zone. */
+/** The machines that an operator selects: one machine, a network or a zone. */
 internal data class MachineTarget(
     val kind: String,
     val value: String,
 )
 
-/** What the command line asks for. */
+/** A parsed command line. */
 internal sealed interface CommandLine {
     /** Run a controller. */
     data class Serve(
@@ -58,12 +58,12 @@
         val files: SettingsFiles,
     ) : CommandLine
 
-    /** Ask a running controller for its state. */
+    /** Print the state of a running controller. */
     data class Status(
         val files: SettingsFiles,
     ) : CommandLine
 
-    /** Take a controller out of service; [member] is null for the one that is asked. */
+    /** Take a controller out of service; [member] is null for the controller that receives the request. */
     data class Drain(
         val files: SettingsFiles,
         val member: String?,
@@ -83,13 +83,13 @@
         val target: MachineTarget,
     ) : CommandLine
 
-    /** Ask why a task or machine was treated as it was. */
+    /** Print the decisions about a task or machine, with their reasons. */
     data class Explain(
         val files: SettingsFiles,
         val subject: String,
     ) : CommandLine
 
-    /** Run once by the build: the classes that it loads go into the class data archive, which makes a start cheap. */
+    /** Run once by the build: the classes that it loads go into the class data archive, which shortens the start of a controller. */
     data object TrainClassArchive : CommandLine
 
     /** Print the usage. */
@@ -98,7 +98,7 @@
     /** Print the version. */
     data object Version : CommandLine
 
-    /** A command line that cannot be understood, with the reason. */
+    /** An invalid command line, with the reason. */
     data class Invalid(
         val reason: String,
     ) : CommandLine
@@ -116,7 +116,7 @@
         private const val DEFAULT_WAIT_SECONDS = "30"
         private val WAIT_SECONDS_RANGE = 0L..3600L
 
-        /** The command that [args] ask for; [Invalid] if there is none. */
+        /** Parses [args]; returns [Invalid] if they are no valid command line. */
         fun parse(args: List<String>): CommandLine =
             when (val command = args.firstOrNull()) {
                 null -> Invalid("a command is missing")
--- a/src/main/kotlin/burlridge/app/Controller.kt
+++ b/src/main/kotlin/burlridge/app/Controller.kt
@@ -27,8 +27,8 @@
 import burlridge.worker.WorkerManager
 
 /**
- * The state machine of one controller: an input and the time go in, the effects come out. This class creates the parts, connects them, and
- * says in which order they run; whatever they do happens within [step].
+ * The state machine of one controller: takes inputs and the time, and returns effects. This class creates the parts, connects them, and
+ * determines the order in which they run; all their work happens within [step].
  */
 internal class Controller(
     settings: Settings,
@@ -94,19 +94,19 @@
     /** Counters of what this controller has done, by name. */
     val counters: Map<String, Long> get() = context.counters
 
-    /** Whether this member leads, no other can have been elected, and it has read the rows. */
+    /** Whether this member leads, no other member can have been elected, and the rows have been loaded. */
     val isActiveLeader: Boolean get() = leadership.holdsLease && jobApi.isLoaded
 
-    /** Whether this member is draining; false also where a drain was refused for want of another member. */
+    /** Whether this member is draining; also false if a drain was refused because no other member could take over. */
     val isDraining: Boolean get() = failover?.isDraining ?: false
 
     /** Whether this member can be stopped without interrupting the service; always true without failover. */
     val isDrained: Boolean get() = failover?.isDrained ?: true
 
-    /** Whether a handover is about to take place, so that nothing new may be started. */
+    /** Whether no new work may be started because a handover is about to take place. */
     private val isQuiescing: Boolean get() = failover?.isQuiescing ?: false
 
-    /** Takes one [input] at [now] seconds of the steady clock and [wallMillis] of the wall clock; returns the effects, in order. */
+    /** Processes [input] at the monotonic time [now], in seconds, and the wall-clock time [wallMillis]; returns the effects in order. */
     fun step(
         input: Input,
         now: Double,
--- a/src/main/kotlin/burlridge/app/FailoverReportFormatter.kt
+++ b/src/main/kotlin/burlridge/app/FailoverReportFormatter.kt
@@ -4,11 +4,11 @@
 import java.time.Instant
 
 /**
- * A controller's failover report as lines of text for `burlridge status`. It reads the JSON leniently instead of decoding it to a report:
- * the controller may be of another version than the command line, and a field that is missing is shown as empty.
+ * Formats a controller's failover report as text for `burlridge status`. It reads the JSON leniently instead of decoding it to a report:
+ * the controller may be of another version than the command line, and a missing field is shown as empty.
  */
 internal object FailoverReportFormatter {
-    /** The members, the standby replica, handovers and changes of leader, a line each. */
+    /** Formats the members, the standby replica, handovers and leader changes, one line each. */
     fun describe(report: JsonNode): String =
         buildString {
             val isRecovering = report.path("doubts_itself").asBoolean()
@@ -44,7 +44,7 @@
         return "$at term ${change.text("term")}: ${change.text("leader")} leads: ${change.text("cause")}"
     }
 
-    /** Of this member or of another one. */
+    /** Returns the note that a member is draining, given the report of this member or its entry for another one; empty if it is not. */
     private fun draining(report: JsonNode): String = if (report.path("draining").asBoolean()) ", draining" else ""
 
     private fun JsonNode.text(name: String): String = path(name).asText("")
--- a/src/main/kotlin/burlridge/app/LeaderActivity.kt
+++ b/src/main/kotlin/burlridge/app/LeaderActivity.kt
@@ -8,7 +8,7 @@
 import burlridge.worker.WorkerManager
 import burlridge.worker.WorkerResponseCount
 
-/** What failover asks about the work of this member as leader. */
+/** Provides failover with the state of this member's work as leader. */
 internal class LeaderActivity(
     private val context: StepContext,
     private val registry: JobRegistry,
--- a/src/main/kotlin/burlridge/app/LeaderChangeTracer.kt
+++ b/src/main/kotlin/burlridge/app/LeaderChangeTracer.kt
@@ -13,9 +13,9 @@
 import java.util.concurrent.TimeUnit
 
 /**
- * Traces of leader changes, through OpenTelemetry, appended to a local file. A change is one trace: its root span `leader change` begins
- * with the first sign of it, a suspicion or the election itself, and ends when all workers have been answered; `read rows` and
- * `first start` are its children. A handover offered by this member is a trace of its own.
+ * Appends OpenTelemetry traces of leader changes to a local file. A change is one trace: its root span `leader change` begins with a
+ * suspicion, or with the election if there was none, and ends when all workers have been answered; `read rows` and `first start` are its
+ * children. A handover offered by this member is a separate trace.
  */
 internal class LeaderChangeTracer(
     file: File,
@@ -28,13 +28,13 @@
             .build()
     private val tracer = provider.get("burlridge.failover")
 
-    /** The spans that are open; null where there is none of the kind. */
+    /** The open span of each kind; null if there is none. */
     private var leaderChange: Span? = null
     private var readRows: Span? = null
     private var firstStart: Span? = null
     private var handover: Span? = null
 
-    /** Takes the events of this package's traces; others are ignored. */
+    /** Records an event of a leader change; events of other types are ignored. */
     fun record(trace: Effect.Trace) {
         val wallMillis = trace.wallMillis
         when (val event = trace.event) {
@@ -58,7 +58,7 @@
         val attributes = Attributes.of(MEMBER, change.member, REASON, change.reason)
         if (change.current == Liveness.SUSPECTED && leaderChange == null) leaderChange = startSpan("leader change", wallMillis, null)
         leaderChange?.addEvent(change.current.label, attributes, wallMillis, TimeUnit.MILLISECONDS)
-        // Alive again or failed, and nobody was elected here: a false suspicion, or another member takes over.
+        // Alive again or failed, and this member was not elected: the suspicion was false, or another member takes over.
         if (change.current != Liveness.SUSPECTED && readRows == null) leaderChange = leaderChange?.end(wallMillis)
     }
 
@@ -125,7 +125,7 @@
         return builder.startSpan()
     }
 
-    /** Ends the span; null, for the variable that held it. */
+    /** Ends the span and returns null, the new value of the variable that held it. */
     private fun Span.end(wallMillis: Long): Span? {
         end(wallMillis, TimeUnit.MILLISECONDS)
         return null
--- a/src/main/kotlin/burlridge/app/LeaderLifecycle.kt
+++ b/src/main/kotlin/burlridge/app/LeaderLifecycle.kt
@@ -11,7 +11,7 @@
 import burlridge.leadership.StepDownReason
 import burlridge.worker.WorkerManager
 
-/** What happens to a member's state when it becomes leader and when it ceases to be. */
+/** Loads a member's state when it becomes leader, and clears it when it steps down. */
 internal class LeaderLifecycle(
     private val context: StepContext,
     private val leadership: Leadership,
@@ -22,17 +22,17 @@
     private val failover: Failover?,
     private val jobApi: JobApi,
     private val loader: LeaderStateLoader,
-    /** Called when the rows have been read and the leader may act. */
+    /** Called when the rows have been loaded and the leader may act. */
     private val onLoaded: () -> Unit,
 ) {
-    /** A new leader reads every row before it acts. */
+    /** Starts to load all rows; the new leader does not act before that is complete. */
     fun onElected(cause: ElectionCause) {
         clear()
         failover?.onElected(cause)
         loader.load(leadership.term) { onStateLoaded(leadership.term) }
     }
 
-    /** This member leads no more: forgets everything that only a leader knows. */
+    /** Discards all state that only a leader holds: this member has stepped down. */
     fun onDeposed(
         term: Long,
         reason: StepDownReason,
@@ -55,7 +55,7 @@
         val machinesWithAllocations =
             registry.allocations.byMachine.keys
                 .toList()
-        // A machine known only from allocations must be waited for like any other.
+        // Registered even if known only from allocations, so that it gets the same time to send a heartbeat as any other machine.
         machinesWithAllocations.forEach { workers.getOrRegisterMachine(it) }
         context.info(
             "leader state loaded",
--- a/src/main/kotlin/burlridge/app/LeaderStateLoader.kt
+++ b/src/main/kotlin/burlridge/app/LeaderStateLoader.kt
@@ -15,8 +15,8 @@
 import burlridge.store.StoreClient
 
 /**
- * Reads the rows that a new leader needs before it acts, and watches for the other members' submissions from then on. Where a standby
- * replica is shown to be complete, only the changes since its last refresh are read.
+ * Reads the rows that a new leader needs before it acts, and from then on watches for the jobs that other members accept. If the standby
+ * replica is proven complete, only the changes since its last refresh are read.
  */
 internal class LeaderStateLoader(
     private val context: StepContext,
@@ -30,7 +30,7 @@
 ) {
     private val submissions = SubmissionWatch(context, store, registry, onJobsChanged)
 
-    /** Reads every row for [term], which this member leads; [onLoaded] is not called where the term ends before all are read. */
+    /** Reads all rows for [term], which this member leads; [onLoaded] is not called if the term ends before that is complete. */
     fun load(
         term: Long,
         onLoaded: () -> Unit,
@@ -98,7 +98,7 @@
         private const val RENTALS = "rental/"
         private const val RETRY_DELAY_SECONDS = 0.5
 
-        /** The prefixes of all rows that a new leader reads, those of drains and moves where they are switched on. */
+        /** Returns the key prefixes of all rows that a new leader reads, [withBalance] including those of drains and moves. */
         fun prefixes(withBalance: Boolean): List<String> =
             listOf(ActiveJobRow.KEY_PREFIX, ProgressCodec.KEY_PREFIX, AllocationBatchCodec.KEY_PREFIX, RENTALS) +
                 if (withBalance) Balance.PREFIXES else emptyList()
--- a/src/main/kotlin/burlridge/app/Main.kt
+++ b/src/main/kotlin/burlridge/app/Main.kt
@@ -7,7 +7,7 @@
 private const val EXIT_USAGE = 2
 private const val EXIT_REFUSED = 1
 
-/** Ends the process with one line on standard error. */
+/** Prints one line on standard error and exits. */
 internal fun fail(reason: String): Nothing {
     System.err.println("burlridge: $reason")
     exitProcess(EXIT_USAGE)
@@ -35,7 +35,7 @@
     val file = File.createTempFile("burlridge", ".json")
     try {
         file.writeText(ClassArchiveTraining.settings())
-        // Through the command line of `serve`, so that its classes are in the archive as well.
+        // Goes through the command line of `serve`, so that its classes are in the archive as well.
         val serve = CommandLine.parse(listOf("serve", "--config", file.path)) as CommandLine.Serve
         Service(serve.files.read()).trainClassArchive()
     } finally {
@@ -47,7 +47,7 @@
 private fun configureLogging() {
     val level = System.getenv("LOG_LEVEL")?.lowercase()?.takeIf { it in setOf("error", "info", "debug") } ?: "info"
     System.setProperty("org.slf4j.simpleLogger.defaultLogLevel", level)
-    // Named here, so that the class path is not searched for a provider at every start.
+    // Set explicitly, so that the class path is not searched for a provider at every start.
     System.setProperty("slf4j.provider", "org.slf4j.simple.SimpleServiceProvider")
     System.setProperty("slf4j.internal.verbosity", "WARN")
 }
--- a/src/main/kotlin/burlridge/app/Metrics.kt
+++ b/src/main/kotlin/burlridge/app/Metrics.kt
@@ -10,7 +10,7 @@
 internal class Metrics {
     private val counts = Object2LongOpenHashMap<String>()
 
-    /** Created with the first line that is logged: its set-up would take a good part of a controller's start. */
+    /** Created lazily, for the first line that is logged: its initialization would take a large part of a controller's start-up time. */
     private val registry by lazy(LazyThreadSafetyMode.NONE) { SimpleMeterRegistry() }
     private val statusCounters = HashMap<Int, String>()
 
@@ -18,7 +18,7 @@
         counts.addTo(name, 1)
     }
 
-    /** The core is about to take a step for [input]. */
+    /** Counts [input], which the core is about to process. */
     fun onInput(input: Input) =
         count(
             when (input) {
@@ -48,7 +48,7 @@
             },
         )
 
-    /** [effect] is about to be carried out. */
+    /** Counts [effect], which is about to be executed. */
     fun onEffect(effect: Effect) {
         when (effect) {
             is Effect.Respond -> count(statusCounters.getOrPut(effect.status) { "out.answer.${effect.status}" })
@@ -58,10 +58,10 @@
         }
     }
 
-    /** A message of a kind that this version does not know has come from another controller. */
+    /** Counts a message from another controller of a kind that this version does not support. */
     fun onUnknownPeerMessage() = count("in.peer.unknown")
 
-    /** All counters as `name=value`; [coreCounters] are those of the core. */
+    /** Returns all counters as `name=value`; [coreCounters] are those of the core. */
     fun line(coreCounters: Map<String, Long>): String {
         val all = counts + coreCounters.mapKeys { "work.${it.key}" }
         all.forEach { (name, amount) -> registry.counter(name).let { it.increment(amount - it.count()) } }
--- a/src/main/kotlin/burlridge/app/OrderlyShutdown.kt
+++ b/src/main/kotlin/burlridge/app/OrderlyShutdown.kt
@@ -4,8 +4,8 @@
 import java.util.concurrent.TimeUnit
 
 /**
- * Delays the end of a process that is asked to stop (SIGTERM) until its leadership has been handed over, at most by [timeoutSeconds]. The
- * signal runs a shutdown hook on a thread of its own; the event loop reads [isRequested] at its next tick and calls [complete].
+ * Delays the exit of the process after SIGTERM until its leadership has been handed over, by [timeoutSeconds] at most. The signal runs a
+ * shutdown hook on a separate thread; the event loop reads [isRequested] at every tick and calls [complete] when the process may exit.
  */
 internal class OrderlyShutdown(
     private val timeoutSeconds: Double,
@@ -26,7 +26,7 @@
         completed.await((timeoutSeconds * MILLIS_PER_SECOND).toLong(), TimeUnit.MILLISECONDS)
     }
 
-    /** Lets the process end: nothing is left to hand over, or nobody could take over. */
+    /** Lets the process exit: its leadership has been handed over, or no other member could take over. */
     fun complete() {
         completed.countDown()
     }
--- a/src/main/kotlin/burlridge/app/PeerMessageHandler.kt
+++ b/src/main/kotlin/burlridge/app/PeerMessageHandler.kt
@@ -15,7 +15,7 @@
 import burlridge.worker.HeartbeatRelay
 import burlridge.worker.RelayedCommand
 
-/** Passes each message of another member to the part that it is for. */
+/** Dispatches each message of another member to the part that handles it. */
 internal class PeerMessageHandler(
     private val context: StepContext,
     private val store: StoreClient,
@@ -26,10 +26,10 @@
     private val relay: HeartbeatRelay,
     private val router: RequestRouter,
     private val failover: Failover?,
-    /** Called when a job that another member has accepted is known here. */
+    /** Called when a job that another member has accepted is in the registry. */
     private val onJobAdmitted: () -> Unit,
 ) {
-    /** Passes [message] to the part that it is for. */
+    /** Dispatches [message] to the part that handles it. */
     fun handle(message: PeerMessage) {
         peers.onMessage(message)
         when (message) {
@@ -80,7 +80,7 @@
         if (leadership.isLeader && jobApi.isLoaded && !registry.jobs.containsKey(job)) readAndAdmit(job)
     }
 
-    /** The message may be old and the job finished long ago, so its row is read before it counts. */
+    /** Reads the job's row before admitting it: the message may be old, and the job finished long ago. */
     private fun readAndAdmit(job: String) {
         val isStillLeading = leadership.whileLeading(leadership.term)
         store.get(ActiveJobRow.key(job), RequestPriority.USER) { read ->
--- a/src/main/kotlin/burlridge/app/PlacementTimer.kt
+++ b/src/main/kotlin/burlridge/app/PlacementTimer.kt
@@ -3,8 +3,8 @@
 import burlridge.core.StepContext
 
 /**
- * When placement rounds take place: on request, but spaced out, so that requests made meanwhile share a round, and the core has time for
- * everything else.
+ * Schedules placement rounds: on request, but with a minimum interval, so that requests made in between share a round and the core has time
+ * for all other work.
  */
 internal class PlacementTimer(
     private val context: StepContext,
@@ -13,24 +13,24 @@
     private var isRequested = false
     private var lastRoundAt = BEFORE_ANY_ROUND
 
-    /** Asks for a round as soon as the spacing allows. */
+    /** Requests a round as soon as the minimum interval allows. */
     fun request() {
         isRequested = true
     }
 
-    /** Asks for a round where none took place for a while. */
+    /** Requests a round if none has taken place for [MAX_IDLE_SECONDS]. */
     fun requestIfIdle() {
         if (context.now > lastRoundAt + MAX_IDLE_SECONDS) request()
     }
 
-    /** Whether a requested round is due now; the request is then used up. */
+    /** Returns whether a requested round is due now; if so, clears the request. */
     fun consumeDueRequest(): Boolean {
         val isDue = isRequested && context.now >= lastRoundAt + minIntervalSeconds
         if (isDue) isRequested = false
         return isDue
     }
 
-    /** A round begins now. */
+    /** Records that a round begins now. */
     fun onRoundStarted() {
         lastRoundAt = context.now
     }
--- a/src/main/kotlin/burlridge/app/RequestRouter.kt
+++ b/src/main/kotlin/burlridge/app/RequestRouter.kt
@@ -10,7 +10,7 @@
 import burlridge.worker.HeartbeatRelay
 import burlridge.worker.WorkerManager
 
-/** Passes each request, from a client or forwarded by another member, to the part that answers its path. */
+/** Dispatches each request, from a client or forwarded by another member, to the part that serves its path. */
 internal class RequestRouter(
     /** The name of this member. */
     private val member: String,
@@ -24,7 +24,7 @@
 ) {
     private val isReady: Boolean get() = fleet.catalog != null && failover?.isDraining != true
 
-    /** Answers one request through [onResult], in this step or a later one; [forwardedBy] is null where it came from a client. */
+    /** Answers one request through [onResult], in this step or a later one; [forwardedBy] is null if it came directly from a client. */
     fun handle(
         method: String,
         path: String,
@@ -43,7 +43,7 @@
         }
     }
 
-    /** Paths of one job: `/api/jobs/<job>` and `/api/jobs/<job>/abort`. */
+    /** Handles the paths of one job: `/api/jobs/<job>` and `/api/jobs/<job>/abort`. */
     private fun handleJob(
         method: String,
         path: String,
@@ -85,7 +85,7 @@
         onResult: (HttpResponse) -> Unit,
     ) {
         when {
-            // Before it has read the rows a leader does not know what was cancelled: an answer without a stop would keep it alive.
+            // Until it has loaded the rows, a leader does not know what was cancelled: an answer without a stop would let that run on.
             leadership.mayAnswerWorkers && workers.isLoaded -> onResult(workers.onHeartbeat(body, forwardedBy))
 
             leadership.isLeader || forwardedBy != null -> onResult(HttpResponse.unavailable("leadership in doubt"))
@@ -103,7 +103,7 @@
         const val JOB_PREFIX = "$JOBS/"
         const val ABORT = "abort"
 
-        /** The segments of the path of one job, and the one that names the job. */
+        /** Number of segments in the path of one job, and the index of the segment with the job's id. */
         const val JOB_SEGMENTS = 3
         const val JOB_SEGMENT = 2
     }
--- a/src/main/kotlin/burlridge/app/Service.kt
+++ b/src/main/kotlin/burlridge/app/Service.kt
@@ -22,7 +22,7 @@
 import kotlin.coroutines.EmptyCoroutineContext
 import kotlin.system.exitProcess
 
-/** The process of one controller: one thread steps the core, carries out its effects and waits for sockets and timers. */
+/** The process of one controller: a single thread steps the core, executes its effects and waits for sockets and timers. */
 internal class Service(
     private val settings: Settings,
 ) {
@@ -32,7 +32,7 @@
     private val scope =
         CoroutineScope(loop + SupervisorJob() + CoroutineExceptionHandler { _, unexpected -> log.error("coroutine failed", unexpected) })
     private val budget = ConnectionBudget(settings.limits.maxConnections)
-    private val client = HttpClient(loop, scope, budget.maxConcurrentCalls, budget.maxIdle, setOf(settings.state, settings.cloud), settings.state)
+    private val client = HttpClient(loop, scope, budget.maxCalls, budget.maxIdle, setOf(settings.state, settings.cloud), settings.state)
     private val server = HttpServer(loop, budget, settings.workers.reportSeconds * RECLAIM_AFTER_INTERVALS) { step(it) }
     private val metrics = Metrics()
     private val peers = PeerTransport(settings, loop, metrics::onUnknownPeerMessage) { step(Input.MessageReceived(it)) }
@@ -78,9 +78,9 @@
         log.debug("metrics: {} net.open={}", metrics.line(controller.counters), server.openConnections)
     }
 
-    /** Runs for two seconds with itself as store, cloud and worker, so that the class archive holds the classes of all I/O paths. */
+    /** Runs for two seconds with itself as store, cloud and worker, so that the class data archive holds the classes of all I/O paths. */
     fun trainClassArchive() {
-        // Without guarantees other code scales out, and gangs have code of their own: both belong in the archive.
+        // If no team has a guaranteed quota, other code scales out, and gangs have separate code: the archive must cover both.
         val gang = GangTimings(settings.workers.reportSeconds, settings.workers.reportSeconds)
         val teamsWithoutGuarantee = settings.teams.mapValues { it.value.copy(cpus = 0.0) }
         WarmUp(settings.copy(teams = teamsWithoutGuarantee, workers = settings.workers.copy(gang = gang))).run()
@@ -104,7 +104,7 @@
             try {
                 controller.step(input, System.nanoTime() / NANOS_PER_SECOND, System.currentTimeMillis())
             } catch (unexpected: Exception) {
-                // Any exception: the step may be half done. Restarting from the rows is safe, continuing is not.
+                // Whatever the exception, the step may be incomplete. Restarting and loading the rows again is safe; continuing is not.
                 log.error("core step failed input={}", input, unexpected)
                 exitProcess(EXIT_FAILED)
             }
@@ -148,7 +148,10 @@
         const val TRAINING_MILLIS = 2_000L
         const val EXIT_FAILED = 70
 
-        /** A live worker sends a heartbeat at least every one and a quarter intervals. */
+        /**
+         * Idle time after which a connection may be reclaimed, in heartbeat intervals. A live worker sends a heartbeat at least every 1.25
+         * intervals.
+         */
         const val RECLAIM_AFTER_INTERVALS = 1.5
     }
 }
--- a/src/main/kotlin/burlridge/app/SettingsFiles.kt
+++ b/src/main/kotlin/burlridge/app/SettingsFiles.kt
@@ -6,12 +6,12 @@
 import java.io.File
 import java.io.IOException
 
-/** Paths of the platform's JSON file and, unless null, the operators' INI file. */
+/** Paths of the platform's JSON file and of the operators' INI file; the latter is null if there is none. */
 internal data class SettingsFiles(
     val platform: String,
     val operator: String?,
 ) {
-    /** Reads both files; ends the process with one line if one cannot be used. */
+    /** Reads both files; prints one line and exits if one cannot be read or is invalid. */
     fun read(): Settings {
         val settings = load(platform, Settings::parse)
         return if (operator == null) settings else settings.copy(operator = load(operator) { operatorSettings(it, settings) })
--- a/src/main/kotlin/burlridge/app/SpanFileExporter.kt
+++ b/src/main/kotlin/burlridge/app/SpanFileExporter.kt
@@ -10,13 +10,13 @@
 import java.io.File
 import java.io.IOException
 
-/** Appends each finished span to [file] as one line of JSON. A disk that is full or read-only costs traces and one log line, no more. */
+/** Appends each finished span to [file] as one line of JSON. If the disk is full or read-only, traces are lost and one line is logged. */
 internal class SpanFileExporter(
     private val file: File,
 ) : SpanExporter {
     private val log = LoggerFactory.getLogger("burlridge")
 
-    /** Whether the last write failed, so that a run of failures is logged once. */
+    /** Whether the last write failed, so that consecutive failures are logged only once. */
     private var hasFailed = false
 
     override fun export(spans: Collection<SpanData>): CompletableResultCode =
--- a/src/main/kotlin/burlridge/app/SubmissionWatch.kt
+++ b/src/main/kotlin/burlridge/app/SubmissionWatch.kt
@@ -10,7 +10,7 @@
 import burlridge.store.WatchEvent
 import burlridge.store.WatchResult
 
-/** Notices the jobs that other members accept, should their messages be lost, by a watch of the rows of active jobs. */
+/** Detects the jobs that other members accept by watching the rows of active jobs, in case the members' messages are lost. */
 internal class SubmissionWatch(
     private val context: StepContext,
     private val store: StoreClient,
@@ -18,7 +18,7 @@
     /** Called after rows have changed. */
     private val onJobsChanged: () -> Unit,
 ) {
-    /** Changes after this revision have not been seen yet. */
+    /** The last revision whose changes have been processed. */
     private var revision = 0L
 
     /** Watches the changes after [revision] for as long as [isStillLeading]. */
@@ -53,7 +53,7 @@
         if (changes.hasEvents) onJobsChanged()
     }
 
-    /** The state service no longer keeps the changes since [revision]. */
+    /** Lists all active jobs: the state service has compacted the changes since [revision]. */
     private fun relist(isStillLeading: () -> Boolean) {
         store.list(ActiveJobRow.KEY_PREFIX, RequestPriority.CLAIM) { listing ->
             if (listing !is ListResult.Listed || !isStillLeading()) return@list
--- a/src/main/kotlin/burlridge/app/WarmUp.kt
+++ b/src/main/kotlin/burlridge/app/WarmUp.kt
@@ -9,21 +9,22 @@
 import com.fasterxml.jackson.databind.JsonNode
 
 /**
- * Steps another core for a few seconds of virtual time, with an outside that accepts everything, before the process reports ready. On a
- * fifth of a core the first submission, allocation and heartbeat of a cold JVM would take several tenths of a second each.
+ * Runs a separate [Controller] for a few seconds of virtual time before the process reports ready, with stubs that accept every
+ * request in place of the external systems. On a fifth of a CPU core, the first submission, allocation and heartbeat of a cold JVM would
+ * take several tenths of a second each.
  */
 internal class WarmUp(
     private val settings: Settings,
 ) {
-    private val controller = Controller(settings, 1)
+    private val core = Controller(settings, 1)
     private val inputs = ArrayDeque<Input>()
     private var revision = 1L
     private var nextId = 1L
     private var sequence = 1L
     private val taskReports = Json.arr()
 
-    /** Counters of the core that was warmed up. */
-    val counters: Map<String, Long> get() = controller.counters
+    /** Counters of the controller that the warm-up ran. */
+    val counters: Map<String, Long> get() = core.counters
 
     /** Runs the warm-up. */
     fun run() {
@@ -39,12 +40,12 @@
                 inputs += Input.Request(nextId++, "POST", "/agent/beat", "", Json.write(heartbeat()))
             }
             while (inputs.isNotEmpty()) {
-                controller.step(inputs.removeFirst(), now, (now * MILLIS_PER_SECOND).toLong()).forEach { if (it is Effect.HttpCall) answerCall(it) }
+                core.step(inputs.removeFirst(), now, (now * MILLIS_PER_SECOND).toLong()).forEach { if (it is Effect.HttpCall) respond(it) }
             }
         }
     }
 
-    private fun answerCall(call: Effect.HttpCall) {
+    private fun respond(call: Effect.HttpCall) {
         val path = call.path.substringBefore('?')
         val status = if (call.method == "GET" && path.startsWith("/store/")) HttpStatus.NOT_FOUND else HttpStatus.OK
         val body =
@@ -67,7 +68,7 @@
 
                 path == "/do" -> Json.write(executeCommand(Json.parse(call.body.orEmpty())))
 
-                // A watch stays open.
+                // A watch request stays open.
                 else -> return
             }
         inputs += Input.CallCompleted(call.callId, CallOutcome.Responded(status, body))
--- a/src/main/kotlin/burlridge/net/ClientConnections.kt
+++ b/src/main/kotlin/burlridge/net/ClientConnections.kt
@@ -1,8 +1,9 @@
 package burlridge.net
 
 /**
- * The open connections from users, health checks and workers, the longest idle first. A machine that lost its power never closes its
- * connection, so connections of the dead must be reclaimed. Only those: a worker that is about to send a heartbeat would lose it.
+ * The open connections from users, health checks and workers, the longest idle first. A machine that loses power never closes its
+ * connection, so the connections of dead machines must be reclaimed. No others may be: a worker that is about to send a heartbeat would
+ * lose it.
  */
 internal class ClientConnections<T : Any>(
     private val maxOpen: Int,
@@ -12,16 +13,16 @@
     private val idleSince = LinkedHashMap<T, Double>()
     private val busy = HashSet<T>()
 
-    /** All open connections. */
+    /** Number of open connections. */
     val size: Int get() = idleSince.size + busy.size
 
-    /** Whether a worker's connection should be closed with its response. */
+    /** Whether a worker's connection should be closed after its response. */
     val isAboveSoftLimit: Boolean get() = size > softLimit
 
-    /** Whether no more may be accepted. */
+    /** Whether no further connection may be accepted. */
     val isFull: Boolean get() = size >= maxOpen
 
-    /** [connection] was accepted at [now], in seconds of the steady clock. */
+    /** Records that [connection] was accepted at [now], the monotonic time in seconds. */
     fun onOpened(
         connection: T,
         now: Double,
@@ -29,12 +30,12 @@
         idleSince[connection] = now
     }
 
-    /** A request has come on [connection]. */
+    /** Records that a request has arrived on [connection]. */
     fun onRequest(connection: T) {
         if (idleSince.remove(connection) != null) busy.add(connection)
     }
 
-    /** The request on [connection] was answered at [now]. */
+    /** Records that the request on [connection] was answered at [now]. */
     fun onResponse(
         connection: T,
         now: Double,
@@ -42,13 +43,13 @@
         if (busy.remove(connection)) idleSince[connection] = now
     }
 
-    /** [connection] has ended. */
+    /** Records that [connection] has been closed. */
     fun onClosed(connection: T) {
         idleSince.remove(connection)
         busy.remove(connection)
     }
 
-    /** The longest idle connection if it has been idle for longer than a live worker ever is; otherwise null. */
+    /** Returns the longest idle connection if it has been idle for longer than that of a live worker ever is; otherwise null. */
     fun reclaimable(now: Double): T? =
         idleSince.entries
             .firstOrNull()
--- a/src/main/kotlin/burlridge/net/Connection.kt
+++ b/src/main/kotlin/burlridge/net/Connection.kt
@@ -21,9 +21,9 @@
 import kotlin.coroutines.resume
 
 /**
- * A TCP connection on the event loop. While its handler takes every read as one whole request it is read by callbacks alone, without a
- * coroutine or a channel; a worker's connection never needs more. From the first read that needs a parser on, a coroutine reads it into
- * [input], for Ktor's parsers.
+ * A TCP connection on the event loop. As long as its handler handles every read as one complete request, callbacks read it, without a
+ * coroutine or a channel; that is all that a worker's connection ever needs. From the first read that needs a parser on, a coroutine copies
+ * what it reads to [input], for Ktor's parsers.
  */
 internal class Connection private constructor(
     private val loop: EventLoop,
@@ -32,35 +32,35 @@
 ) : EventLoop.ReadinessListener {
     /** Serves an accepted connection. */
     internal interface Handler {
-        /** Handles [bytes] if they are one whole request that needs no parser; false if they have to be read from [input]. */
+        /** Handles [bytes] if they are one complete request that needs no parser; returns false if they must be read from [input]. */
         fun tryHandle(
             connection: Connection,
             bytes: ByteArray,
         ): Boolean
 
-        /** Serves the connection from [input] until it ends; called once, with the first bytes that were not handled whole. */
+        /** Serves the connection from [input] until it ends; called once, on the first read that [tryHandle] has not handled. */
         suspend fun serve(connection: Connection)
 
-        /** The connection has ended, however it did. */
+        /** Called when the connection has been closed, for whatever reason. */
         fun onClosed(connection: Connection)
     }
 
     private val key: SelectionKey = channel.register(loop.selector, 0, this)
     private val incoming by lazy(LazyThreadSafetyMode.NONE) { ByteChannel() }
 
-    /** What has been read since the first bytes that were not handled whole. */
+    /** Received data that the handler did not handle without a parser; on an outgoing connection, all received data. */
     val input: ByteReadChannel get() = incoming
 
-    /** The first bytes of the request that is being read, as they came; null between requests. */
+    /** The first bytes of the request that is being parsed, as received in one read; null between requests. */
     var requestBytes: ByteArray? = null
         private set
 
     private var handler: Handler? = null
 
-    /** Whether a coroutine reads the socket. */
+    /** Whether a coroutine reads the socket, instead of callbacks. */
     private var isReadByCoroutine = false
 
-    /** Whether a read is due already, so that a socket that stays readable is not queued twice. */
+    /** Whether a read is already queued, so that a socket that stays readable is not queued twice. */
     private var isReadQueued = false
     private val queuedRead =
         Runnable {
@@ -71,10 +71,10 @@
     private var writeWaiter: Continuation<Unit>? = null
     private var responseWaiter: Continuation<Unit>? = null
 
-    /** Whether a request that was handled whole still waits for its response. */
+    /** Whether a request that was handled without a parser has not been answered yet. */
     private var isAwaitingResponse = false
 
-    /** Whether it can neither be read nor written any more. */
+    /** Whether the connection can no longer be used. */
     val isClosed: Boolean get() = !channel.isOpen || (isReadByCoroutine && incoming.isClosedForRead)
 
     override fun onReady(operations: Int) {
@@ -92,7 +92,7 @@
         }
     }
 
-    /** What arrives before the last request is answered waits in the socket, so that responses keep the order of their requests. */
+    /** Leaves what arrives before the last request is answered in the socket, so that responses are sent in the order of the requests. */
     private fun readOrWait() {
         if (isAwaitingResponse) key.interestOpsAnd(READ.inv()) else readRequest()
     }
@@ -104,14 +104,14 @@
         return isHandled
     }
 
-    /** The request that was handled whole has been answered: the next one may be read. */
+    /** Called when a request that was handled without a parser has been answered: the next one may be read. */
     fun onResponse() {
         isAwaitingResponse = false
         if (!channel.isOpen) return
         if (isReadByCoroutine) responseWaiter?.also { responseWaiter = null }?.resume(Unit) else key.interestOpsOr(READ)
     }
 
-    /** Reads once outside any coroutine: a whole request that needs no parser, or the beginning of anything else. */
+    /** Reads once outside any coroutine. If that is not a complete request that needs no parser, coroutines read and serve from then on. */
     private fun readRequest() {
         val bytes =
             try {
@@ -133,13 +133,13 @@
         } catch (e: CancellationException) {
             throw e
         } catch (_: Exception) {
-            // Ktor's parser throws exceptions of several types on malformed input: whatever it is, the connection ends.
+            // Ktor's parser throws exceptions of several types on malformed input: the connection is closed on any of them.
         } finally {
             close()
         }
     }
 
-    /** What has arrived; null at the end of the stream. */
+    /** Returns the bytes that have arrived; null at the end of the stream. */
     private fun read(): ByteArray? {
         loop.readBuffer.clear()
         val size = channel.read(loop.readBuffer)
@@ -167,7 +167,7 @@
         }
     }
 
-    /** Writes all of [bytes]. Throws [IOException] when the connection is closed. */
+    /** Writes all of [bytes]. Throws [IOException] if the connection is closed. */
     suspend fun write(bytes: ByteArray) {
         val unwritten = ByteBuffer.wrap(bytes)
         channel.write(unwritten)
@@ -177,12 +177,12 @@
         }
     }
 
-    /** The request that was being read has been answered: the next bytes begin another one. */
+    /** Called when a parsed request is about to be answered: the next bytes received begin another request. */
     fun requestCompleted() {
         requestBytes = null
     }
 
-    /** Writes what the socket takes at once; returns the rest of [bytes], or null when all was written. */
+    /** Writes as much as the socket accepts without waiting; returns the rest of [bytes], or null if all was written. */
     fun tryWrite(bytes: ByteArray): ByteArray? {
         val unwritten = ByteBuffer.wrap(bytes)
         channel.write(unwritten)
@@ -207,7 +207,7 @@
         } catch (e: CancellationException) {
             throw e
         } catch (_: IOException) {
-            // Reset by the other side: treated as its end.
+            // A reset by the peer is treated like the end of the stream.
             incoming.cancel()
         }
     }
@@ -217,7 +217,7 @@
         incoming.flush()
     }
 
-    /** Closes the connection and tells its handler; may be called twice. */
+    /** Closes the connection and notifies its handler; may be called repeatedly. */
     fun close() {
         channel.close()
         readWaiter?.also { readWaiter = null }?.resume(Unit)
@@ -230,7 +230,7 @@
         private const val READ = SelectionKey.OP_READ
         private const val WRITE = SelectionKey.OP_WRITE or SelectionKey.OP_CONNECT
 
-        /** A connection to [target]. Throws [IOException] if none can be made. */
+        /** Connects to [target]. Throws [IOException] if the connection fails. */
         suspend fun connect(
             loop: EventLoop,
             scope: CoroutineScope,
@@ -249,13 +249,13 @@
                 scope.launch { connection.copyToInput(null) }
                 return connection
             } catch (unexpected: Throwable) {
-                // Whatever happens, cancellation included, the socket must not leak.
+                // The socket must not leak on any failure, including cancellation.
                 channel.close()
                 throw unexpected
             }
         }
 
-        /** The connection on the accepted [channel], served by the handler that [newHandler] gives; closed if it cannot be set up. */
+        /** Serves the accepted [channel] with the handler that [newHandler] returns; closes it if it cannot be set up. */
         fun accept(
             loop: EventLoop,
             scope: CoroutineScope,
@@ -269,7 +269,7 @@
                 connection.handler = newHandler(connection)
                 connection.key.interestOps(READ)
             } catch (_: IOException) {
-                // The other side closed it before it could be served.
+                // The peer closed the connection before it could be served.
                 channel.close()
             }
         }
--- a/src/main/kotlin/burlridge/net/ConnectionListener.kt
+++ b/src/main/kotlin/burlridge/net/ConnectionListener.kt
@@ -15,8 +15,8 @@
     private const val ACCEPT_PAUSE_MILLIS = 20L
 
     /**
-     * Accepts connections on [endpoint] for as long as the loop runs. When [admit] refuses, or no socket can be had, accepting pauses for a
-     * moment: new connections wait in the backlog and would otherwise wake the loop over and over.
+     * Accepts connections on [endpoint] for as long as the loop runs. If [admit] returns false, or no socket is available, accepting pauses
+     * for [ACCEPT_PAUSE_MILLIS]: new connections wait in the backlog and would otherwise wake the loop continuously.
      */
     fun listen(
         loop: EventLoop,
@@ -49,7 +49,7 @@
                         } catch (_: IOException) {
                             return@ReadinessListener pauseAccepting()
                         }
-                    // Registered at once, so that it counts before the next one is admitted.
+                    // Registered immediately, so that it is counted before the next connection is admitted.
                     Connection.accept(loop, scope, channel, newHandler)
                 }
             }
--- a/src/main/kotlin/burlridge/net/EventLoop.kt
+++ b/src/main/kotlin/burlridge/net/EventLoop.kt
@@ -13,14 +13,15 @@
 import kotlin.coroutines.CoroutineContext
 
 /**
- * One thread for everything: a coroutine dispatcher whose idle wait is the selector's wait for sockets and timers. On a fifth of a core each
- * switch between threads costs more than parsing a heartbeat, and `ktor-network` makes three for every message.
+ * Runs coroutines, sockets and timers on a single thread: a coroutine dispatcher that, when idle, waits in the selector for sockets and
+ * timers. On a fifth of a CPU core, each switch between threads costs more than parsing a heartbeat, and `ktor-network` makes three for
+ * every message.
  */
 @OptIn(InternalCoroutinesApi::class, ExperimentalCoroutinesApi::class)
 internal class EventLoop :
     CoroutineDispatcher(),
     Delay {
-    /** Waits for a socket; called on the loop with the operations that are possible now. */
+    /** Called on the event loop when a socket is ready, with the operations that are possible now. */
     internal fun interface ReadinessListener {
         fun onReady(operations: Int)
     }
@@ -33,18 +34,18 @@
         override fun compareTo(other: Timer): Int = compareValuesBy(this, other, Timer::atNanos, Timer::sequence)
     }
 
-    /** Where channels register, with a [ReadinessListener] as attachment. */
+    /** The selector that channels register with; the attachment must be a [ReadinessListener]. */
     val selector: Selector = Selector.open()
 
-    /** Read buffer shared by all connections; what is read is copied out at once. */
+    /** Read buffer shared by all connections; its content must be copied out right after each read. */
     val readBuffer: ByteBuffer = ByteBuffer.allocateDirect(READ_BUFFER_BYTES)
     private val readyQueue = ArrayDeque<Runnable>()
 
-    /** Runs before all bulk work: lease renewals depend on it, and a busy leader must not be taken for a dead one. */
+    /** Runs before everything in [readyQueue]: lease renewals depend on it, and a busy leader must not be considered dead. */
     private val urgentQueue = ArrayDeque<Runnable>()
     private val timers = PriorityQueue<Timer>()
 
-    /** Timeouts that have run out, to be run again after the sockets have been read. */
+    /** Expired timeouts, to be run again after the sockets have been read. */
     private val expiredTimeouts = ArrayList<Runnable>()
     private var nextSequence = 0L
     private var cancelledTimers = 0
@@ -57,7 +58,7 @@
         readyQueue.addLast(block)
     }
 
-    /** The same loop for coroutines that run before all others. */
+    /** Dispatches to this event loop, but ahead of all coroutines of the loop's own dispatcher. */
     val urgentDispatcher: CoroutineDispatcher = UrgentDispatcher()
 
     private inner class UrgentDispatcher :
@@ -71,12 +72,12 @@
         }
     }
 
-    /** Runs [work] after everything that is due already. */
+    /** Runs [work] after everything that is already queued. */
     fun enqueue(work: Runnable) {
         readyQueue.addLast(work)
     }
 
-    /** Ends [run] after the current turn. */
+    /** Makes [run] return after the current iteration. */
     fun stop() {
         stopped = true
     }
@@ -84,7 +85,7 @@
     /** Runs the loop on the calling thread until [stop]. */
     fun run() {
         while (!stopped) {
-            // Only a slice of what is due, so that sockets, timers and urgent work get their turn however much waits.
+            // A bounded number per iteration, so that sockets, timers and urgent work are served however long the queue is.
             var remaining = minOf(readyQueue.size, MAX_RUNNABLES_PER_TURN)
             runUrgent()
             while (remaining-- > 0) {
@@ -139,7 +140,7 @@
     private fun cancel(timer: Timer) {
         if (timer.work == null) return
         timer.work = null
-        // Most timers are cancelled long before they are due, so they are removed in bulk.
+        // Most timers are cancelled long before they expire, so they are removed in bulk.
         if (++cancelledTimers > timers.size / 2 + CANCELLED_TIMERS_SLACK) {
             timers.removeIf { it.work == null }
             cancelledTimers = 0
@@ -168,9 +169,10 @@
     }
 
     /**
-     * A timeout that counts only responses that arrived too late, not those that this loop was too busy to read: before [block] runs, sockets
-     * are read and everything due runs, as many times as a response needs from its socket to whoever waits for it. Otherwise an overloaded
-     * leader takes live workers for unreachable and adds to its load by allocating their tasks again.
+     * A timeout that applies only to responses that arrived too late, not to those that this loop was too busy to read: before [block]
+     * runs, the sockets are read and the queue is processed, in as many rounds as a response needs from its socket to the waiting
+     * coroutine. Otherwise an overloaded leader would consider live workers unreachable, and increase its load by allocating their tasks
+     * again.
      */
     private inner class Timeout(
         private val block: Runnable,
@@ -188,14 +190,14 @@
     }
 
     private companion object {
-        /** Coroutine turns, a handful of requests, between two checks of sockets and timers. */
+        /** Maximum number of runnables, enough for a few requests, that run between two checks of sockets and timers. */
         const val MAX_RUNNABLES_PER_TURN = 32
         const val READ_BUFFER_BYTES = 64 * 1024
         const val NANOS_PER_MILLI = 1_000_000L
         const val MAX_WAIT_MILLIS = 1_000L
         const val CANCELLED_TIMERS_SLACK = 64
 
-        /** One round each for the read of a socket, the parser, and whoever waits for the parser, and one to spare. */
+        /** One round each for reading the socket, for the parser and for the coroutine that waits for the parser, and one in reserve. */
         const val TIMEOUT_ROUNDS = 4
     }
 }
--- a/src/main/kotlin/burlridge/net/HttpBody.kt
+++ b/src/main/kotlin/burlridge/net/HttpBody.kt
@@ -10,7 +10,7 @@
 import kotlinx.coroutines.launch
 import kotlinx.io.readByteArray
 
-/** Reads the body that [headers] announce; null if it is longer than [maxBytes]. */
+/** Reads the body described by [headers]; returns null if it is longer than [maxBytes]. */
 internal suspend fun readBody(
     headers: HttpHeadersMap,
     input: ByteReadChannel,
--- a/src/main/kotlin/burlridge/net/HttpClient.kt
+++ b/src/main/kotlin/burlridge/net/HttpClient.kt
@@ -10,15 +10,15 @@
 import kotlinx.coroutines.sync.Semaphore
 import kotlinx.coroutines.withTimeoutOrNull
 
-/** HTTP client with a pool of kept connections, one request at a time on each. */
+/** HTTP client with a pool of persistent connections, each used for one request at a time. */
 internal class HttpClient(
     private val loop: EventLoop,
     private val scope: CoroutineScope,
     maxConcurrent: Int,
     private val maxIdle: Int,
-    /** Targets whose calls do not count against the limit of concurrent calls. */
+    /** Targets whose calls do not count towards the limit on concurrent calls. */
     private val unlimitedTargets: Set<Endpoint>,
-    /** Target whose responses are processed before all bulk work. */
+    /** Target whose responses are processed before all other work of the event loop; null for none. */
     private val urgentTarget: Endpoint? = null,
 ) {
     private val urgentScope = scope + loop.urgentDispatcher
@@ -33,10 +33,10 @@
         val connection: Connection,
     )
 
-    /** Makes the call of [effect] and tells how it ended; never throws but for cancellation. */
+    /** Makes the call of [effect] and returns its outcome; throws nothing but cancellation. */
     suspend fun call(effect: Effect.HttpCall): CallOutcome {
         if (effect.target in unlimitedTargets) return sendAndReceive(effect)
-        // Hundreds of machines that hang must not take all sockets. A call that waited in vain was never sent.
+        // Calls to hundreds of hung machines must not use up all sockets. A call that got no permit in time was never sent.
         if (!permits.tryAcquire()) {
             withTimeoutOrNull((effect.timeoutSeconds * MILLIS_PER_SECOND).toLong()) { permits.acquire() }
                 ?: return CallOutcome.NotSent
@@ -60,7 +60,7 @@
                 pooled.connection.close()
                 throw e
             } catch (_: Exception) {
-                // Ktor's parser throws exceptions of several types on malformed input; like a reset, it leaves the outcome unknown.
+                // Ktor's parser throws exceptions of several types on malformed input; as with a reset, the outcome is unknown.
                 null
             }
         if (outcome == null) pooled.connection.close()
@@ -85,7 +85,7 @@
         } catch (e: CancellationException) {
             throw e
         } catch (_: Exception) {
-            // An address that cannot be resolved is no IOException, and worker addresses come from outside.
+            // Worker addresses are external input, and the exception for an address that cannot be resolved is not an IOException.
             null
         }
 
@@ -106,7 +106,7 @@
                 append("\r\n")
             }.encodeToByteArray()
         if (isPastDeadline(effect)) {
-            // The call waited for a permit or a connection, or the process was paused: the decision behind it may no longer stand.
+            // The call waited for a permit or a connection, or the process was paused: the decision behind it may no longer be valid.
             returnToPool(pooled)
             return CallOutcome.NotSent
         }
--- a/src/main/kotlin/burlridge/net/HttpResponseEncoder.kt
+++ b/src/main/kotlin/burlridge/net/HttpResponseEncoder.kt
@@ -3,7 +3,7 @@
 import burlridge.core.HttpResponse
 import burlridge.core.HttpStatus
 
-/** Writes responses as HTTP/1.1. */
+/** Encodes responses as HTTP/1.1. */
 internal object HttpResponseEncoder {
     private val reasonPhrases =
         mapOf(
@@ -19,8 +19,8 @@
         )
 
     /**
-     * The bytes of [response] at [now], in seconds of the steady clock; a 503 in its place if its deadline has passed. With [close] the
-     * other side is told that the connection ends.
+     * Returns the bytes of [response], or of a 503 if its deadline has passed at [now], the monotonic time in seconds. With [close], a
+     * `Connection: close` header is added.
      */
     fun encode(
         response: HttpResponse,
--- a/src/main/kotlin/burlridge/net/HttpServer.kt
+++ b/src/main/kotlin/burlridge/net/HttpServer.kt
@@ -13,7 +13,7 @@
 import org.slf4j.LoggerFactory
 import java.io.IOException
 
-/** HTTP server for users, workers, operators and health checks: every request becomes an [Input.Request] and waits for the core's response. */
+/** HTTP server for users, workers, operators and health checks: every request becomes an [Input.Request] that the core responds to. */
 internal class HttpServer(
     private val loop: EventLoop,
     private val budget: ConnectionBudget,
@@ -33,10 +33,10 @@
     private var reclaimedConnections = 0L
     private var limitLoggedAtNanos = 0L
 
-    /** Connections open from outside. */
+    /** Number of open connections from clients. */
     val openConnections: Int get() = clients.size
 
-    /** Whether one more connection may be accepted; at the limit the one that has been idle longest is closed for it. */
+    /** Returns whether one more connection may be accepted; at the limit, closes the one idle longest if that may be reclaimed. */
     private fun admit(): Boolean {
         if (!clients.isFull) return true
         val longestIdle = clients.reclaimable(nowSeconds())
@@ -55,13 +55,13 @@
 
     private fun nowSeconds() = System.nanoTime() / NANOS_PER_SECOND
 
-    /** Sends the response to the request that [effect] names; a request that was given up meanwhile is passed over. */
+    /** Sends the response of [effect]; ignores it if the request has timed out or was answered already. */
     fun respond(effect: Effect.Respond) {
         val response = HttpResponse(effect.status, effect.body, effect.retryAfterSeconds, effect.sendDeadline)
         pending.remove(effect.id)?.respond?.invoke(response)
     }
 
-    /** Answers requests that the core has left open for too long; it should never do so. */
+    /** Answers the requests that the core has not answered within [PENDING_TIMEOUT_NANOS] with a 503; there should never be any. */
     fun expirePending() {
         val now = System.nanoTime()
         while (true) {
@@ -116,7 +116,7 @@
                 val response = pendingResponse.await()
                 logIfNotable(request, uri, response.status, receivedAtNanos)
                 clients.onResponse(connection, nowSeconds())
-                // A worker loses nothing by reconnecting for its next heartbeat; a request of a user might cross the close.
+                // A worker can reconnect for its next heartbeat at no loss; a user might send a request while the connection is closed.
                 val close = closeRequested || (clients.isAboveSoftLimit && uri == WORKER_PATH)
                 if (uri in FREQUENT_PATHS) knownHeads.add(connection.requestBytes, request, uri)
                 connection.requestCompleted()
@@ -139,7 +139,7 @@
         log.debug("request slow or failed method={} uri={} status={} millis={}", request.method.value, uri, status, elapsedMillis)
     }
 
-    /** Handles [bytes] without parsing if they are one whole request with a known head. */
+    /** Handles [bytes] without parsing if they are one complete request with a known head; otherwise returns false. */
     private fun handleWithoutParser(
         connection: Connection,
         bytes: ByteArray,
@@ -200,7 +200,7 @@
         const val MAX_BODY_BYTES = 64 * 1024
         const val WORKER_PATH = "/agent/beat"
 
-        /** Paths that are requested again and again with the same head. */
+        /** Paths that are requested frequently with identical heads. */
         val FREQUENT_PATHS = setOf(WORKER_PATH, "/ready", "/api/jobs")
         const val NANOS_PER_SECOND = 1e9
         const val LIMIT_LOG_INTERVAL_NANOS = 10_000_000_000L
--- a/src/main/kotlin/burlridge/net/KnownRequestHeads.kt
+++ b/src/main/kotlin/burlridge/net/KnownRequestHeads.kt
@@ -3,11 +3,11 @@
 import io.ktor.http.cio.Request
 
 /**
- * Heads of frequent requests that Ktor's parser has read. A request with the same head need not be parsed again, on whichever connection
- * it comes: parsing took a quarter of a leader's time.
+ * Heads of frequent requests that Ktor's parser has parsed. A request with the same head, on any connection, is not parsed again: parsing
+ * took a quarter of a leader's CPU time.
  */
 internal class KnownRequestHeads {
-    /** A request whose head is known, and where its body begins. */
+    /** The known head of a request, and the offset of the request's body. */
     data class Match(
         val head: RequestHead,
         val bodyOffset: Int,
@@ -15,7 +15,7 @@
 
     private val heads = ArrayDeque<RequestHead>()
 
-    /** Remembers the head of [request], which came as [requestBytes]; null where that is not known. */
+    /** Adds the head of [request], which was received as [requestBytes]; null if these are not available. */
     fun add(
         requestBytes: ByteArray?,
         request: Request,
@@ -31,7 +31,7 @@
         heads.addLast(head)
     }
 
-    /** The known head of [bytes] if they are one whole request with a body of at most [maxBodyBytes]; otherwise null. */
+    /** Returns the known head of [bytes] if they are one complete request with a body of at most [maxBodyBytes]; otherwise null. */
     fun match(
         bytes: ByteArray,
         maxBodyBytes: Int,
--- a/src/main/kotlin/burlridge/net/RequestHead.kt
+++ b/src/main/kotlin/burlridge/net/RequestHead.kt
@@ -1,18 +1,18 @@
 package burlridge.net
 
 /**
- * The head of a request that Ktor's parser has read. Workers and health checks send the same head again and again, but for the length of
- * the body; such a request can be compared byte for byte instead of being parsed.
+ * The head of a request that Ktor's parser has parsed. Workers and health checks repeat the same head, except for the length of the body;
+ * such a request can be compared byte by byte instead of being parsed.
  */
 internal class RequestHead private constructor(
     private val head: ByteArray,
-    /** Where the digits of the body's length stand in [head]; both are its size where a request has no body. */
+    /** Start and end of the digits of `Content-Length` in [head]; both are the size of [head] if it has no such header. */
     private val lengthStart: Int,
     private val lengthEnd: Int,
     val method: String,
     val uri: String,
 ) {
-    /** Where the body begins in [bytes] if they are one whole request with this very head; -1 for anything else. */
+    /** Returns the offset of the body in [bytes] if they are one complete request with this head; otherwise -1. */
     fun bodyOffset(bytes: ByteArray): Int {
         if (!matches(bytes, 0, 0, lengthStart)) return -1
         if (lengthStart == head.size) return if (bytes.size == head.size) bytes.size else -1
@@ -36,14 +36,14 @@
     ): Boolean = from + size <= bytes.size && java.util.Arrays.equals(bytes, from, from + size, head, headFrom, headFrom + size)
 
     internal companion object {
-        /** A body of up to 99,999 bytes, more than is ever accepted. */
+        /** Allows for bodies of up to 99,999 bytes, more than the server accepts. */
         private const val MAX_LENGTH_DIGITS = 5
         private const val DECIMAL = 10
         private const val ZERO = '0'.code.toByte()
         private const val NINE = '9'.code.toByte()
         private const val LENGTH_HEADER = "\r\ncontent-length:"
 
-        /** The head of a request that came whole as [bytes] and was parsed as [method] and [uri]; null if its form is unusual. */
+        /** Returns the head of a request received in one piece as [bytes] and parsed as [method] and [uri]; null if its form is unusual. */
         fun of(
             bytes: ByteArray,
             method: String,
--- a/src/test/kotlin/burlridge/app/LeaderChangeTracerTest.kt
+++ b/src/test/kotlin/burlridge/app/LeaderChangeTracerTest.kt
@@ -18,7 +18,7 @@
     ) = record(Effect.Trace(event, ms))
 
     @Test
-    fun `a change of leader is one trace, from the first suspicion to the last worker`(
+    fun `a leader change is one trace, from the first suspicion until all workers are answered`(
         @TempDir directory: File,
     ) {
         val file = File(directory, "trace.jsonl")
@@ -54,9 +54,9 @@
         assertEquals("done", handover.path("attributes").path("burlridge.outcome").asText())
     }
 
-    /** A disk that is full or read-only costs traces, never service. */
+    /** A full or read-only disk must cost only traces, and must not affect the service. */
     @Test
-    fun `a file that cannot be written is no reason to fail`(
+    fun `recording events does not fail if the trace file cannot be written`(
         @TempDir directory: File,
     ) {
         val tracer = LeaderChangeTracer(File(directory, "no/such/folder/trace.jsonl"), "drover-1")
--- a/src/test/kotlin/burlridge/app/WarmUpTest.kt
+++ b/src/test/kotlin/burlridge/app/WarmUpTest.kt
@@ -6,7 +6,7 @@
 
 internal class WarmUpTest {
     @Test
-    fun `it leads, claims, commands and finishes jobs`() {
+    fun `the warm-up places tasks and sends commands to workers`() {
         val warmUp = WarmUp(Settings.parse(ClassArchiveTraining.settings()))
         warmUp.run()
         assertTrue(warmUp.counters.getValue("intent.starts") > 10, "${warmUp.counters}")
--- a/src/test/kotlin/burlridge/net/ClientConnectionsTest.kt
+++ b/src/test/kotlin/burlridge/net/ClientConnectionsTest.kt
@@ -15,18 +15,18 @@
 import java.net.ServerSocket
 
 internal class ClientConnectionsTest {
-    /** Guards a controller's sockets at half as many machines again as it has connections for. */
+    /** Guards against a controller that runs out of sockets when there are 1.5 times as many machines as it may have connections. */
     @Test
-    fun `the parts of the budget leave room below the limit`() {
-        for (maxConnections in listOf(100, 1729, 1919, 2000)) {
-            val budget = ConnectionBudget(maxConnections)
-            assertTrue(budget.maxClients + budget.backlog + budget.maxConcurrentCalls + budget.maxIdle < maxConnections * 0.98, "of $maxConnections: $budget")
+    fun `the shares of the connection budget add up to less than the limit`() {
+        for (limit in listOf(100, 1729, 1919, 2000)) {
+            val budget = ConnectionBudget(limit)
+            assertTrue(budget.maxClients + budget.backlog + budget.maxCalls + budget.maxIdle < limit * 0.98, "of $limit: $budget")
             assertTrue(budget.clientSoftLimit < budget.maxClients)
         }
     }
 
     @Test
-    fun `at the limit the one longest quiet goes, and nobody who waits for an answer or has just come`() {
+    fun `only the longest idle connection can be reclaimed, and none that is busy or was used recently`() {
         val clients = ClientConnections<String>(maxOpen = 4, softLimit = 2, reclaimAfterSeconds = 9.0)
         listOf("dead", "worker", "probe").forEach {
             clients.onOpened(it, 0.0)
@@ -39,16 +39,16 @@
         assertNull(clients.reclaimable(9.5))
         assertEquals("dead", clients.reclaimable(10.5))
         clients.onClosed("dead")
-        // The worker is due any moment, the probe waits for its answer.
+        // The worker's next heartbeat may arrive at any moment, and the probe awaits its response.
         assertNull(clients.reclaimable(15.5))
         assertEquals("worker", clients.reclaimable(16.5))
         clients.onRequest("worker")
         assertEquals("new", clients.reclaimable(17.5))
     }
 
-    /** Three times as many workers as places, all over loopback: each is answered in every turn, and the places suffice. */
+    /** Three times as many workers as the limit on connections, over loopback: each is answered in every round, within the limit. */
     @Test
-    fun `a crowd of workers is answered in full on few connections`() {
+    fun `all heartbeats are answered when there are more workers than connections`() {
         val loop = EventLoop()
         val scope = CoroutineScope(loop + SupervisorJob())
         val budget = ConnectionBudget(64)
@@ -65,7 +65,7 @@
         var responses = 0
         scope.launch {
             repeat(ROUNDS) { round ->
-                // No more at once than may knock; each keeps its connection for the next turn, if it may.
+                // No more at once than the backlog holds; each keeps its connection for the next round unless the server closes it.
                 workers.withIndex().chunked(budget.backlog).forEach { group ->
                     group
                         .map { (i, worker) ->
--- a/src/test/kotlin/burlridge/net/ConnectionTest.kt
+++ b/src/test/kotlin/burlridge/net/ConnectionTest.kt
@@ -16,8 +16,8 @@
 import kotlin.concurrent.thread
 
 /**
- * A request whose head is known is taken without the parser. Whatever comes, and in whatever pieces, the answers must be those that
- * the parser's way gives: here the same bytes are sent to a server that knows the heads and to one that has only just started.
+ * Requests with a known head bypass the parser. Whatever bytes are received, and however they are split, the responses must be the same as
+ * with the parser: the tests send the same bytes to a server with a known head and to a new one, which has none yet.
  */
 internal class ConnectionTest {
     private val loops = ArrayList<EventLoop>()
@@ -32,7 +32,7 @@
         return port
     }
 
-    /** A server that tells each request back. */
+    /** Starts a server that responds with the method, path and body of each request; returns its port. */
     private fun echoServer(): Int =
         server { server, request ->
             server.respond(Effect.Respond(request.id, 200, "${request.method} ${request.path} ${request.body}", null))
@@ -41,7 +41,7 @@
     @AfterEach
     fun stop() = loops.forEach { it.stop() }
 
-    /** Sends [parts] one by one and returns all that is answered until the server closes, which the last request asks for. */
+    /** Sends [parts] one by one; returns everything received until the server closes the connection, as the last request demands. */
     private fun exchange(
         port: Int,
         parts: List<ByteArray>,
@@ -56,7 +56,7 @@
             socket.getInputStream().readBytes().decodeToString()
         }
 
-    /** Lets the server parse one plain request, alone, so that it knows the head from then on. */
+    /** Sends one plain request on a separate connection, so that the server knows its head from then on; returns [port]. */
     private fun withKnownHead(port: Int): Int {
         Socket(InetAddress.getLoopbackAddress(), port).use { socket ->
             socket.soTimeout = TIMEOUT_MILLIS
@@ -103,7 +103,7 @@
     }
 
     @Test
-    fun `known heads change no answer`() {
+    fun `a known head does not change any response`() {
         val random = Random(7)
         val serverWithKnownHead = withKnownHead(echoServer())
         repeat(ROUNDS) { round ->
@@ -114,9 +114,9 @@
         }
     }
 
-    /** Sent whole and last, since the server closes without reading on. */
+    /** Each malformed request is sent in one write with the closing request, since the server closes without reading further. */
     @Test
-    fun `what is malformed is never taken by a known head`() {
+    fun `a malformed request never matches a known head`() {
         val serverWithKnownHead = withKnownHead(echoServer())
         val malformed =
             listOf(
@@ -132,9 +132,9 @@
         }
     }
 
-    /** Guards the order of answers: a request that was taken whole is answered before the next one is read. */
+    /** Guards against responses out of order: a request that bypassed the parser must be answered before the next one is read. */
     @Test
-    fun `answers keep the order of their requests`() {
+    fun `responses are sent in the order of the requests`() {
         val handled = CountDownLatch(1)
         var slowId = 0L
         val port =
@@ -149,7 +149,7 @@
             socket.getOutputStream().write(request("slow").encodeToByteArray())
             handled.await()
             socket.getOutputStream().write((request("next") + closingRequest).encodeToByteArray())
-            // Served after what came before it on the other connection, and only then is the slow one answered.
+            // Read after the bytes sent before it on the other connection; the slow request is answered only then.
             exchange(port, listOf(request("release", path = "/release", extra = "Connection: close\r\n").encodeToByteArray()))
             val responses = socket.getInputStream().readBytes().decodeToString()
             assertEquals(listOf("slow", "next", "bye"), Regex("slow|next|bye").findAll(responses).map { it.value }.toList())
--- a/src/test/kotlin/burlridge/net/EventLoopTest.kt
+++ b/src/test/kotlin/burlridge/net/EventLoopTest.kt
@@ -16,9 +16,12 @@
 import kotlin.concurrent.thread
 
 internal class EventLoopTest {
-    /** Guards the leader's lease: its renewal and the answer to it waited behind hundreds of reports, and a slow leader passed for dead. */
+    /**
+     * Guards against the loss of the leader's lease: its renewal and the response to that waited behind hundreds of heartbeats, and a slow
+     * leader was considered dead.
+     */
     @Test
-    fun `urgent work and timers do not wait for all that is due`() {
+    fun `urgent work and timers run before the queued work is finished`() {
         val loop = EventLoop()
         val scope = CoroutineScope(loop)
         val order = ArrayList<String>()
@@ -30,7 +33,7 @@
             scope.launch {
                 order += "bulk"
                 if (i == 3) scope.launch(loop.urgentDispatcher) { order += "urgent" }
-                // So that the timer's millisecond is over before all is done, whatever the machine.
+                // Ensures that the timer's millisecond passes before all work is done, however fast the machine.
                 if (i == 5) System.nanoTime().let { from -> while (System.nanoTime() - from < 2_000_000) Unit }
             }
         }
@@ -41,9 +44,9 @@
         assertEquals(502, order.size)
     }
 
-    /** Guards against taking a live worker for unreachable: its answer was there in time, and only this process was too slow to read it. */
+    /** Guards against a live worker considered unreachable: its response arrived in time, but this process was too slow to read it. */
     @Test
-    fun `an answer that came in time counts, however late it is read`() {
+    fun `a response that arrived in time is accepted even if it is read after the timeout`() {
         val loop = EventLoop()
         val scope = CoroutineScope(loop)
         val received = CountDownLatch(1)
@@ -68,7 +71,7 @@
                     outcome = client.call(Effect.HttpCall(1, target, "GET", "/", null, TIMEOUT_SECONDS))
                     loop.stop()
                 }
-                // Stands still once the request is out, until the answer is there and the time is over.
+                // Blocks the loop once the request is sent, until the response has arrived and the timeout has passed.
                 while (received.count > 0) yield()
                 loopBlocked.countDown()
                 responseSent.await()
@@ -79,13 +82,13 @@
         assertEquals(CallOutcome.Responded(200, "{}"), outcome)
     }
 
-    /** Guards the check where a call leaves: it waited for its place, or the process stood still, until it might not go any more. */
+    /** Guards the deadline check before sending: a call can pass its deadline while it waits for a permit or the process is paused. */
     @Test
-    fun `a call whose time to leave is over is never written`() {
+    fun `a call past its send deadline is never written`() {
         val loop = EventLoop()
         val scope = CoroutineScope(loop)
-        var lateOutcome: CallOutcome? = null
-        var timelyOutcome: CallOutcome? = null
+        var late: CallOutcome? = null
+        var timely: CallOutcome? = null
         val written = ArrayList<String>()
         ServerSocket(0, 1, InetAddress.getLoopbackAddress()).use { server ->
             thread(isDaemon = true) {
@@ -106,14 +109,14 @@
             val target = Endpoint("127.0.0.1", server.localPort)
             val now = System.nanoTime() / 1e9
             scope.launch {
-                lateOutcome = client.call(Effect.HttpCall(1, target, "GET", "/late", null, LONG_SECONDS, sendDeadline = now - 1))
-                timelyOutcome = client.call(Effect.HttpCall(2, target, "GET", "/in-time", null, LONG_SECONDS, sendDeadline = now + LONG_SECONDS))
+                late = client.call(Effect.HttpCall(1, target, "GET", "/late", null, LONG_SECONDS, sendDeadline = now - 1))
+                timely = client.call(Effect.HttpCall(2, target, "GET", "/in-time", null, LONG_SECONDS, sendDeadline = now + LONG_SECONDS))
                 loop.stop()
             }
             loop.run()
         }
-        assertEquals(CallOutcome.NotSent, lateOutcome)
-        assertEquals(CallOutcome.Responded(200, "{}"), timelyOutcome)
+        assertEquals(CallOutcome.NotSent, late)
+        assertEquals(CallOutcome.Responded(200, "{}"), timely)
         assertEquals(listOf("GET /in-time HTTP/1.1"), written)
     }
 
--- a/src/test/kotlin/burlridge/net/RequestHeadTest.kt
+++ b/src/test/kotlin/burlridge/net/RequestHeadTest.kt
@@ -5,7 +5,7 @@
 import org.junit.jupiter.api.Assertions.assertNull
 import org.junit.jupiter.api.Test
 
-/** A request is taken by its known head only where it is whole and nothing but the length of its body differs. */
+/** A request matches a known head only if it is complete and differs in nothing but its body and the body's length. */
 internal class RequestHeadTest {
     private fun request(
         body: String,
@@ -17,30 +17,30 @@
 
     private val head = checkNotNull(headOf(request("{}")))
 
-    private fun matchedBody(bytes: ByteArray): String? = head.bodyOffset(bytes).takeIf { it >= 0 }?.let { String(bytes, it, bytes.size - it) }
+    private fun bodyOf(bytes: ByteArray): String? = head.bodyOffset(bytes).takeIf { it >= 0 }?.let { String(bytes, it, bytes.size - it) }
 
     @Test
-    fun `a body of any length is found`() {
-        assertEquals("{}", matchedBody(request("{}")))
-        assertEquals("x".repeat(1234), matchedBody(request("x".repeat(1234))))
-        assertEquals("", matchedBody(request("")))
+    fun `a request with a body of any length matches`() {
+        assertEquals("{}", bodyOf(request("{}")))
+        assertEquals("x".repeat(1234), bodyOf(request("x".repeat(1234))))
+        assertEquals("", bodyOf(request("")))
     }
 
     @Test
-    fun `what is not whole, not alone or not the same is left to the parser`() {
-        assertNull(matchedBody(request("{}", length = "3")))
-        assertNull(matchedBody(request("{}", length = "1")))
-        assertNull(matchedBody(request("{}", length = "-2")))
-        assertNull(matchedBody(request("{}", length = "")))
-        assertNull(matchedBody(request("{}", length = "000002")))
-        assertNull(matchedBody(request("{}", extra = "Connection: close\r\n")))
-        assertNull(matchedBody(request("{}").copyOf(40)))
-        assertNull(matchedBody(ByteArray(0)))
-        assertNull(matchedBody(request("{}") + request("{}")))
+    fun `an incomplete, pipelined or different request does not match`() {
+        assertNull(bodyOf(request("{}", length = "3")))
+        assertNull(bodyOf(request("{}", length = "1")))
+        assertNull(bodyOf(request("{}", length = "-2")))
+        assertNull(bodyOf(request("{}", length = "")))
+        assertNull(bodyOf(request("{}", length = "000002")))
+        assertNull(bodyOf(request("{}", extra = "Connection: close\r\n")))
+        assertNull(bodyOf(request("{}").copyOf(40)))
+        assertNull(bodyOf(ByteArray(0)))
+        assertNull(bodyOf(request("{}") + request("{}")))
     }
 
     @Test
-    fun `only a plain head is remembered`() {
+    fun `only a head of the usual form is accepted`() {
         assertNull(headOf(request("{}", extra = "Transfer-Encoding: chunked\r\n")))
         assertNull(headOf(request("{}", extra = "Connection: close\r\n")))
         assertNull(headOf(request("{}", extra = "Content-Length: 2\r\n")))
@@ -49,7 +49,7 @@
     }
 
     @Test
-    fun `a request without a body matches to the last byte`() {
+    fun `a request without a body matches only if all bytes are equal`() {
         val probe = "GET /ready HTTP/1.1\r\nHost: a:1\r\n\r\n".encodeToByteArray()
         val ready = checkNotNull(RequestHead.of(probe, "GET", "/ready", 0))
         assertEquals(probe.size, ready.bodyOffset(probe))
