--- a/src/main/kotlin/burlridge/app/CommandLine.kt
+++ b/src/main/kotlin/burlridge/app/CommandLine.kt
@@ -116,7 +116,7 @@
         private const val DEFAULT_WAIT_SECONDS = "30"
         private val WAIT_SECONDS_RANGE = 0L..3600L
 
-        /** Parses [args]; returns [Invalid] if they are no valid command line. */
+        /** Parses [args]; returns [Invalid] if they are not a valid command line. */
         fun parse(args: List<String>): CommandLine =
             when (val command = args.firstOrNull()) {
                 null -> Invalid("a command is missing")
--- a/src/main/kotlin/burlridge/app/LeaderStateLoader.kt
+++ b/src/main/kotlin/burlridge/app/LeaderStateLoader.kt
@@ -98,7 +98,7 @@
         private const val RENTALS = "rental/"
         private const val RETRY_DELAY_SECONDS = 0.5
 
-        /** Returns the key prefixes of all rows that a new leader reads, [withBalance] including those of drains and moves. */
+        /** Returns the key prefixes of all rows that a new leader reads; [withBalance] adds those of drains and moves. */
         fun prefixes(withBalance: Boolean): List<String> =
             listOf(ActiveJobRow.KEY_PREFIX, ProgressCodec.KEY_PREFIX, AllocationBatchCodec.KEY_PREFIX, RENTALS) +
                 if (withBalance) Balance.PREFIXES else emptyList()
--- a/src/main/kotlin/burlridge/net/EventLoop.kt
+++ b/src/main/kotlin/burlridge/net/EventLoop.kt
@@ -86,7 +86,7 @@
     fun run() {
         while (!stopped) {
             // A bounded number per iteration, so that sockets, timers and urgent work are served however long the queue is.
-            var remaining = minOf(readyQueue.size, MAX_RUNNABLES_PER_TURN)
+            var remaining = minOf(readyQueue.size, MAX_RUNNABLES_PER_ITERATION)
             runUrgent()
             while (remaining-- > 0) {
                 readyQueue.removeFirst().run()
@@ -191,7 +191,7 @@
 
     private companion object {
         /** Maximum number of runnables, enough for a few requests, that run between two checks of sockets and timers. */
-        const val MAX_RUNNABLES_PER_TURN = 32
+        const val MAX_RUNNABLES_PER_ITERATION = 32
         const val READ_BUFFER_BYTES = 64 * 1024
         const val NANOS_PER_MILLI = 1_000_000L
         const val MAX_WAIT_MILLIS = 1_000L
