--- a/src/main/kotlin/burlridge/app/Main.kt
+++ b/src/main/kotlin/burlridge/app/Main.kt
@@ -7,7 +7,7 @@
 private const val EXIT_USAGE = 2
 private const val EXIT_REFUSED = 1
 
-/** Ends the process with one line on standard error. */
+/** Prints one line on standard error and exits. */
 internal fun fail(reason: String): Nothing {
     System.err.println("burlridge: $reason")
     exitProcess(EXIT_USAGE)
@@ -19,7 +19,7 @@
     println("settings of ${settings.member} are fine: ${settings.controllers} members; $gangs; at most $value bytes a value")
 }
 
-private fun administer(
+private fun runAdminCommand(
     files: SettingsFiles,
     request: AdminCommand.() -> String,
 ) {
@@ -35,7 +35,7 @@
     val file = File.createTempFile("burlridge", ".json")
     try {
         file.writeText(ClassArchiveTraining.settings())
-        // Through the command line of `serve`, so that its classes are in the archive as well.
+        // Goes through the command line of `serve`, so that its classes are in the archive as well.
         val serve = CommandLine.parse(listOf("serve", "--config", file.path)) as CommandLine.Serve
         Service(serve.files.read()).trainClassArchive()
     } finally {
@@ -47,7 +47,7 @@
 private fun configureLogging() {
     val level = System.getenv("LOG_LEVEL")?.lowercase()?.takeIf { it in setOf("error", "info", "debug") } ?: "info"
     System.setProperty("org.slf4j.simpleLogger.defaultLogLevel", level)
-    // Named here, so that the class path is not searched for a provider at every start.
+    // Set explicitly, so that the class path is not searched for a provider at every start.
     System.setProperty("slf4j.provider", "org.slf4j.simple.SimpleServiceProvider")
     System.setProperty("slf4j.internal.verbosity", "WARN")
 }
@@ -57,13 +57,13 @@
     configureLogging()
     when (val command = CommandLine.parse(args.toList())) {
         is CommandLine.Serve -> Service(command.files.read()).run()
-        is CommandLine.Status -> administer(command.files) { status() }
-        is CommandLine.Drain -> administer(command.files) { drain(command.member, command.waitSeconds) }
-        is CommandLine.DrainMachines -> administer(command.files) { drainMachines(command.target, command.forced) }
-        is CommandLine.Explain -> administer(command.files) { explain(command.subject) }
-        is CommandLine.UndrainMachines -> administer(command.files) { undrainMachines(command.target) }
+        is CommandLine.Status -> runAdminCommand(command.files) { status() }
+        is CommandLine.Drain -> runAdminCommand(command.files) { drain(command.member, command.waitSeconds) }
+        is CommandLine.DrainMachines -> runAdminCommand(command.files) { drainMachines(command.target, command.forced) }
+        is CommandLine.Explain -> runAdminCommand(command.files) { explain(command.subject) }
+        is CommandLine.UndrainMachines -> runAdminCommand(command.files) { undrainMachines(command.target) }
         is CommandLine.Check -> reportValidSettings(command.files.read())
-        CommandLine.Rehearse -> trainClassArchive()
+        CommandLine.TrainClassArchive -> trainClassArchive()
         CommandLine.Help -> println(HELP)
         CommandLine.Version -> println("burlridge version ${CommandLine::class.java.`package`.implementationVersion ?: "development"}")
         is CommandLine.Invalid -> fail("${command.reason}; see burlridge --help")
--- a/src/main/kotlin/burlridge/app/WarmUp.kt
+++ b/src/main/kotlin/burlridge/app/WarmUp.kt
@@ -9,8 +9,9 @@
 import com.fasterxml.jackson.databind.JsonNode
 
 /**
- * Steps another core for a few seconds of virtual time, with an outside that accepts everything, before the process reports ready. On a
- * fifth of a core the first submission, allocation and heartbeat of a cold JVM would take several tenths of a second each.
+ * Runs a separate [Controller] for a few seconds of virtual time before the process reports ready, with stubs that accept every
+ * request in place of the external systems. On a fifth of a CPU core, the first submission, allocation and heartbeat of a cold JVM would
+ * take several tenths of a second each.
  */
 internal class WarmUp(
     private val settings: Settings,
@@ -20,9 +21,9 @@
     private var revision = 1L
     private var nextId = 1L
     private var sequence = 1L
-    private val reported = Json.arr()
+    private val taskReports = Json.arr()
 
-    /** Counters of the core that was warmed up. */
+    /** Counters of the controller that the warm-up ran. */
     val counters: Map<String, Long> get() = core.counters
 
     /** Runs the warm-up. */
@@ -39,12 +40,12 @@
                 inputs += Input.Request(nextId++, "POST", "/agent/beat", "", Json.write(heartbeat()))
             }
             while (inputs.isNotEmpty()) {
-                core.step(inputs.removeFirst(), now, (now * MILLIS_PER_SECOND).toLong()).forEach { if (it is Effect.HttpCall) reply(it) }
+                core.step(inputs.removeFirst(), now, (now * MILLIS_PER_SECOND).toLong()).forEach { if (it is Effect.HttpCall) respond(it) }
             }
         }
     }
 
-    private fun reply(call: Effect.HttpCall) {
+    private fun respond(call: Effect.HttpCall) {
         val path = call.path.substringBefore('?')
         val status = if (call.method == "GET" && path.startsWith("/store/")) HttpStatus.NOT_FOUND else HttpStatus.OK
         val body =
@@ -65,17 +66,17 @@
 
                 path == "/rentals" -> """{"drovers":[$MACHINE],"truncated":false}"""
 
-                path == "/do" -> Json.write(execute(Json.parse(call.body.orEmpty())))
+                path == "/do" -> Json.write(executeCommand(Json.parse(call.body.orEmpty())))
 
-                // A watch stays open.
+                // A watch request stays open.
                 else -> return
             }
         inputs += Input.CallCompleted(call.callId, CallOutcome.Responded(status, body))
     }
 
-    private fun execute(command: JsonNode): JsonNode {
+    private fun executeCommand(command: JsonNode): JsonNode {
         command.path("orders").filter { it.path("verb").asText() == "run" }.forEach {
-            reported
+            taskReports
                 .addObject()
                 .put("piece", it.path("piece").asText())
                 .put("try", it.path("try").asInt())
@@ -95,7 +96,7 @@
             put("stint", 1)
             put("tally", sequence++)
             put("baton", FIRST_TOKEN)
-            set<JsonNode>("pieces", reported.deepCopy())
+            set<JsonNode>("pieces", taskReports.deepCopy())
         }
 
     private companion object {
