--- a/src/test/kotlin/burlridge/architecture/LogReferenceTest.kt
+++ b/src/test/kotlin/burlridge/architecture/LogReferenceTest.kt
@@ -8,7 +8,7 @@
 import kotlin.io.path.extension
 import kotlin.io.path.readText
 
-/** Holds the log lines of the core to `docs/operating.md`, where operators find what each event means and what to do. */
+/** Checks that `docs/operating.md`, where operators find what each event means and what to do, lists exactly the events that are logged. */
 internal class LogReferenceTest {
     private val logged: Set<String> =
         Files.walk(Path.of("src", "main", "kotlin")).use { files ->
@@ -29,14 +29,14 @@
         listOf(LOG_CALL, LOG_CONSTANT).flatMap { pattern -> pattern.findAll(source).map { it.groupValues[1] } }
 
     @Test
-    fun `every event of level info and above is documented, and no other`() {
+    fun `exactly the events of level info and above are documented`() {
         assertTrue(logged.size > 40, "found only ${logged.size} events")
         assertEquals(emptySet<String>(), logged - documented, "logged, not documented")
         assertEquals(emptySet<String>(), documented - logged, "documented, not logged")
     }
 
     private companion object {
-        /** The event of a line of the core or of the shells around it. */
+        /** The event of a log line, of the deterministic core or of the I/O code around it. */
         val LOG_CALL = Regex("""\b(?:context|log)\.(?:info|infoLimited|error)\(\s*(?:logLine\()?"([a-z][^"={]*?)(?: \w+=\{[^"]*)?"""")
 
         /** Events that are constants of an enum. */
--- a/src/test/kotlin/burlridge/architecture/PackageDependencyTest.kt
+++ b/src/test/kotlin/burlridge/architecture/PackageDependencyTest.kt
@@ -10,7 +10,7 @@
 import java.nio.file.Files
 import java.nio.file.Path
 
-/** Holds the packages to the directions that the table in `docs/architecture.md` allows. */
+/** Checks that packages depend on each other only in the directions that the table in `docs/architecture.md` allows. */
 internal class PackageDependencyTest {
     private val classes: JavaClasses =
         ClassFileImporter()
@@ -52,7 +52,7 @@
                 .flatMap { it.directDependenciesFromSelf }
                 .filter { it.targetClass.name.startsWith("$ROOT.") }
                 .filterNot { isAllowed(packageOf(it.originClass.name), packageOf(it.targetClass.name)) }
-        assertEquals(emptyList<String>(), forbidden.take(SHOWN).map { it.description }, "${forbidden.size} in all")
+        assertEquals(emptyList<String>(), forbidden.take(MAX_SHOWN).map { it.description }, "${forbidden.size} in total")
     }
 
     private fun isAllowed(
@@ -62,7 +62,7 @@
 
     private companion object {
         const val ROOT = "burlridge"
-        const val SHOWN = 10
+        const val MAX_SHOWN = 10
 
         /** A row such as "| `store` | key-value store client | `core`, `json` |". */
         val TABLE_ROW = Regex("""\| `([a-z]+)` \|[^|]*\|([^|]*)\|.*""")
--- a/src/test/kotlin/burlridge/simulation/AnswersTest.kt
+++ b/src/test/kotlin/burlridge/simulation/AnswersTest.kt
@@ -5,29 +5,35 @@
 import org.junit.jupiter.api.Assertions.assertTrue
 import org.junit.jupiter.api.Test
 
-/** No member tells a user anything older than what another has told, whoever asks what at which moment. */
+/**
+ * Checks that answers never go back: once a member has reported a state of a job, no member reports an older one, whatever users send and
+ * when.
+ */
 internal class AnswersTest {
     private val cluster = SimulatedCluster(17)
 
-    private fun verdict(vararg jobs: String) {
+    private fun assertFinishedWithoutViolations(vararg jobIds: String) {
         assertEquals(emptyList<String>(), cluster.invariants.broken, cluster.log.takeLast(30).joinToString("\n"))
-        assertEquals(emptyList<String>(), jobs.filterNot { cluster.invariants.finished(it) }, "not over")
+        assertEquals(emptyList<String>(), jobIds.filterNot { cluster.invariants.finished(it) }, "not finished")
     }
 
-    /** The transaction that ends a job is carried out, and its answer does not come for [seconds]; other members read the rows. */
-    private fun endsUnheard(
-        standing: String,
-        seconds: Double,
+    /**
+     * Executes the transaction that finishes a job but loses its answer, and cuts the leader off from the other members for [cutSeconds].
+     * Meanwhile all members are queried, and the submission is repeated.
+     */
+    private fun loseAnswerToFinish(
+        state: String,
+        cutSeconds: Double,
     ) {
         cluster.onCall = { _, call ->
-            val end = call.path == "/multi" && "\"over/" in call.body.orEmpty() && "\"$standing\"" in call.body.orEmpty()
-            if (!end || met > 0) {
+            val isFinish = call.path == "/multi" && "\"over/" in call.body.orEmpty() && "\"$state\"" in call.body.orEmpty()
+            if (!isFinish || lostAnswers > 0) {
                 CallFate.FINE
             } else {
-                met++
+                lostAnswers++
                 val leader = cluster.leader()
-                cluster.members.forEach { if (it != leader && leader != null) cluster.cut(it, leader, seconds) }
-                // Each member in turn, again and again: those cut off go by the rows, the leader by its own picture.
+                cluster.members.forEach { if (it != leader && leader != null) cluster.cut(it, leader, cutSeconds) }
+                // Queries each member repeatedly: those cut off answer from the rows, the leader from its own state.
                 repeat(40) { i -> cluster.members.forEach { m -> cluster.clock.after(0.05 * i) { cluster.look(job, m) } } }
                 repeat(5) { i -> cluster.members.forEach { m -> cluster.clock.after(0.3 * i) { cluster.submitOnce(job, m) } } }
                 CallFate.ANSWER_LOST
@@ -35,66 +41,72 @@
         }
     }
 
-    private var met = 0
+    private var lostAnswers = 0
     private val job = cluster.job(1, 2, runSeconds = 20.0)
 
-    /** Guards the doubt about an end whose transaction is under way: its leader said `running` of a job that others called over. */
+    /**
+     * Guards the check for an in-flight transaction that finishes a job: a leader reported the job as `running` that others reported as
+     * finished.
+     */
     @Test
-    fun `a cancellation of which only the answer is lost is not called running by its leader`() {
-        endsUnheard("withdrawn", 4.0)
+    fun `a leader does not report a cancelled job as running when only the answer to its transaction is lost`() {
+        loseAnswerToFinish("withdrawn", 4.0)
         cluster.clock.after(5.0) { cluster.submit(job) }
         cluster.clock.after(25.0) { cluster.abort(job) }
         cluster.run(90.0)
-        assertEquals(1, met)
-        verdict(job.id)
+        assertEquals(1, lostAnswers)
+        assertFinishedWithoutViolations(job.id)
     }
 
     @Test
-    fun `an end of which only the answer is lost is not called running by its leader`() {
-        endsUnheard("done", 4.0)
+    fun `a leader does not report a completed job as running when only the answer to its transaction is lost`() {
+        loseAnswerToFinish("done", 4.0)
         cluster.clock.after(5.0) { cluster.submit(job) }
         cluster.run(90.0)
-        assertEquals(1, met)
-        verdict(job.id)
+        assertEquals(1, lostAnswers)
+        assertFinishedWithoutViolations(job.id)
     }
 
-    private fun load(
-        every: Double,
+    private fun submitJobs(
+        intervalSeconds: Double,
         count: Int,
     ): List<String> =
         (0 until count).map { i ->
             val spec = cluster.job(100 + i, 1 + i % 2, runSeconds = 2.0 + i % 5)
             val abortAfter = if (i % 3 == 0) 0.02 + (i % 11) * 0.9 else null
-            cluster.clock.after(20.0 + every * i) { cluster.submit(spec, abortAfter) }
+            cluster.clock.after(20.0 + intervalSeconds * i) { cluster.submit(spec, abortAfter) }
             spec.id
         }
 
     @Test
-    fun `close looks at all members while answers of the state service are lost and leaders change`() {
+    fun `answers of all members are consistent while answers of the state service are lost and leaders change`() {
         cluster.closeLooks = true
         cluster.onCall = { _, call -> if (call.path == "/multi" && cluster.random.nextInt(4) == 0) CallFate.ANSWER_LOST else CallFate.FINE }
-        val jobs = load(1.0, 70)
+        val jobs = submitJobs(1.0, 70)
         repeat(6) { i -> cluster.clock.after(30.0 + 10 * i) { cluster.leader()?.let { cluster.crash(it, 0.3) } } }
         cluster.clock.after(110.0) { cluster.onCall = { _, _ -> CallFate.FINE } }
         cluster.run(200.0)
-        verdict(*jobs.toTypedArray())
+        assertFinishedWithoutViolations(*jobs.toTypedArray())
     }
 
-    /** Guards the stamp under which progress is written, and every other row: what comes late must meet a row that is newer. */
+    /**
+     * Guards the revision conditions under which progress rows and all others are written: a late transaction must find a newer row and
+     * fail.
+     */
     @Test
-    fun `close looks at all members while transactions are carried out late, after newer ones`() {
+    fun `answers of all members are consistent while transactions are executed late, after newer ones`() {
         cluster.closeLooks = true
         cluster.lateSeconds = 12.0
         cluster.onCall = { _, call -> if (call.path == "/multi" && cluster.random.nextInt(5) == 0) CallFate.LATE else CallFate.FINE }
-        val jobs = load(1.0, 60)
+        val jobs = submitJobs(1.0, 60)
         repeat(3) { i -> cluster.clock.after(35.0 + 17 * i) { cluster.leader()?.let { cluster.crash(it, 1.0) } } }
         cluster.clock.after(110.0) { cluster.onCall = { _, _ -> CallFate.FINE } }
         cluster.run(220.0)
-        verdict(*jobs.toTypedArray())
+        assertFinishedWithoutViolations(*jobs.toTypedArray())
     }
 
     @Test
-    fun `a cancellation, a question and a repeated submission meet the end of the last task`() {
+    fun `answers are consistent when cancellations, queries and repeated submissions coincide with the end of a job`() {
         cluster.closeLooks = true
         val jobs =
             (0 until 40).map { i ->
@@ -103,11 +115,11 @@
                 spec.id
             }
         cluster.run(120.0)
-        verdict(*jobs.toTypedArray())
+        assertFinishedWithoutViolations(*jobs.toTypedArray())
     }
 
     @Test
-    fun `a job is cancelled at another member the moment it was accepted, and its submission repeated`() {
+    fun `answers are consistent when a job is cancelled right after its acceptance and its submission is repeated`() {
         cluster.closeLooks = true
         val jobs =
             (0 until 30).map { i ->
@@ -117,14 +129,17 @@
                 spec.id
             }
         cluster.run(120.0)
-        verdict(*jobs.toTypedArray())
+        assertFinishedWithoutViolations(*jobs.toTypedArray())
     }
 
-    /** Guards the numbers of questions between members: a reply to a member's former self named another job. */
+    /**
+     * Guards the ids of requests between members: after a restart, a response to a request of the previous process was taken for the
+     * response to a new one, and named another job.
+     */
     @Test
-    fun `a member back at once takes no reply that its former self had asked for`() {
+    fun `a member that restarts at once ignores responses to requests of its previous process`() {
         cluster.peerSeconds = { if (cluster.random.nextInt(3) == 0) 0.4 else 0.001 }
-        val jobs = load(0.5, 80)
+        val jobs = submitJobs(0.5, 80)
         repeat(150) { i ->
             cluster.clock.after(22.0 + 0.31 * i) {
                 val member = cluster.members.first { it != cluster.leader() }
@@ -134,10 +149,13 @@
         }
         cluster.run(150.0)
         assertTrue(cluster.invariants.starts > 0)
-        verdict(*jobs.toTypedArray())
+        assertFinishedWithoutViolations(*jobs.toTypedArray())
     }
 
-    /** Guards the members' memory of what was accepted: a repeat was tried as a write, and writes are what all share least of. */
+    /**
+     * Guards the members' record of accepted jobs: without it a repeated submission attempted a write, and writes are the scarcest resource
+     * that all members share.
+     */
     @Test
     fun `a submission repeated at every member costs no write`() {
         cluster.clock.after(5.0) { cluster.submit(job) }
@@ -147,6 +165,6 @@
             cluster.clock.after(2.0) { assertTrue(cluster.state.writes - before < 10, "${cluster.state.writes - before} writes") }
         }
         cluster.run(80.0)
-        verdict(job.id)
+        assertFinishedWithoutViolations(job.id)
     }
 }
--- a/src/test/kotlin/burlridge/simulation/FailureTest.kt
+++ b/src/test/kotlin/burlridge/simulation/FailureTest.kt
@@ -5,175 +5,191 @@
 import org.junit.jupiter.api.Assertions.assertTrue
 import org.junit.jupiter.api.Test
 
-/** One failure at a time, each at its worst moment. */
+/** Tests one failure at a time, each at the worst moment for it. */
 internal class FailureTest {
     private val cluster = SimulatedCluster(7)
 
-    /** The first call that [matches] meets [fate]; everything else goes well. */
-    private fun once(
+    /**
+     * Applies [fate] to the first call that [matches]; all others succeed. Returns a function that returns the number of calls affected, 0
+     * or 1.
+     */
+    private fun applyOnce(
         fate: CallFate,
         matches: (String, String) -> Boolean,
     ): () -> Int {
-        var met = 0
+        var affectedCalls = 0
         cluster.onCall = { _, call ->
-            if (met == 0 && matches(call.path, call.body.orEmpty())) {
-                met++
+            if (affectedCalls == 0 && matches(call.path, call.body.orEmpty())) {
+                affectedCalls++
                 fate
             } else {
                 CallFate.FINE
             }
         }
-        return { met }
+        return { affectedCalls }
     }
 
-    private fun verdict(vararg jobs: String) {
+    private fun assertFinishedWithoutViolations(vararg jobIds: String) {
         assertEquals(emptyList<String>(), cluster.invariants.broken)
-        assertEquals(emptyList<String>(), jobs.filterNot { cluster.invariants.finished(it) }, "not over")
+        assertEquals(emptyList<String>(), jobIds.filterNot { cluster.invariants.finished(it) }, "not finished")
     }
 
-    private fun threeTasks(until: Double = 120.0) {
+    private fun runThreeTasks(until: Double = 120.0) {
         cluster.clock.after(5.0) { cluster.submit(cluster.job(1, 3)) }
         cluster.run(until)
-        verdict("j-000001")
+        assertFinishedWithoutViolations("j-000001")
     }
 
     @Test
-    fun `a command is executed and its answer lost, and no task starts twice`() {
-        val met = once(CallFate.ANSWER_LOST) { path, body -> path == "/do" && "run" in body }
-        threeTasks()
-        assertEquals(1, met())
+    fun `no task starts twice when a start command is executed but its answer is lost`() {
+        val affectedCalls = applyOnce(CallFate.ANSWER_LOST) { path, body -> path == "/do" && "run" in body }
+        runThreeTasks()
+        assertEquals(1, affectedCalls())
         assertEquals(3, cluster.invariants.starts)
     }
 
     @Test
-    fun `a command held back for long is void when it arrives`() {
-        val met = once(CallFate.LATE) { path, body -> path == "/do" && "run" in body }
-        threeTasks()
-        assertEquals(1, met())
+    fun `a start command that arrives late is not executed`() {
+        val affectedCalls = applyOnce(CallFate.LATE) { path, body -> path == "/do" && "run" in body }
+        runThreeTasks()
+        assertEquals(1, affectedCalls())
         assertEquals(3, cluster.invariants.starts)
     }
 
     @Test
-    fun `a claim whose answer is lost is found to be ours`() {
-        val met = once(CallFate.ANSWER_LOST) { path, body -> path == "/multi" && "round/" in body }
-        threeTasks()
-        assertEquals(1, met())
+    fun `an allocation batch whose answer is lost is recognized as the leader's own`() {
+        val affectedCalls = applyOnce(CallFate.ANSWER_LOST) { path, body -> path == "/multi" && "round/" in body }
+        runThreeTasks()
+        assertEquals(1, affectedCalls())
         assertEquals(3, cluster.invariants.starts)
     }
 
     @Test
-    fun `a claim that is applied late changes nothing`() {
-        val met = once(CallFate.LATE) { path, body -> path == "/multi" && "round/" in body }
-        threeTasks()
-        assertEquals(1, met())
+    fun `an allocation batch that is applied late changes nothing`() {
+        val affectedCalls = applyOnce(CallFate.LATE) { path, body -> path == "/multi" && "round/" in body }
+        runThreeTasks()
+        assertEquals(1, affectedCalls())
         assertEquals(3, cluster.invariants.starts)
     }
 
     @Test
-    fun `a rental executed late brings machines that are used or returned`() {
-        val met = once(CallFate.LATE) { path, _ -> path == "/rentals" }
-        threeTasks(240.0)
-        assertEquals(1, met())
+    fun `machines of a rental that is executed late are used or returned`() {
+        val affectedCalls = applyOnce(CallFate.LATE) { path, _ -> path == "/rentals" }
+        runThreeTasks(240.0)
+        assertEquals(1, affectedCalls())
     }
 
     @Test
-    fun `a leader that cannot boot any machine keeps to one plan step at a time`() {
+    fun `a leader whose machines do not boot does not rent again before they are overdue`() {
         cluster.cloud.silentBoots = true
         cluster.clock.after(5.0) { cluster.submit(cluster.job(1, 3)) }
         cluster.run(25.0)
         assertTrue(
             cluster.cloud.requests.size <= 2,
-            "rented again before a boot could be told from a lagging list: ${cluster.cloud.requests}",
+            "rented again before a failed boot could be distinguished from a lagging list: ${cluster.cloud.requests}",
         )
         cluster.cloud.silentBoots = false
         cluster.run(240.0)
-        verdict("j-000001")
+        assertFinishedWithoutViolations("j-000001")
     }
 
     @Test
-    fun `a leader cut from the state service gives way, and its workers keep their tasks`() {
+    fun `workers keep their tasks when a leader that is cut off from the state service steps down`() {
         cluster.clock.after(5.0) { cluster.submit(cluster.job(1, 3, runSeconds = 40.0)) }
         cluster.clock.after(30.0) { cluster.leader()?.let { cluster.cut(it, "state", 60.0) } }
         cluster.run(150.0)
-        verdict("j-000001")
+        assertFinishedWithoutViolations("j-000001")
         assertEquals(3, cluster.invariants.starts)
     }
 
-    /** Guards the zone kept with a claim: a new leader has heard of no machine when it places the rest of the job. */
+    /**
+     * Guards the zone stored with an allocation: a new leader has received no heartbeat of any machine yet when it places the rest of the
+     * job.
+     */
     @Test
-    fun `a spread job stays spread when its leader dies half way`() {
+    fun `a spread job stays spread when its leader crashes after it has placed some of the tasks`() {
         repeat(6) { i -> cluster.clock.after(5.0 + i) { cluster.submit(cluster.job(i, 10, cpus = 2.0, spread = true, runSeconds = 20.0)) } }
         repeat(6) { i -> cluster.clock.after(20.0 + 7 * i) { cluster.leader()?.let { cluster.crash(it, 2.0) } } }
         cluster.run(300.0)
-        verdict("j-000000", "j-000005")
+        assertFinishedWithoutViolations("j-000000", "j-000005")
     }
 
     @Test
-    fun `a withdrawal races the start and the end of its job`() {
+    fun `jobs that are cancelled at any moment from submission to completion reach a final state`() {
         repeat(40) { i -> cluster.clock.after(20.0 + i) { cluster.submit(cluster.job(i, 2, runSeconds = 2.0), abortAfter = i * 0.15) } }
         cluster.run(150.0)
-        verdict(*Array(40) { "j-%06d".format(it) })
+        assertFinishedWithoutViolations(*Array(40) { "j-%06d".format(it) })
     }
 
     @Test
-    fun `every controller dies at once, and accepted jobs run on`() {
+    fun `accepted jobs keep running when all controllers crash at once`() {
         repeat(5) { i -> cluster.clock.after(5.0 + i) { cluster.submit(cluster.job(i, 4, runSeconds = 30.0)) } }
         cluster.clock.after(30.0) { cluster.members.forEach { cluster.crash(it, 6.0) } }
         cluster.run(200.0)
-        verdict("j-000000", "j-000004")
+        assertFinishedWithoutViolations("j-000000", "j-000004")
         assertEquals(20, cluster.invariants.starts)
     }
 
     @Test
-    fun `tasks outlive an outage of the state service`() {
+    fun `tasks keep running during an outage of the state service`() {
         cluster.clock.after(5.0) { cluster.submit(cluster.job(1, 3, runSeconds = 45.0)) }
         cluster.clock.after(28.0) { cluster.state.outage(20.0) }
         cluster.run(150.0)
-        verdict("j-000001")
+        assertFinishedWithoutViolations("j-000001")
         assertEquals(3, cluster.invariants.starts)
     }
 
-    /** Guards the relay: without it the workers' leases lapse on the way between a leader out of reach and the others. */
+    /**
+     * Guards the relay: without it the leases of workers that cannot reach the leader expire while they alternate between it and the other
+     * members.
+     */
     @Test
-    fun `workers that cannot reach the leader are relayed to it`() {
+    fun `heartbeats of workers that cannot reach the leader are relayed to it`() {
         cluster.clock.after(5.0) { cluster.submit(cluster.job(1, 3, runSeconds = 60.0)) }
         cluster.clock.after(30.0) {
             val leader = cluster.leader() ?: return@after
             cluster.cloud.names().forEach { cluster.cut(it, leader, 50.0) }
         }
         cluster.run(200.0)
-        verdict("j-000001")
+        assertFinishedWithoutViolations("j-000001")
         assertEquals(3, cluster.invariants.starts)
     }
 
-    /** Guards the leader's word that it hears nobody in a zone: each worker would go to it and back before it is relayed. */
+    /**
+     * Guards the leader's report that it receives no heartbeats from a zone: without it each worker would be redirected to the leader and
+     * come back before it is relayed.
+     */
     @Test
-    fun `a zone apart is relayed as soon as its leader misses it, and goes straight again afterwards`() {
-        val many = SimulatedCluster(8, types = mapOf("small" to MachineTypeSpec(4.0, 16.0, 20)), guaranteed = 0.0)
-        var passed = 0
-        many.clock.after(40.0) {
-            val leader = many.leader() ?: return@after
-            val apart = many.cloud.names().filter { many.cloud.worker(it)?.zone == "b" }
-            apart.forEach { many.cut(it, leader, 30.0) }
-            many.onAsk = { path -> if (path == "/agent/beat" && passed++ == 0) many.log += "%8.3f first relayed".format(many.clock.now) }
+    fun `workers of a partitioned zone are relayed once the leader misses them, and reach it directly afterwards`() {
+        val largeCluster = SimulatedCluster(8, types = mapOf("small" to MachineTypeSpec(4.0, 16.0, 20)), guaranteed = 0.0)
+        var relayed = 0
+        largeCluster.clock.after(40.0) {
+            val leader = largeCluster.leader() ?: return@after
+            val partitionedMachines = largeCluster.cloud.names().filter { largeCluster.cloud.worker(it)?.zone == "b" }
+            partitionedMachines.forEach { largeCluster.cut(it, leader, 30.0) }
+            largeCluster.onAsk = { path ->
+                if (path == "/agent/beat" && relayed++ == 0) largeCluster.log += "%8.3f first relayed".format(largeCluster.clock.now)
+            }
         }
-        many.run(100.0)
-        val first =
-            many.log
+        largeCluster.run(100.0)
+        val firstRelayedAt =
+            largeCluster.log
                 .first { "first relayed" in it }
                 .take(8)
                 .trim()
                 .toDouble()
-        // A report that no answer came to takes four seconds and one more.
-        assertTrue(first < 40.0 + 5.0 + many.reportSeconds, "first relayed at $first")
-        val passedByThen = passed
-        many.run(120.0)
-        assertTrue(passedByThen > 0 && passed - passedByThen < 20, "still relayed: ${passed - passedByThen}")
+        // An unanswered heartbeat times out after four seconds, and the next one is sent one second later.
+        assertTrue(firstRelayedAt < 40.0 + 5.0 + largeCluster.reportSeconds, "first relayed at $firstRelayedAt")
+        val relayedByThen = relayed
+        largeCluster.run(120.0)
+        assertTrue(relayedByThen > 0 && relayed - relayedByThen < 20, "still relayed: ${relayed - relayedByThen}")
     }
 
-    /** Guards the question to a machine that is overdue: by its lease alone its tasks stood still three times as long. */
+    /**
+     * Guards the query to a machine whose heartbeat is overdue: by waiting for its lease alone, its tasks stood still three times as long.
+     */
     @Test
-    fun `a dead machine is asked, returned and its tasks run elsewhere`() {
+    fun `a dead machine is queried and returned, and its tasks run elsewhere`() {
         cluster.clock.after(5.0) { cluster.submit(cluster.job(1, 8, runSeconds = 60.0)) }
         cluster.clock.after(40.0) {
             cluster.cloud
@@ -182,21 +198,24 @@
                 .forEach { cluster.cloud.worker(it)?.kill() }
         }
         cluster.run(150.0)
-        verdict("j-000001")
-        val returned =
+        assertFinishedWithoutViolations("j-000001")
+        val returnedAt =
             cluster.log
                 .first { "machine silent and unreachable, returning it" in it }
                 .take(8)
                 .trim()
                 .toDouble()
-        assertTrue(returned < 40.0 + cluster.leaseSeconds / 2, "returned at $returned")
+        assertTrue(returnedAt < 40.0 + cluster.leaseSeconds / 2, "returned at $returnedAt")
     }
 
-    /** Guards the machines that only a dead leader's claims name: no report and no list will ever speak of them again. */
+    /**
+     * Guards the removal of machines that are known only from the allocations of a crashed leader: no heartbeat and no list will ever
+     * contain them again.
+     */
     @Test
-    fun `machines that end together with the leader are known to be gone`() {
+    fun `machines that end together with the leader are removed by the next leader`() {
         cluster.clock.after(5.0) { cluster.submit(cluster.job(1, 8, runSeconds = 60.0)) }
-        // The old leader never hears of it: the cloud is out of its reach until it dies.
+        // The old leader does not learn of it: it cannot reach the cloud until it crashes.
         cluster.clock.after(40.0) {
             cluster.leader()?.let { cluster.cut(it, "cloud", 60.0) }
             cluster.cloud
@@ -206,59 +225,64 @@
         }
         cluster.clock.after(48.0) { cluster.leader()?.let { cluster.crash(it, 5.0) } }
         cluster.run(200.0)
-        verdict("j-000001")
-        val gone =
+        assertFinishedWithoutViolations("j-000001")
+        val removedAt =
             cluster.log
                 .first { "machine gone" in it && "reason=not_listed" in it }
                 .take(8)
                 .trim()
                 .toDouble()
-        assertTrue(gone < 48.0 + cluster.leaseSeconds, "gone at $gone")
+        assertTrue(removedAt < 48.0 + cluster.leaseSeconds, "removed at $removedAt")
     }
 
-    /** Guards the record of who has led: waiting for a member that never led cost the old leader's whole bound and a lease. */
+    /**
+     * Guards the record of former leaders: waiting for a member that never led took the whole answer window of an old leader and a lease.
+     */
     @Test
-    fun `a new leader waits only for those who led before`() {
+    fun `a new leader waits only for members that led before`() {
         cluster.clock.after(5.0) { cluster.submit(cluster.job(1, 8, runSeconds = 60.0, zone = "b")) }
         cluster.clock.after(35.0) {
-            val never = cluster.members.first { it != cluster.leader() }
-            (cluster.members + "state").forEach { if (it != never) cluster.cut(never, it, 100.0) }
-            val apart = cluster.cloud.names().filter { cluster.cloud.worker(it)?.zone == "b" }
-            apart.forEach { machine -> cluster.members.forEach { cluster.cut(machine, it, 100.0) } }
+            val neverLeader = cluster.members.first { it != cluster.leader() }
+            (cluster.members + "state").forEach { if (it != neverLeader) cluster.cut(neverLeader, it, 100.0) }
+            val partitionedMachines = cluster.cloud.names().filter { cluster.cloud.worker(it)?.zone == "b" }
+            partitionedMachines.forEach { machine -> cluster.members.forEach { cluster.cut(machine, it, 100.0) } }
         }
         cluster.clock.after(40.0) { cluster.leader()?.let { cluster.crash(it, 3.0) } }
         cluster.run(250.0)
-        verdict("j-000001")
+        assertFinishedWithoutViolations("j-000001")
         val leaseExpired =
             cluster.log
                 .filter { "task lost" in it && "reason=lease_expired" in it }
                 .map { it.take(8).trim().toDouble() }
-        assertTrue(leaseExpired.isNotEmpty() && leaseExpired.all { it < 45.0 + cluster.leaseSeconds * 1.1 }, "lapsed at $leaseExpired")
+        assertTrue(leaseExpired.isNotEmpty() && leaseExpired.all { it < 45.0 + cluster.leaseSeconds * 1.1 }, "expired at $leaseExpired")
     }
 
-    /** Guards rentals by the hundred: one call of fifty a second kept hundreds of lost machines' tasks waiting for the last. */
+    /**
+     * Guards concurrent rental calls: with one call of fifty machines a second, the tasks of hundreds of lost machines waited for the last
+     * call.
+     */
     @Test
-    fun `what is needed by the hundred is rented within a plan or two`() {
-        val many = SimulatedCluster(9, types = mapOf("small" to MachineTypeSpec(4.0, 16.0, 150)))
-        many.clock.after(20.0) { many.submit(many.job(1, 250, cpus = 4.0, runSeconds = 20.0)) }
-        many.run(23.0)
-        assertTrue(many.cloud.names().size >= 250, "${many.cloud.names().size} machines after three seconds")
+    fun `hundreds of machines are rented within three seconds`() {
+        val largeCluster = SimulatedCluster(9, types = mapOf("small" to MachineTypeSpec(4.0, 16.0, 150)))
+        largeCluster.clock.after(20.0) { largeCluster.submit(largeCluster.job(1, 250, cpus = 4.0, runSeconds = 20.0)) }
+        largeCluster.run(23.0)
+        assertTrue(largeCluster.cloud.names().size >= 250, "${largeCluster.cloud.names().size} machines after three seconds")
     }
 
-    /** Guards the headroom of a lane: it was paid for long after the lane's last job. */
+    /** Guards the headroom of a job class: it was paid for long after the last job of the class. */
     @Test
-    fun `room is kept while jobs of a lane come, and given back when none do`() {
+    fun `headroom is kept while jobs of a class arrive, and returned when they stop`() {
         repeat(20) { i -> cluster.clock.after(5.0 + 3 * i) { cluster.submit(cluster.job(i, 3, runSeconds = 4.0)) } }
         cluster.run(62.0)
         assertTrue(cluster.cloud.names().isNotEmpty())
         cluster.run(230.0)
-        verdict("j-000000", "j-000019")
+        assertFinishedWithoutViolations("j-000000", "j-000019")
         assertEquals(emptyList<String>(), cluster.cloud.names())
     }
 
-    /** Guards the comparison of runs: without it the job waits for the slow machines' tasks. */
+    /** Guards the comparison of run times: without it the job waits for the tasks on slow machines. */
     @Test
-    fun `slow machines are found out by others on the same work, and left`() {
+    fun `a machine that is slower than others with tasks of the same job is detected and evicted`() {
         cluster.clock.after(5.0) { cluster.submit(cluster.job(1, 2, runSeconds = 2.0)) }
         cluster.clock.after(30.0) {
             cluster.cloud
@@ -268,12 +292,12 @@
         }
         cluster.clock.after(40.0) { cluster.submit(cluster.job(2, 24, runSeconds = 20.0)) }
         cluster.run(150.0)
-        verdict("j-000002")
+        assertFinishedWithoutViolations("j-000002")
         assertTrue(cluster.log.any { "straggler machine evicted" in it })
     }
 
     @Test
-    fun `rounds and progress leave no rows behind`() {
+    fun `finished jobs leave no allocation, progress, job or rental rows behind`() {
         repeat(8) { i -> cluster.clock.after(5.0 + i) { cluster.submit(cluster.job(i, 5)) } }
         cluster.run(150.0)
         assertEquals(
--- a/src/test/kotlin/burlridge/simulation/GangTest.kt
+++ b/src/test/kotlin/burlridge/simulation/GangTest.kt
@@ -5,28 +5,28 @@
 import org.junit.jupiter.api.Assertions.assertTrue
 import org.junit.jupiter.api.Test
 
-/** Gangs in the whole service, in virtual time: what befalls one task at each of its phases befalls the attempt. */
+/** Tests gangs in the whole simulated service: a failure of one task, in any of its phases, fails the attempt of the whole gang. */
 internal class GangTest {
     private val cluster = SimulatedCluster(21, guaranteed = 0.0)
 
-    private fun verdict(vararg jobs: String) {
+    private fun assertFinishedWithoutViolations(vararg jobIds: String) {
         assertEquals(emptyList<String>(), cluster.invariants.broken, cluster.log.takeLast(40).joinToString("\n"))
         assertEquals(
             emptyList<String>(),
-            jobs.filterNot { cluster.invariants.finished(it) },
-            "not over:\n" + cluster.log.takeLast(40).joinToString("\n"),
+            jobIds.filterNot { cluster.invariants.finished(it) },
+            "not finished:\n" + cluster.log.takeLast(40).joinToString("\n"),
         )
     }
 
-    private fun begun(job: String): List<Int> =
+    private fun startedAttempts(job: String): List<Int> =
         cluster.gangBarrier.begun
             .filter { it.first == job }
             .map { it.second }
 
     private fun at(
         seconds: Double,
-        work: () -> Unit,
-    ) = cluster.clock.after(seconds, work)
+        action: () -> Unit,
+    ) = cluster.clock.after(seconds, action)
 
     /** The machines that run tasks of [job]. */
     private fun machinesOf(
@@ -35,55 +35,58 @@
     ): List<String> = cluster.cloud.names().filter { name -> (0 until tasks).any { cluster.cloud.worker(name)?.has("$job/$it") == true } }
 
     @Test
-    fun `a gang starts together, once, and completes together`() {
+    fun `all tasks of a gang start together, once, and complete together`() {
         at(25.0) { cluster.submit(cluster.gang(1, 6)) }
         cluster.run(80.0)
-        verdict("j-000001")
-        assertEquals(listOf(1), begun("j-000001"))
+        assertFinishedWithoutViolations("j-000001")
+        assertEquals(listOf(1), startedAttempts("j-000001"))
         assertEquals(6, cluster.invariants.starts)
     }
 
     @Test
-    fun `a gang that loses a machine while it runs goes on from its checkpoint under the next number`() {
+    fun `a gang that loses a machine while it runs resumes from its checkpoint in the next attempt`() {
         at(25.0) { cluster.submit(cluster.gang(1, 20, cpus = 2.0, runSeconds = 30.0)) }
         at(45.0) { cluster.cloud.worker(machinesOf("j-000001", 20).first())?.kill() }
         cluster.run(140.0)
-        verdict("j-000001")
-        assertEquals(listOf(1, 2), begun("j-000001"))
+        assertFinishedWithoutViolations("j-000001")
+        assertEquals(listOf(1, 2), startedAttempts("j-000001"))
         assertTrue(cluster.gangBarrier.progress("j-000001") >= 10.0, "progress ${cluster.gangBarrier.progress("j-000001")}")
     }
 
     @Test
-    fun `a gang that loses a machine while it gathers is tried anew`() {
+    fun `a gang that loses a machine while its tasks wait for each other is started in a new attempt`() {
         at(25.0) { cluster.submit(cluster.gang(1, 20, cpus = 2.0)) }
         at(26.0) { cluster.cloud.worker(machinesOf("j-000001", 20).last())?.kill() }
         cluster.run(140.0)
-        verdict("j-000001")
-        assertEquals(listOf(2), begun("j-000001"))
-        // Those that gather are stopped at once, long before they give up by themselves.
+        assertFinishedWithoutViolations("j-000001")
+        assertEquals(listOf(2), startedAttempts("j-000001"))
+        // The waiting tasks are stopped at once, long before they time out by themselves.
         assertTrue(
             cluster.gangBarrier.begun
                 .single()
                 .third < 25.0 + cluster.gangWaitSeconds,
-            "begun at ${cluster.gangBarrier.begun}",
+            "started at ${cluster.gangBarrier.begun}",
         )
     }
 
-    /** A command of unknown outcome: the others wait in vain, and the late start must not count for the next attempt. */
+    /**
+     * Guards against a late start command: while its outcome is unknown, the other tasks wait in vain, and it must not count as a start of
+     * the next attempt.
+     */
     @Test
-    fun `a start held back until after the next attempt is void`() {
-        var met = 0
+    fun `a start command that arrives after its gang attempt has ended is ignored`() {
+        var startCommands = 0
         cluster.lateSeconds = 60.0
         cluster.onCall =
-            { _, call -> if (call.path == "/do" && "run" in call.body.orEmpty() && met++ == 0) CallFate.LATE else CallFate.FINE }
+            { _, call -> if (call.path == "/do" && "run" in call.body.orEmpty() && startCommands++ == 0) CallFate.LATE else CallFate.FINE }
         at(25.0) { cluster.submit(cluster.gang(1, 20, cpus = 2.0)) }
         cluster.run(200.0)
-        verdict("j-000001")
-        assertTrue(met > 0)
-        assertEquals(1, begun("j-000001").size)
+        assertFinishedWithoutViolations("j-000001")
+        assertTrue(startCommands > 0)
+        assertEquals(1, startedAttempts("j-000001").size)
     }
 
-    /** Guards the whole plan for a gang: two that each fit alone must not hold halves of the room. */
+    /** Guards the placement of a gang as a whole: two gangs that each fit alone must not each hold half of the capacity. */
     @Test
     fun `two gangs that fit alone but not together run one after the other`() {
         val small = SimulatedCluster(22, types = mapOf("small" to MachineTypeSpec(4.0, 16.0, 3)), guaranteed = 0.0)
@@ -97,32 +100,32 @@
         assertEquals(2, small.gangBarrier.begun.size)
     }
 
-    /** Guards the room that is kept for a gang that finds too little: single tasks would take each place as it falls free. */
+    /** Guards the capacity withheld for a gang that does not fit yet: single tasks would take each part of it that becomes free. */
     @Test
-    fun `small work passing by does not starve a large gang`() {
+    fun `a steady load of small jobs does not starve a large gang`() {
         val small = SimulatedCluster(23, types = mapOf("small" to MachineTypeSpec(4.0, 16.0, 4)), guaranteed = 0.0)
         repeat(300) { i -> small.clock.after(20.0 + 0.7 * i) { small.submit(small.job(100 + i, 7, runSeconds = 12.0, jobClass = "bulk")) } }
         small.clock.after(40.0) { small.submit(small.gang(1, 16)) }
         small.run(220.0)
         assertEquals(emptyList<String>(), small.invariants.broken)
-        assertTrue(small.invariants.firstStart("j-000001") in 0.0..200.0, "began at ${small.invariants.firstStart("j-000001")}")
+        assertTrue(small.invariants.firstStart("j-000001") in 0.0..200.0, "started at ${small.invariants.firstStart("j-000001")}")
     }
 
-    /** Guards everyone else from a gang that fits no zone: the room kept for it would never be used. */
+    /** Guards other jobs against a gang that fits into no zone: the capacity withheld for it would never be used. */
     @Test
-    fun `a gang that there will never be room for blocks nobody`() {
+    fun `a gang that can never be placed blocks no other job`() {
         val small = SimulatedCluster(23, types = mapOf("small" to MachineTypeSpec(4.0, 16.0, 4)), guaranteed = 0.0)
         small.clock.after(30.0) { small.submit(small.gang(1, 60).copy(zone = "a")) }
-        val others = (0 until 40).map { small.job(100 + it, 3, runSeconds = 5.0, jobClass = "bulk", zone = "a", spot = false) }
-        others.forEachIndexed { i, spec -> small.clock.after(31.0 + 4 * i) { small.submit(spec) } }
+        val otherJobs = (0 until 40).map { small.job(100 + it, 3, runSeconds = 5.0, jobClass = "bulk", zone = "a", spot = false) }
+        otherJobs.forEachIndexed { i, spec -> small.clock.after(31.0 + 4 * i) { small.submit(spec) } }
         small.run(240.0)
         assertEquals(emptyList<String>(), small.invariants.broken)
-        assertEquals(emptyList<String>(), others.map { it.id }.filterNot { small.invariants.finished(it) })
+        assertEquals(emptyList<String>(), otherJobs.map { it.id }.filterNot { small.invariants.finished(it) })
     }
 
-    /** Guards the team's limit that is kept for a gang: single tasks of its team would use each bit of it. */
+    /** Guards the quota withheld for a gang: single tasks of its team would use every part of it that becomes free. */
     @Test
-    fun `small work of its team does not keep a gang from the team's limit`() {
+    fun `small jobs of the same team do not keep a gang from using the quota`() {
         val tight = SimulatedCluster(28, guaranteed = 0.0, types = mapOf("big" to MachineTypeSpec(16.0, 64.0, 4)))
         repeat(
             200,
@@ -134,64 +137,70 @@
         tight.clock.after(40.0) { tight.submit(tight.gang(1, 40, team = "crew-x")) }
         tight.run(215.0)
         assertEquals(emptyList<String>(), tight.invariants.broken)
-        assertTrue(tight.invariants.firstStart("j-000001") in 0.0..200.0, "began at ${tight.invariants.firstStart("j-000001")}")
+        assertTrue(tight.invariants.firstStart("j-000001") in 0.0..200.0, "started at ${tight.invariants.firstStart("j-000001")}")
     }
 
-    /** A gang of several machines runs, and one of them gets a notice at 45 s. */
-    private fun recalled() {
+    /** Submits a gang that runs on several machines; at 45 s the cloud announces that it reclaims one of them in 15 s. */
+    private fun submitGangAndReclaimMachine() {
         at(25.0) { cluster.submit(cluster.gang(1, 20, cpus = 2.0, runSeconds = 40.0, spot = true)) }
         at(45.0) { machinesOf("j-000001", 20).firstOrNull()?.let { cluster.cloud.worker(it)?.recall(15.0) } }
     }
 
-    /** Guards the order to stop that all hear at once: told by reports one after the other they would not save in time. */
+    /**
+     * Guards the stop commands that are sent to all tasks at the same time: sent in responses to heartbeats, one after the other, they
+     * would come too late for a save.
+     */
     @Test
-    fun `a gang with a machine that is taken back saves together and goes on from there`() {
-        recalled()
+    fun `a gang with a machine that is reclaimed saves its progress together and resumes from it`() {
+        submitGangAndReclaimMachine()
         cluster.run(140.0)
-        verdict("j-000001")
-        assertEquals(listOf(1, 2), begun("j-000001"))
+        assertFinishedWithoutViolations("j-000001")
+        assertEquals(listOf(1, 2), startedAttempts("j-000001"))
         val progress = cluster.gangBarrier.progress("j-000001")
         assertTrue(progress > 15.0 && progress % 5.0 != 0.0, "only a checkpoint was left: $progress")
     }
 
     @Test
-    fun `a leader dies while a gang saves`() {
-        recalled()
+    fun `a gang finishes when the leader crashes while the gang saves`() {
+        submitGangAndReclaimMachine()
         var stops = 0
         cluster.onCall = { from, call ->
             if (call.path == "/do" && "halt" in call.body.orEmpty() && stops++ == 1) at(0.0) { cluster.crash(from, 1.0) }
             CallFate.FINE
         }
         cluster.run(160.0)
-        verdict("j-000001")
+        assertFinishedWithoutViolations("j-000001")
         assertTrue(stops > 1)
     }
 
     @Test
-    fun `a machine dies while a gang saves`() {
-        recalled()
+    fun `a gang finishes in the next attempt when a machine dies while the gang saves`() {
+        submitGangAndReclaimMachine()
         at(46.5) { machinesOf("j-000001", 20).lastOrNull()?.let { cluster.cloud.worker(it)?.kill() } }
         cluster.run(160.0)
-        verdict("j-000001")
-        assertEquals(listOf(1, 2), begun("j-000001"))
+        assertFinishedWithoutViolations("j-000001")
+        assertEquals(listOf(1, 2), startedAttempts("j-000001"))
     }
 
-    /** Guards the check before a stop: one task that cannot be told makes the save fail for all. */
+    /** Guards the check before a gang is stopped: one task that cannot be reached makes the save fail for all. */
     @Test
-    fun `a gang with a machine out of reach is not told to save`() {
+    fun `a gang with an unreachable machine is not stopped to save`() {
         at(25.0) { cluster.submit(cluster.gang(1, 20, cpus = 2.0, runSeconds = 40.0, spot = true)) }
         at(38.5) { machinesOf("j-000001", 20).lastOrNull()?.let { m -> cluster.members.forEach { cluster.cut(m, it, 20.0) } } }
         at(45.0) { machinesOf("j-000001", 20).firstOrNull()?.let { cluster.cloud.worker(it)?.recall(15.0) } }
         cluster.run(60.0)
-        val stopped = cluster.log.count { "gang stop requested" in it && "reason=machine_reclaimed" in it }
+        val stopCount = cluster.log.count { "gang stop requested" in it && "reason=machine_reclaimed" in it }
         cluster.run(200.0)
-        verdict("j-000001")
-        assertEquals(0, stopped, cluster.log.filter { "task lost" in it || "stop requested" in it || "silent" in it }.joinToString("\n"))
+        assertFinishedWithoutViolations("j-000001")
+        assertEquals(0, stopCount, cluster.log.filter { "task lost" in it || "stop requested" in it || "silent" in it }.joinToString("\n"))
     }
 
-    /** Guards the claim of a gang in several rows: what the dead leader had claimed in part must not begin, nor block. */
+    /**
+     * Guards the allocation of a gang in several rows: if the leader crashes between them, the partial allocation must neither start nor
+     * block the gang.
+     */
     @Test
-    fun `a leader dies between the rows of a gang`() {
+    fun `a gang starts once when the leader crashes between the rows of its allocation`() {
         val limits = """{"value_kb":0.5,"txn_ops":4,"write_rps":18}"""
         for (rowsBefore in 0..3) {
             val other =
@@ -203,22 +212,22 @@
                         mapOf("big" to MachineTypeSpec(16.0, 64.0, 3)),
                 )
             var rows = 0
-            var stuck = true
-            // From one row on none gets through, until the leader has had time to send what it should not, and dies.
+            var refusesRows = true
+            // After `rowsBefore` rows no more are written, until the leader has had 3 s to send starts that it must not send, and crashes.
             other.onCall = { from, call ->
                 when {
                     call.path != "/multi" || "\"set\":\"round/" !in call.body.orEmpty() -> {
                         CallFate.FINE
                     }
 
-                    rows++ < rowsBefore || !stuck -> {
+                    rows++ < rowsBefore || !refusesRows -> {
                         CallFate.FINE
                     }
 
                     else -> {
                         if (rows == rowsBefore + 1) {
                             other.clock.after(3.0) {
-                                stuck = false
+                                refusesRows = false
                                 other.crash(from, 1.0)
                             }
                         }
@@ -235,31 +244,34 @@
         }
     }
 
-    /** Guards a start that turns out not to have left after its gang's attempt was over: it was neither sent nor taken back. */
+    /**
+     * Guards a start command that turns out not to have been sent after its gang's attempt has ended: it was neither sent again nor was its
+     * allocation released.
+     */
     @Test
-    fun `a start that did not leave is taken back when its gang is gone meanwhile`() {
-        var met = false
+    fun `the allocation of a start that was not sent is released if its gang attempt has ended meanwhile`() {
+        var hasCutOthers = false
         cluster.onCall = { from, call ->
-            if (!met && call.path == "/do" && "run" in call.body.orEmpty()) {
-                met = true
-                // This command goes through; another one's connection is not made, and its machine is well a moment later.
-                val first = cluster.cloud.workerAt(call.target.toString())?.id
+            if (!hasCutOthers && call.path == "/do" && "run" in call.body.orEmpty()) {
+                hasCutOthers = true
+                // This command is sent; no connection to the other machines can be made, but they are reachable again a moment later.
+                val firstMachine = cluster.cloud.workerAt(call.target.toString())?.id
                 cluster.cloud
                     .names()
-                    .filter { it != first }
+                    .filter { it != firstMachine }
                     .forEach { cluster.cut(from, it, 1.15) }
-                at(0.1) { first?.let { cluster.cloud.worker(it)?.restart() } }
+                at(0.1) { firstMachine?.let { cluster.cloud.worker(it)?.restart() } }
             }
             CallFate.FINE
         }
         at(25.0) { cluster.submit(cluster.gang(1, 20, cpus = 2.0)) }
         cluster.run(100.0)
-        verdict("j-000001")
-        assertTrue(met)
+        assertFinishedWithoutViolations("j-000001")
+        assertTrue(hasCutOthers)
     }
 
     @Test
-    fun `a leader dies between the commands of a gang`() {
+    fun `a gang finishes when the leader crashes between its start commands`() {
         var commands = 0
         cluster.onCall = { from, call ->
             if (call.path == "/do" && "run" in call.body.orEmpty() && commands++ == 1) at(0.0) { cluster.crash(from, 1.0) }
@@ -267,40 +279,43 @@
         }
         at(25.0) { cluster.submit(cluster.gang(1, 20, cpus = 2.0)) }
         cluster.run(140.0)
-        verdict("j-000001")
+        assertFinishedWithoutViolations("j-000001")
         assertTrue(commands > 1)
     }
 
     @Test
-    fun `a gang is cancelled while it fetches, gathers, runs, and as it ends`() {
+    fun `gangs that are cancelled while they fetch, wait for their tasks, run or end reach a final state`() {
         repeat(24) { i -> at(25.0 + 3 * i) { cluster.submit(cluster.gang(i, 6, runSeconds = 4.0), abortAfter = 0.3 * i) } }
         cluster.run(200.0)
-        verdict(*Array(24) { "j-%06d".format(it) })
+        assertFinishedWithoutViolations(*Array(24) { "j-%06d".format(it) })
     }
 
     @Test
-    fun `an outage of the state service longer than a gang waits`() {
+    fun `a gang finishes after an outage of the state service that is longer than its tasks wait for each other`() {
         at(25.0) { cluster.submit(cluster.gang(1, 20, cpus = 2.0, runSeconds = 50.0)) }
         at(26.0) { cluster.cloud.worker(machinesOf("j-000001", 20).firstOrNull() ?: return@at)?.kill() }
         at(26.2) { cluster.state.outage(cluster.gangWaitSeconds + 5.0) }
         cluster.run(220.0)
-        verdict("j-000001")
+        assertFinishedWithoutViolations("j-000001")
     }
 
-    /** Guards the wait for every task of the old attempt: with one zone for all none may start elsewhere before. */
+    /**
+     * Guards the wait for the end of every task of the old attempt: all tasks must be in one zone, so none may start in another zone
+     * before.
+     */
     @Test
-    fun `a whole zone is cut off with the gangs in it, which go on in the other`() {
+    fun `gangs in a zone that is cut off finish in the other zone`() {
         repeat(4) { i -> at(25.0 + i) { cluster.submit(cluster.gang(i, 8, runSeconds = 60.0)) } }
         at(45.0) {
-            val apart = cluster.cloud.names().filter { cluster.cloud.worker(it)?.zone == "b" }
-            apart.forEach { m -> cluster.members.forEach { cluster.cut(m, it, 50.0) } }
+            val cutOffMachines = cluster.cloud.names().filter { cluster.cloud.worker(it)?.zone == "b" }
+            cutOffMachines.forEach { m -> cluster.members.forEach { cluster.cut(m, it, 50.0) } }
         }
         cluster.run(300.0)
-        verdict(*Array(4) { "j-%06d".format(it) })
+        assertFinishedWithoutViolations(*Array(4) { "j-%06d".format(it) })
     }
 
     @Test
-    fun `a machine cut off, one deaf and one back at once, each with part of a gang`() {
+    fun `gangs finish when one of their machines is cut off, receives nothing, or restarts at once`() {
         at(25.0) { cluster.submit(cluster.gang(1, 20, cpus = 2.0, runSeconds = 40.0)) }
         at(35.0) { cluster.members.forEach { cluster.cut(machinesOf("j-000001", 20).first(), it, 40.0) } }
         at(90.0) { cluster.submit(cluster.gang(2, 20, cpus = 2.0, runSeconds = 30.0)) }
@@ -308,11 +323,11 @@
         at(150.0) { cluster.submit(cluster.gang(3, 20, cpus = 2.0, runSeconds = 30.0)) }
         at(160.0) { machinesOf("j-000003", 20).firstOrNull()?.let { cluster.cloud.worker(it)?.restart() } }
         cluster.run(330.0)
-        verdict("j-000001", "j-000002", "j-000003")
+        assertFinishedWithoutViolations("j-000001", "j-000002", "j-000003")
     }
 
     @Test
-    fun `late copies of reports of an attempt that is over change nothing`() {
+    fun `late copies of heartbeats of an ended attempt change nothing`() {
         cluster.copyAfter = { listOf(2.0, 9.0, 31.0, 70.0).random(cluster.random) }
         repeat(6) { i -> at(25.0 + 10 * i) { cluster.submit(cluster.gang(i, 8, runSeconds = 12.0)) } }
         repeat(
@@ -320,28 +335,31 @@
         ) { i -> at(31.0 + 11 * i) { machinesOf("j-%06d".format(i), 8).firstOrNull()?.let { cluster.cloud.worker(it)?.restart() } } }
         repeat(2) { i -> at(50.0 + 25 * i) { cluster.leader()?.let { cluster.crash(it, 1.0) } } }
         cluster.run(280.0)
-        verdict(*Array(6) { "j-%06d".format(it) })
+        assertFinishedWithoutViolations(*Array(6) { "j-%06d".format(it) })
     }
 
-    /** Guards the reading of reports: a word that is not known is no end, and no crash. */
+    /**
+     * Guards the decoding of heartbeats: an unknown state or cause must neither count as the completion of a task nor fail the
+     * controller.
+     */
     @Test
-    fun `states and causes that are not known are taken for no end`() {
+    fun `unknown states and causes do not count as the completion of a task`() {
         cluster.word = { mapOf("gathering" to "assembling", "fetching" to "pulling", "peers" to "bereft")[it] ?: it }
         at(25.0) { cluster.submit(cluster.gang(1, 20, cpus = 2.0, runSeconds = 30.0)) }
         at(45.0) { machinesOf("j-000001", 20).firstOrNull()?.let { cluster.cloud.worker(it)?.restart() } }
         cluster.run(160.0)
-        verdict("j-000001")
-        assertEquals(listOf(1, 2), begun("j-000001"))
+        assertFinishedWithoutViolations("j-000001")
+        assertEquals(listOf(1, 2), startedAttempts("j-000001"))
         assertTrue(cluster.log.any { "task state not recognized" in it && "state=assembling" in it })
     }
 
     /** More seeds on demand: `mvn test -Dsimulation.seeds=300`. */
     @Test
-    fun `whatever fails, gangs keep the rules and end`() {
-        val days = System.getProperty("simulation.seeds")?.toInt() ?: 12
-        for (seed in 1..days) {
+    fun `gangs finish without violations under random faults`() {
+        val seedCount = System.getProperty("simulation.seeds")?.toInt() ?: 12
+        for (seed in 1..seedCount) {
             val other = SimulatedCluster(seed + 100, next = """{"value_kb":2,"txn_ops":4,"write_rps":30}""")
-            val jobs = other.mixedLoad(24)
+            val jobs = other.submitMixedJobs(24)
             RandomFaults(other, seed).draw(10, 20.0, 140.0)
             other.run(420.0)
             assertEquals(emptyList<String>(), other.invariants.broken, "seed $seed\n" + other.log.takeLast(60).joinToString("\n"))
@@ -353,8 +371,8 @@
         }
     }
 
-    private fun SimulatedCluster.mixedLoad(jobs: Int): List<String> {
-        val names = ArrayList<String>()
+    private fun SimulatedCluster.submitMixedJobs(jobs: Int): List<String> {
+        val jobIds = ArrayList<String>()
         repeat(jobs) { i ->
             val spec =
                 when (i % 4) {
@@ -363,9 +381,9 @@
                     2 -> gang(i, 5, cpus = 2.0, runSeconds = 15.0, oneZone = false)
                     else -> job(i, 4, cpus = 2.0, team = "crew-x")
                 }
-            names += spec.id
+            jobIds += spec.id
             clock.after(12 + i * 4.0) { submit(spec, abortAfter = if (i % 9 == 8) 12.0 else null) }
         }
-        return names
+        return jobIds
     }
 }
--- a/src/test/kotlin/burlridge/simulation/OverlappingFailuresTest.kt
+++ b/src/test/kotlin/burlridge/simulation/OverlappingFailuresTest.kt
@@ -5,86 +5,86 @@
 import org.junit.jupiter.api.Assertions.assertTrue
 import org.junit.jupiter.api.Test
 
-/** Two troubles at a time, each meeting at its worst moment and with several seeds; docs/meetings.md lists them. */
+/** Tests two failures at a time, each pair at its worst moment and with several seeds; docs/overlapping-failures.md lists them. */
 internal class OverlappingFailuresTest {
-    /** Plays [day] with each of [seeds]; every rule holds and every job that [day] names is over in the end. */
-    private fun meet(
+    /** Runs [scenario] with each of [seeds]; checks that no invariant is violated and that every job that [scenario] returns finishes. */
+    private fun runWithSeeds(
         seeds: IntRange,
         until: Double = 240.0,
-        cluster: (Int) -> SimulatedCluster = { SimulatedCluster(it) },
-        day: SimulatedCluster.() -> List<String>,
+        newCluster: (seed: Int) -> SimulatedCluster = { SimulatedCluster(it) },
+        scenario: SimulatedCluster.() -> List<String>,
     ) {
         for (seed in seeds) {
-            val played = cluster(seed)
-            val jobs = played.day()
-            played.sendWrongOnes(until - 20.0)
-            played.at(until - WATCHED_SECONDS) { played.watchWaiting() }
-            // Troubles are long over: every member is asked about every job, and some member answers for each.
+            val cluster = newCluster(seed)
+            val jobs = cluster.scenario()
+            cluster.sendWrongOnes(until - 20.0)
+            cluster.at(until - WATCHED_SECONDS) { cluster.watchWaiting() }
+            // The failures have ended long before: every member is queried about every job, and at least one answers for each.
             jobs.forEachIndexed { i, id ->
-                played.members.forEachIndexed {
+                cluster.members.forEachIndexed {
                     m,
                     member,
                     ->
-                    played.at(until - UNANSWERED_SECONDS + m * 5.0 + i * 0.01) { played.lookAt(id, member) }
+                    cluster.at(until - QUERIED_SECONDS + m * 5.0 + i * 0.01) { cluster.lookAt(id, member) }
                 }
             }
-            played.run(until)
-            assertEquals(emptyList<String>(), played.invariants.unanswered(until - UNANSWERED_SECONDS).filter { it in jobs }, "unanswered")
-            val tail = "seed $seed\n" + played.log.takeLast(40).joinToString("\n")
-            assertEquals(emptyList<String>(), played.invariants.broken, tail)
-            assertEquals(emptyList<String>(), jobs.filterNot { played.invariants.finished(it) }, "not over, $tail")
-            assertTrue(played.invariants.starts > 0, "nothing ran")
+            cluster.run(until)
+            assertEquals(emptyList<String>(), cluster.invariants.unanswered(until - QUERIED_SECONDS).filter { it in jobs }, "unanswered")
+            val tail = "seed $seed\n" + cluster.log.takeLast(40).joinToString("\n")
+            assertEquals(emptyList<String>(), cluster.invariants.broken, tail)
+            assertEquals(emptyList<String>(), jobs.filterNot { cluster.invariants.finished(it) }, "not finished, $tail")
+            assertTrue(cluster.invariants.starts > 0, "nothing ran")
         }
     }
 
     private fun SimulatedCluster.at(
         seconds: Double,
-        work: () -> Unit,
-    ) = clock.after(seconds, work)
+        action: () -> Unit,
+    ) = clock.after(seconds, action)
 
     private fun SimulatedCluster.machines(): List<String> = cloud.names()
 
-    private fun SimulatedCluster.crashLeader(backAfter: Double) {
-        leader()?.let { crash(it, backAfter) }
+    private fun SimulatedCluster.crashLeader(restartAfterSeconds: Double) {
+        leader()?.let { crash(it, restartAfterSeconds) }
     }
 
-    /** Jobs for both teams, one after another, the limited one always at its limit. */
-    private fun SimulatedCluster.crowd(
+    /** Submits jobs of both teams, one after another, so that the team with a limit is always at it; returns their ids. */
+    private fun SimulatedCluster.submitJobsOfBothTeams(
         count: Int,
         runSeconds: Double,
-        cancelledAt: Double? = null,
+        cancelAt: Double? = null,
     ): List<String> =
         (0 until count).map { i ->
             val team = if (i % 2 == 0) "crew-x" else "crew-y"
             val spec = job(i, 6, cpus = 4.0, runSeconds = runSeconds, team = team, jobClass = if (i % 3 == 0) "urgent" else "bulk")
             at(5.0 + i) { submit(spec) }
-            if (cancelledAt != null && i % 2 == 0) at(cancelledAt + i * 0.3) { abort(spec) }
+            if (cancelAt != null && i % 2 == 0) at(cancelAt + i * 0.3) { abort(spec) }
             spec.id
         }
 
     @Test
-    fun `a leader cut from the state service and the other members, which workers and users still reach`() =
-        meet(1..6) {
+    fun `jobs finish when only workers and users still reach the leader`() =
+        runWithSeeds(1..6) {
             val jobs = (0 until 8).map { job(it, 3, runSeconds = 60.0) }
             jobs.forEach { at(5.0) { submit(it) } }
             at(45.0) {
-                val old = leader() ?: return@at
-                cut(old, "state", 60.0)
-                members.forEach { if (it != old) cut(old, it, 60.0) }
+                val oldLeader = leader() ?: return@at
+                cut(oldLeader, "state", 60.0)
+                members.forEach { if (it != oldLeader) cut(oldLeader, it, 60.0) }
                 jobs.forEachIndexed { i, spec ->
-                    at(4.0 + i * 0.3) { abort(spec, members.first { it != old }) }
-                    repeat(30) { at(4.0 + it * 0.5) { look(spec, old) } }
+                    at(4.0 + i * 0.3) { abort(spec, members.first { it != oldLeader }) }
+                    repeat(30) { at(4.0 + it * 0.5) { look(spec, oldLeader) } }
                 }
             }
             jobs.map { it.id }
         }
 
     @Test
-    fun `jobs of two or three tasks that end far apart across changes of leader`() =
-        meet(1..4) {
+    fun `jobs of two or three tasks that end far apart finish across changes of leader`() =
+        runWithSeeds(1..4) {
             val jobs =
                 (0 until 12).map { i ->
-                    // The second and third task wait for room behind a long one.
+                    // The second and third task wait for capacity behind a long one.
                     val spec = job(i, 2 + i % 2, cpus = 4.0, runSeconds = 8.0 + i * 3, team = "crew-x")
                     at(5.0 + i) { submit(spec) }
                     spec.id
@@ -94,19 +94,19 @@
         }
 
     @Test
-    fun `members hand over and back, all end, and one returns within a second`() =
-        meet(1..5) {
+    fun `jobs finish when leaders change in quick succession, and then all members crash and one restarts within a second`() =
+        runWithSeeds(1..5) {
             closeLooks = true
-            val jobs = crowd(14, 15.0, cancelledAt = 40.0)
+            val jobs = submitJobsOfBothTeams(14, 15.0, cancelAt = 40.0)
             repeat(6) { i -> at(30.0 + 6 * i) { crashLeader(0.15) } }
             at(70.0) { members.forEachIndexed { i, member -> crash(member, if (i == 0) 0.4 else 7.0) } }
             jobs
         }
 
-    /** Guards the reads: they waited behind writes that the budget held up, and polls went unanswered. */
+    /** Guards reads against waiting behind writes that the write rate limit delays, which left queries unanswered. */
     @Test
-    fun `one-task jobs four a second for minutes, a quarter of them cancelled`() =
-        meet(1..2, until = 300.0, cluster = { SimulatedCluster(it, writeRps = 25) }) {
+    fun `four jobs of one task a second for two minutes finish, a quarter of them cancelled`() =
+        runWithSeeds(1..2, until = 300.0, newCluster = { SimulatedCluster(it, writeRps = 25) }) {
             state.limitWrites(25.0)
             val jobs =
                 (0 until 480).map { i ->
@@ -119,8 +119,8 @@
         }
 
     @Test
-    fun `machines up within two seconds and used at once, while writes lag and the leader ends`() =
-        meet(1..8) {
+    fun `jobs finish when machines boot within two seconds while writes are late and leaders crash`() =
+        runWithSeeds(1..8) {
             cloud.bootSeconds = { 0.2 + random.nextDouble() * 1.8 }
             lateSeconds = 12.0
             onCall = { _, call -> if (call.path == "/multi" && random.nextInt(4) == 0) CallFate.LATE else CallFate.FINE }
@@ -132,9 +132,9 @@
         }
 
     @Test
-    fun `leaders change ten times in two minutes, also inside an outage`() =
-        meet(1..4) {
-            val jobs = crowd(12, 25.0, cancelledAt = 50.0)
+    fun `jobs finish when the leader changes ten times in two minutes, also during an outage`() =
+        runWithSeeds(1..4) {
+            val jobs = submitJobsOfBothTeams(12, 25.0, cancelAt = 50.0)
             repeat(10) { i -> at(20.0 + 12 * i) { crashLeader(1.0 + i % 4) } }
             listOf(45.0, 81.0).forEach { outage -> at(outage) { state.outage(14.0) } }
             repeat(4) { i -> at(48.0 + 3 * i) { crash(members.random(random), 0.5) } }
@@ -142,8 +142,8 @@
         }
 
     @Test
-    fun `a leader ends while machines with long tasks cannot be reached, or do not hear the next one`() =
-        meet(1..8) {
+    fun `jobs finish when the leader crashes while machines with long tasks are cut off or receive nothing`() =
+        runWithSeeds(1..8) {
             val jobs = (0 until 5).map { job(it, 6, cpus = 2.0, runSeconds = 90.0) }
             jobs.forEach { at(5.0) { submit(it) } }
             at(50.0) {
@@ -157,10 +157,12 @@
             jobs.map { it.id }
         }
 
-    /** Guards the lease of a session that began unheard: what was started in it was taken for gone while it ran. */
+    /**
+     * Guards the lease of an agent epoch that began while no heartbeat arrived: tasks started in it were considered ended while they ran.
+     */
     @Test
-    fun `machines that reach no controller, while direct commands reach them`() =
-        meet(1..24, until = 260.0) {
+    fun `jobs finish when machines reach no controller while direct commands reach them`() =
+        runWithSeeds(1..24, until = 260.0) {
             val jobs = (0 until 10).map { job(it, 8, cpus = 2.0, runSeconds = 17.0 + it) }
             jobs.forEachIndexed { i, spec -> at(5.0 + 8 * i) { submit(spec) } }
             repeat(4) { i ->
@@ -178,12 +180,12 @@
         }
 
     @Test
-    fun `an old report reaches every member just as a leader begins`() =
-        meet(1..8) {
-            val jobs = crowd(12, 14.0, cancelledAt = 44.0)
+    fun `jobs finish when old heartbeats reach every member just as a new leader begins its term`() =
+        runWithSeeds(1..8) {
+            val jobs = submitJobsOfBothTeams(12, 14.0, cancelAt = 44.0)
             repeat(5) { i ->
                 at(20.0 + 16 * i) { keepReportsForNextLeader(8.0) }
-                // Since those reports tasks have ended, begun and been forgotten, and sessions were lost.
+                // Since those heartbeats, tasks have ended, started and been removed, and agent epochs have ended.
                 at(24.0 + 16 * i) { machines().filterIndexed { m, _ -> m % 4 == i % 4 }.forEach { cloud.worker(it)?.restart() } }
                 at(29.0 + 16 * i) { crashLeader(1.0) }
             }
@@ -191,18 +193,18 @@
         }
 
     @Test
-    fun `a report is held back until the next leader has acted`() =
-        meet(1..6) {
+    fun `jobs finish when late copies of heartbeats arrive after the next leader has acted`() =
+        runWithSeeds(1..6) {
             copyAfter = { if (random.nextInt(3) == 0) 4.0 + random.nextDouble() * 40 else null }
-            val jobs = crowd(12, 12.0, cancelledAt = 38.0)
+            val jobs = submitJobsOfBothTeams(12, 12.0, cancelAt = 38.0)
             repeat(6) { i -> at(22.0 + 13 * i) { crashLeader(0.5 + i % 3) } }
             at(120.0) { copyAfter = { null } }
             jobs
         }
 
     @Test
-    fun `more work than room, urgent and not, over slow links`() =
-        meet(1..3, until = 420.0) {
+    fun `urgent and bulk jobs beyond the capacity finish over slow links`() =
+        runWithSeeds(1..3, until = 420.0) {
             peerSeconds = { 0.05 + random.nextDouble() * 0.4 }
             val jobs =
                 (0 until 40).map { i ->
@@ -214,8 +216,8 @@
         }
 
     @Test
-    fun `jobs bound to one zone, arrays too, lose machines`() =
-        meet(1..8) {
+    fun `jobs that must run in one zone finish when they lose machines`() =
+        runWithSeeds(1..8) {
             val jobs =
                 (0 until 10).map { i ->
                     val spec = job(i, 6, cpus = 2.0, runSeconds = 25.0, zone = if (i % 3 == 0) "b" else null, oneZone = i % 3 != 0)
@@ -230,31 +232,31 @@
         }
 
     @Test
-    fun `all controllers are away for longer than a lease`() =
-        meet(1..4) {
-            val jobs = crowd(10, 40.0, cancelledAt = 47.0)
+    fun `jobs finish when all controllers are down for longer than a lease`() =
+        runWithSeeds(1..4) {
+            val jobs = submitJobsOfBothTeams(10, 40.0, cancelAt = 47.0)
             at(50.0) { members.forEach { crash(it, leaseSeconds + 4.0 + random.nextDouble() * 5) } }
             jobs
         }
 
     @Test
-    fun `a zone with workers and a controller is cut off for longer than a lease`() =
-        meet(1..6) {
+    fun `jobs finish when a zone with workers and the leader is cut off for longer than a lease`() =
+        runWithSeeds(1..6) {
             cutsHoldPackets = random.nextBoolean()
-            val jobs = crowd(10, 40.0, cancelledAt = 56.0)
+            val jobs = submitJobsOfBothTeams(10, 40.0, cancelAt = 56.0)
             at(50.0) {
-                val inside = leader() ?: return@at
-                val apart = machines().filter { cloud.worker(it)?.zone == "b" }
-                val others = members.filter { it != inside }
-                (others + "state" + "cloud").forEach { cut(inside, it, leaseSeconds + 12.0) }
-                apart.forEach { machine -> others.forEach { cut(machine, it, leaseSeconds + 12.0) } }
+                val cutOffLeader = leader() ?: return@at
+                val cutOffMachines = machines().filter { cloud.worker(it)?.zone == "b" }
+                val others = members.filter { it != cutOffLeader }
+                (others + "state" + "cloud").forEach { cut(cutOffLeader, it, leaseSeconds + 12.0) }
+                cutOffMachines.forEach { machine -> others.forEach { cut(machine, it, leaseSeconds + 12.0) } }
             }
             jobs
         }
 
     @Test
-    fun `commands are held up for seconds, and the machine then goes on`() =
-        meet(1..8) {
+    fun `jobs finish when commands are late and machines hang for seconds`() =
+        runWithSeeds(1..8) {
             lateSeconds = 20.0
             onCall =
                 { _, call ->
@@ -266,7 +268,7 @@
                         CallFate.FINE
                     }
                 }
-            val jobs = crowd(12, 14.0, cancelledAt = 40.0)
+            val jobs = submitJobsOfBothTeams(12, 14.0, cancelAt = 40.0)
             repeat(4) { i ->
                 at(30.0 + 15 * i) {
                     machines().filterIndexed { m, _ -> m % 3 == i % 3 }.forEach {
@@ -280,9 +282,9 @@
         }
 
     @Test
-    fun `every team at its limit, cancellations on machines cut off or hung, and the leader changes`() =
-        meet(1..10) {
-            val jobs = crowd(14, 35.0, cancelledAt = 60.0)
+    fun `jobs at the team limit finish when they are cancelled on machines that are cut off or hang, and the leader changes`() =
+        runWithSeeds(1..10) {
+            val jobs = submitJobsOfBothTeams(14, 35.0, cancelAt = 60.0)
             at(58.0) {
                 machines().forEachIndexed { m, machine ->
                     if (m % 3 == 0) cloud.worker(machine)?.hang(18.0)
@@ -295,9 +297,9 @@
         }
 
     @Test
-    fun `a team at its limit when the leader changes, machines that cannot be asked, and a cancellation`() =
-        meet(1..10) {
-            val jobs = crowd(10, 30.0)
+    fun `jobs at the team limit finish when the leader changes, machines cannot be queried, and jobs are cancelled`() =
+        runWithSeeds(1..10) {
+            val jobs = submitJobsOfBothTeams(10, 30.0)
             at(50.0) {
                 machines().filterIndexed { m, _ -> m % 2 == 0 }.forEach { deafen(it, 20.0) }
                 crashLeader(4.0)
@@ -306,10 +308,13 @@
             jobs
         }
 
-    /** Guards the stops that leave with the wish to cancel: nothing begins that the service could still have held back. */
+    /**
+     * Guards the stop commands that are sent as soon as a cancellation is requested: no task starts that the service could still have
+     * prevented.
+     */
     @Test
-    fun `jobs are cancelled in the seconds in which work changes hands`() =
-        meet(1..6) {
+    fun `no task starts long after its cancellation when jobs are cancelled during changes of leader`() =
+        runWithSeeds(1..6) {
             val jobs = (0 until 24).map { job(it, 4, runSeconds = 30.0) }
             jobs.forEachIndexed { i, spec ->
                 at(30.0 + i) { submit(spec) }
@@ -323,12 +328,15 @@
             jobs.map { it.id }
         }
 
-    /** Guards the longer lease after a term in which its leader stood still: slow members took turns, each change a storm of its own. */
+    /**
+     * Guards the longer lease after a term in which the leader stalled: slow members deposed each other in turn, and each change of leader
+     * caused a burst of load.
+     */
     @Test
-    fun `leaders that stand still again and again do not take turns for long`() =
-        meet(1..2, until = 260.0) {
-            val jobs = crowd(10, 20.0)
-            // Longer than the usual lease, shorter than the next.
+    fun `members that stall repeatedly do not depose each other for long`() =
+        runWithSeeds(1..2, until = 260.0) {
+            val jobs = submitJobsOfBothTeams(10, 20.0)
+            // Longer than the default lease, shorter than the next one, which is doubled.
             repeat(24) { i -> at(30.0 + 6 * i) { leader()?.let { freeze(it, 3.0) } } }
             at(200.0) {
                 val terms = log.count { "leader state loaded" in it }
@@ -338,7 +346,10 @@
         }
 
     private companion object {
-        const val UNANSWERED_SECONDS = 75.0
+        /** All jobs are queried in this many seconds at the end of a run. */
+        const val QUERIED_SECONDS = 75.0
+
+        /** Waiting jobs are watched in this many seconds at the end of a run. */
         const val WATCHED_SECONDS = 120.0
     }
 }
--- a/src/test/kotlin/burlridge/simulation/RefusalThenOutageTest.kt
+++ b/src/test/kotlin/burlridge/simulation/RefusalThenOutageTest.kt
@@ -5,21 +5,21 @@
 import org.junit.jupiter.api.Test
 
 /**
- * The state service refuses the leader alone, another member is elected and confirms cancellations, and then it is down for all, for
- * longer than a cancellation has, while workers go on reporting to the old leader.
+ * Tests the time limit of cancellations when the state service refuses only the leader, so that another member is elected and confirms
+ * cancellations, and is then down for all members, for longer than that limit, while workers still send heartbeats to the old leader.
  */
 internal class RefusalThenOutageTest {
     private class Outcome(
-        val broken: List<String>,
-        val confirmedByNext: Int,
+        val violations: List<String>,
+        val confirmedByNextLeader: Int,
         val log: List<String>,
     )
 
-    /** [distanceSeconds] lie between the refusal and the outage. The old leader and the next one do not hear each other. */
-    private fun gap(
+    /** Starts the outage [delaySeconds] after the refusal. The old leader and the next one cannot reach each other. */
+    private fun runRefusalThenOutage(
         seed: Int,
         times: WorkerTimes,
-        distanceSeconds: Double,
+        delaySeconds: Double,
     ): Outcome {
         val cluster = SimulatedCluster(seed, times = times)
         val jobs = (0 until 12).map { cluster.job(it, 2, runSeconds = 200.0) }
@@ -30,8 +30,8 @@
         cluster.clock.after(start) {
             val leader = cluster.leader() ?: return@after
             old = leader
-            cluster.refuse(leader, distanceSeconds + 14.0)
-            // Only what a third member says tells the old leader of the next one.
+            cluster.refuse(leader, delaySeconds + 14.0)
+            // The old leader can learn of the next one only from the third member.
             cluster.onLeader = { next -> if (next != leader) cluster.cut(leader, next, 200.0) }
             cluster.onCancelled = { if (cluster.leader() != leader && cluster.leader() != null) confirmed++ }
         }
@@ -42,35 +42,40 @@
                 cluster.abort(job, member)
             }
         }
-        cluster.clock.after(start + distanceSeconds) { cluster.state.outage(times.cancelSeconds + 12.0) }
-        cluster.run(start + distanceSeconds + times.cancelSeconds * 2 + 40.0)
+        cluster.clock.after(start + delaySeconds) { cluster.state.outage(times.cancelSeconds + 12.0) }
+        cluster.run(start + delaySeconds + times.cancelSeconds * 2 + 40.0)
         return Outcome(cluster.invariants.broken, confirmed, cluster.log)
     }
 
-    private fun sweep(times: WorkerTimes) {
+    private fun assertTasksEndInTimeForAllDelays(times: WorkerTimes) {
         var confirmed = 0
-        var distance = 0.5
-        while (distance <= 6.0) {
-            val outcome = gap((distance * 100).toInt(), times, distance)
-            assertEquals(emptyList<String>(), outcome.broken, "$distance s apart\n${outcome.log.takeLast(40).joinToString("\n")}")
-            confirmed += outcome.confirmedByNext
-            distance += 0.25
+        var delaySeconds = 0.5
+        while (delaySeconds <= 6.0) {
+            val outcome = runRefusalThenOutage((delaySeconds * 100).toInt(), times, delaySeconds)
+            assertEquals(emptyList<String>(), outcome.violations, "$delaySeconds s apart\n${outcome.log.takeLast(40).joinToString("\n")}")
+            confirmed += outcome.confirmedByNextLeader
+            delaySeconds += 0.25
         }
         assertTrue(confirmed > 0, "no cancellation was confirmed by the next leader")
     }
 
-    /** Guards the bound on a leader's answers after its last good renewal: with it and a lease a task is gone in time. */
+    /**
+     * Guards the limit on how long a leader answers workers after its last successful renewal: together with a lease it ends a cancelled
+     * task in time.
+     */
     @Test
-    fun `what was cancelled through the next leader is gone in time, with a lease of 24 s`() = sweep(WorkerTimes(3.0, 24.0, 54.0))
+    fun `tasks cancelled through the next leader end in time with a lease of 24 s`() =
+        assertTasksEndInTimeForAllDelays(WorkerTimes(3.0, 24.0, 54.0))
 
     @Test
-    fun `what was cancelled through the next leader is gone in time, with a lease of 36 s`() = sweep(WorkerTimes(6.0, 36.0, 66.0))
+    fun `tasks cancelled through the next leader end in time with a lease of 36 s`() =
+        assertTasksEndInTimeForAllDelays(WorkerTimes(6.0, 36.0, 66.0))
 
     /**
-     * Guards the bound by itself: the old leader hears a member that knows no better, and the next one reaches neither of them nor
-     * any machine, so that nothing but the old leader's own clock ends what it keeps alive.
+     * Guards the same limit by itself: the third member, which the old leader reaches, does not know of the next one either, and the next
+     * one reaches neither of them nor any machine, so that only the old leader's own clock ends the tasks that it keeps alive.
      */
-    private fun keptAlone(times: WorkerTimes) {
+    private fun assertOldLeaderStopsAnsweringInTime(times: WorkerTimes) {
         val cluster = SimulatedCluster(9, times = times)
         val jobs = (0 until 6).map { cluster.job(it, 2, runSeconds = 300.0) }
         jobs.forEach { cluster.clock.after(5.0) { cluster.submit(it) } }
@@ -93,14 +98,16 @@
     }
 
     @Test
-    fun `what an old leader keeps alive by itself is gone in time, with a lease of 24 s`() = keptAlone(WorkerTimes(3.0, 24.0, 54.0))
+    fun `tasks that only an old leader keeps alive end in time with a lease of 24 s`() =
+        assertOldLeaderStopsAnsweringInTime(WorkerTimes(3.0, 24.0, 54.0))
 
     @Test
-    fun `what an old leader keeps alive by itself is gone in time, with a lease of 36 s`() = keptAlone(WorkerTimes(6.0, 36.0, 66.0))
+    fun `tasks that only an old leader keeps alive end in time with a lease of 36 s`() =
+        assertOldLeaderStopsAnsweringInTime(WorkerTimes(6.0, 36.0, 66.0))
 
     /**
-     * Guards the silence of a leader that has not read the rows: its answers, without a halt, kept alive what the leader before it had
-     * cancelled, for as long as the state service renewed its lease and showed no rows.
+     * Guards the rule that a leader does not answer workers before it has read the rows: its answers, which contained no stop commands,
+     * kept alive tasks that the previous leader had cancelled, for as long as the state service renewed its lease but returned no rows.
      */
     @Test
     fun `a leader that cannot read the rows keeps no cancelled task alive`() {
@@ -123,16 +130,19 @@
         assertTrue(jobs.all { cluster.invariants.finished(it.id) }, "nothing was cancelled")
     }
 
-    /** Guards the stops that an answering leader still sends: a machine that reaches nobody hears of a cancellation only so. */
+    /**
+     * Guards the stop commands that a leader sends while it may still answer workers: a machine that reaches no member learns of a
+     * cancellation only from them.
+     */
     @Test
-    fun `a cancelled task on a mute machine is stopped by command though the state service is down`() {
+    fun `a cancelled task on a machine that reaches no member is stopped by command during an outage`() {
         val cluster = SimulatedCluster(6)
         val job = cluster.job(1, 4, runSeconds = 250.0)
         cluster.clock.after(5.0) { cluster.submit(job) }
         cluster.clock.after(60.0) {
             cluster.cloud.names().forEach {
                 cluster.mute(it, 40.0)
-                // So that the first stops are lost, and the leader holds its row no more when they can be repeated.
+                // So that the first stops are lost, and the leader no longer certainly holds its lease when they can be repeated.
                 cluster.deafen(it, 6.0)
             }
             cluster.abort(job)
@@ -140,12 +150,12 @@
         }
         cluster.run(72.0)
         assertTrue(cluster.invariants.finished(job.id), "not cancelled")
-        val left = cluster.cloud.names().filter { name -> (0 until 4).any { cluster.cloud.worker(name)?.has("${job.id}/$it") == true } }
-        assertEquals(emptyList<String>(), left)
+        val busy = cluster.cloud.names().filter { name -> (0 until 4).any { cluster.cloud.worker(name)?.has("${job.id}/$it") == true } }
+        assertEquals(emptyList<String>(), busy)
     }
 
-    /** Leaves [old] and [third] without the state service and out of [next]'s hearing, which is elected. */
-    private fun SimulatedCluster.leaveBehind(
+    /** Cuts [old] and [third] off from [next] and lets the state service refuse both, so that [next] is elected. */
+    private fun SimulatedCluster.isolateFromNextLeader(
         old: String,
         third: String,
         next: String,
@@ -157,13 +167,13 @@
     }
 
     /**
-     * Guards the wait for the answers of earlier leaders: machines that only the old leader hears are kept alive by it beyond a lease
-     * after the election, and what runs on them is not gone yet.
+     * Guards the wait until no former leader can be answering workers: machines that reach only the old leader are kept alive by it for
+     * longer than a lease after the election, so their tasks have not ended by then.
      */
     @Test
-    fun `what an old leader may still keep alive is not started elsewhere`() {
+    fun `tasks that an old leader may still keep alive are not started elsewhere`() {
         for (seed in 1..3) {
-            // All machines are kept, so that there is room elsewhere.
+            // Without a guaranteed quota all machines are kept, so that there is capacity elsewhere.
             val cluster = SimulatedCluster(seed, guaranteed = 0.0)
             val jobs = (0 until 4).map { cluster.job(it, 2, runSeconds = 300.0) }
             jobs.forEach { cluster.clock.after(5.0) { cluster.submit(it) } }
@@ -172,14 +182,14 @@
                 val old = cluster.leader() ?: return@after
                 val (successor, third) = cluster.members.filter { it != old }
                 next = successor
-                cluster.leaveBehind(old, third, successor)
-                val busy =
+                cluster.isolateFromNextLeader(old, third, successor)
+                val busyMachines =
                     cluster.cloud.names().filter { name ->
                         jobs.any { job -> (0 until 2).any { cluster.cloud.worker(name)!!.has("${job.id}/$it") } }
                     }
-                assertTrue(busy.isNotEmpty(), "nothing runs")
-                busy.forEach { cluster.cut(it, successor, 200.0) }
-                // A return would settle at once what runs there.
+                assertTrue(busyMachines.isNotEmpty(), "nothing runs")
+                busyMachines.forEach { cluster.cut(it, successor, 200.0) }
+                // Returning a machine would prove at once that its tasks have ended.
                 cluster.cloud.down = true
             }
             cluster.run(160.0)
@@ -188,9 +198,11 @@
         }
     }
 
-    /** Guards the news of a later term from a third member: the old leader hears neither the next one nor the state service. */
+    /**
+     * Guards the third member's status, which announces a later term: the old leader reaches neither the next one nor the state service.
+     */
     @Test
-    fun `a leader that hears of the next one from a third member gives way at once`() {
+    fun `a leader that learns of the next one from a third member steps down at once`() {
         val cluster = SimulatedCluster(4)
         val job = cluster.job(1, 4, runSeconds = 200.0)
         cluster.clock.after(5.0) { cluster.submit(job) }
@@ -199,15 +211,15 @@
             val next = cluster.members.first { it != old }
             cluster.refuse(old, 200.0)
             cluster.cut(old, next, 200.0)
-            // A worker that hears the next one would tell as well.
+            // A worker that reaches the next one would reveal its term as well.
             cluster.cloud.names().forEach { cluster.cut(it, next, 200.0) }
-            // So that it is this one that is elected.
+            // Ensures that `next` is elected.
             cluster.refuse(cluster.members.first { it != old && it != next }, 5.0)
         }
         cluster.run(78.0)
         assertTrue(cluster.leader() != null)
-        val behind = cluster.cloud.names().filter { cluster.cloud.worker(it)!!.term == 1L }
-        assertEquals(emptyList<String>(), behind, cluster.log.takeLast(20).joinToString("\n"))
+        val machinesInFirstTerm = cluster.cloud.names().filter { cluster.cloud.worker(it)!!.term == 1L }
+        assertEquals(emptyList<String>(), machinesInFirstTerm, cluster.log.takeLast(20).joinToString("\n"))
         assertEquals(emptyList<String>(), cluster.invariants.broken)
     }
 }
--- a/src/test/kotlin/burlridge/simulation/RollingUpgradeTest.kt
+++ b/src/test/kotlin/burlridge/simulation/RollingUpgradeTest.kt
@@ -6,17 +6,22 @@
 import org.junit.jupiter.api.Test
 
 /**
- * The upgrade while the service serves: members are killed and come back new, a few at a time, while others keep to the forms and
- * limits of the version before. It knows neither gangs nor the limits to come, so such a member is one whose settings lack both.
+ * Tests a rolling upgrade under load: members are killed and restart with the new version, a few at a time, while the others still use the
+ * formats and limits of the previous version. That version supports neither gangs nor future limits of the state service, so a member that
+ * runs it is simulated by settings that contain neither.
  */
 internal class RollingUpgradeTest {
-    private val limits = """{"value_kb":2,"txn_ops":4,"write_rps":30}"""
+    private val futureLimits = """{"value_kb":2,"txn_ops":4,"write_rps":30}"""
 
-    private fun mixed(seed: Int): SimulatedCluster = SimulatedCluster(seed, next = limits, old = true)
+    private fun newClusterOfPreviousVersion(seed: Int): SimulatedCluster = SimulatedCluster(seed, next = futureLimits, old = true)
 
-    private fun SimulatedCluster.verdict(jobs: List<String>) {
+    private fun SimulatedCluster.assertFinishedWithoutViolations(jobs: List<String>) {
         assertEquals(emptyList<String>(), invariants.broken, log.takeLast(60).joinToString("\n"))
-        assertEquals(emptyList<String>(), jobs.filterNot { invariants.finished(it) }, "not over:\n" + log.takeLast(60).joinToString("\n"))
+        assertEquals(
+            emptyList<String>(),
+            jobs.filterNot { invariants.finished(it) },
+            "not finished:\n" + log.takeLast(60).joinToString("\n"),
+        )
     }
 
     private fun SimulatedCluster.arrays(count: Int): List<String> =
@@ -31,30 +36,30 @@
             spec.id
         }
 
-    private fun SimulatedCluster.roll(from: Double) {
+    private fun SimulatedCluster.upgradeAllMembers(from: Double) {
         members.forEachIndexed { i, member -> clock.after(from + 12.0 * i) { upgrade(member, 2.0) } }
     }
 
     @Test
-    fun `members are upgraded one by one under load, then the limits are lowered, then gangs come`() {
-        val cluster = mixed(31)
+    fun `jobs finish when members are upgraded under load, then the limits are lowered, then gangs are submitted`() {
+        val cluster = newClusterOfPreviousVersion(31)
         val jobs = cluster.arrays(24)
-        cluster.roll(30.0)
+        cluster.upgradeAllMembers(30.0)
         cluster.clock.after(75.0) { cluster.state.lower(valueKb = 2.0, changesPerTransaction = 4) }
         cluster.clock.after(80.0) { cluster.submit(cluster.gang(90, 6)) }
         cluster.run(240.0)
-        cluster.verdict(jobs + "j-000090")
+        cluster.assertFinishedWithoutViolations(jobs + "j-000090")
         assertEquals(0, cluster.state.refusedAsTooLarge)
     }
 
-    /** Guards the gate: an older leader cannot read a gang's row, and would stop its tasks. */
+    /** Guards the gate for gangs: a leader of the previous version cannot read a gang's row, and would stop its tasks. */
     @Test
-    fun `no gang is taken before every member knows gangs, and one is while a member that knows them is down`() {
-        val cluster = mixed(32)
+    fun `gangs are refused until every member supports them, and accepted while a member that supports them is down`() {
+        val cluster = newClusterOfPreviousVersion(32)
         val answers = ArrayList<Pair<Double, Int>>()
-        var retryAfter = true
+        var hasRetryAfter = true
 
-        fun ask(
+        fun submitGangAt(
             at: Double,
             number: Int,
         ) {
@@ -70,32 +75,32 @@
         }
         cluster.upgradeAt("drover-0", 20.0)
         cluster.upgradeAt("drover-1", 32.0)
-        listOf(28.0, 40.0, 46.0).forEachIndexed { i, at -> ask(at, i) }
-        cluster.onAnswer = { status, retrySeconds -> if (status == 503 && retrySeconds == null) retryAfter = false }
+        listOf(28.0, 40.0, 46.0).forEachIndexed { i, at -> submitGangAt(at, i) }
+        cluster.onAnswer = { status, retrySeconds -> if (status == 503 && retrySeconds == null) hasRetryAfter = false }
         cluster.upgradeAt("drover-2", 50.0)
         cluster.clock.after(60.0) { cluster.crash("drover-2", 30.0) }
         cluster.clock.after(61.0) { cluster.crash("drover-0", 0.2) }
-        ask(70.0, 10)
+        submitGangAt(70.0, 10)
         cluster.run(120.0)
         assertEquals(listOf(503, 503, 503, 201), answers.sortedBy { it.first }.map { it.second })
-        assertTrue(retryAfter, "a refusal without Retry-After")
+        assertTrue(hasRetryAfter, "a refusal without Retry-After")
         assertEquals(emptyList<String>(), cluster.invariants.broken)
     }
 
-    /** Guards what old and new write to the same rows, whichever leads, and the rows that are too large for the limits to come. */
+    /** Guards the rows that both versions write, whichever of them leads, and rows that are too large for the future limits. */
     @Test
-    fun `whatever fails during the upgrade, the rules hold and every job ends`() {
-        val days = System.getProperty("simulation.seeds")?.toInt() ?: 12
-        for (seed in 1..days) {
-            val cluster = mixed(seed + 300)
+    fun `jobs finish without violations under random faults during an upgrade`() {
+        val seedCount = System.getProperty("simulation.seeds")?.toInt() ?: 12
+        for (seed in 1..seedCount) {
+            val cluster = newClusterOfPreviousVersion(seed + 300)
             val jobs = cluster.arrays(24)
-            cluster.roll(25.0 + seed % 20)
+            cluster.upgradeAllMembers(25.0 + seed % 20)
             RandomFaults(cluster, seed).draw(8, 20.0, 110.0)
             cluster.clock.after(85.0) { cluster.state.lower(valueKb = 2.0, changesPerTransaction = 4) }
             repeat(4) { i -> cluster.clock.after(90.0 + 5 * i) { cluster.submit(cluster.gang(90 + i, 4)) } }
             cluster.run(420.0)
             try {
-                cluster.verdict(jobs + (0 until 4).map { "j-%06d".format(90 + it) })
+                cluster.assertFinishedWithoutViolations(jobs + (0 until 4).map { "j-%06d".format(90 + it) })
             } catch (e: AssertionError) {
                 throw AssertionError("seed $seed: ${e.message}", e)
             }
--- a/src/test/kotlin/burlridge/simulation/ScaleInOutTest.kt
+++ b/src/test/kotlin/burlridge/simulation/ScaleInOutTest.kt
@@ -4,16 +4,16 @@
 import org.junit.jupiter.api.Assertions.assertTrue
 import org.junit.jupiter.api.Test
 
-/** Half as many machines again as the operators have, the largest arrays, and the troubles that hit all of them at once. */
+/** Tests half as many machines again as the operators have, with the largest arrays, under failures that affect all of them at once. */
 internal class ScaleInOutTest {
     private val members = List(5) { "drover-$it" }
     private val types = mapOf("small" to MachineTypeSpec(4.0, 16.0, 360), "big" to MachineTypeSpec(16.0, 64.0, 178))
     private val cluster = SimulatedCluster(21, members, types = types, guaranteed = 0.0)
 
-    /** A burst of jobs, among them the largest there are, from 30 s on; every one must be told done, the largest begun in time. */
-    private fun day(
+    /** Submits a burst of jobs from 30 s on, among them the largest possible ones; all must finish, and start in time. */
+    private fun runBurst(
         until: Double,
-        troubles: SimulatedCluster.() -> Unit,
+        injectFailures: SimulatedCluster.() -> Unit,
     ) {
         val jobs =
             (0 until 36).map {
@@ -31,16 +31,16 @@
                 )
             }
         jobs.forEachIndexed { i, job -> cluster.clock.after(30.0 + 2 * i) { cluster.submit(job) } }
-        cluster.troubles()
+        cluster.injectFailures()
         cluster.run(until)
         assertEquals(emptyList<String>(), cluster.invariants.broken)
-        assertEquals(emptyList<String>(), jobs.map { it.id }.filterNot { cluster.invariants.finished(it) }, "not over")
-        assertEquals(MACHINES, cluster.cloud.names().size)
+        assertEquals(emptyList<String>(), jobs.map { it.id }.filterNot { cluster.invariants.finished(it) }, "not finished")
+        assertEquals(MACHINE_COUNT, cluster.cloud.names().size)
         jobs.forEach {
-            val waited = cluster.invariants.firstStart(it.id) - 30.0 - 2 * jobs.indexOf(it)
-            assertTrue(waited < MUST_BEGIN_SECONDS, "${it.id} of ${it.taskCount} tasks waited $waited s")
+            val waitedSeconds = cluster.invariants.firstStart(it.id) - 30.0 - 2 * jobs.indexOf(it)
+            assertTrue(waitedSeconds < MAX_WAIT_SECONDS, "${it.id} of ${it.taskCount} tasks waited $waitedSeconds s")
         }
-        // What is over leaves its end and nothing else, and the state service never sees more than it allows.
+        // A finished job leaves only its finished row, and the load of the state service stays within its limits.
         assertEquals(jobs.size, cluster.state.keys("over/").size)
         assertEquals(emptyList<String>(), cluster.state.keys("live/") + cluster.state.keys("round/") + cluster.state.keys("prog/"))
         assertTrue(cluster.state.writes < 25 * until, "writes: ${cluster.state.writes}")
@@ -49,8 +49,8 @@
     }
 
     @Test
-    fun `all members crash in an outage of the state service, one after the other, and all again`() =
-        day(230.0) {
+    fun `jobs finish when all members crash in an outage of the state service, then one after the other, then all again`() =
+        runBurst(230.0) {
             clock.after(60.0) { state.outage(15.0) }
             clock.after(68.0) { members.forEach { crash(it, 4.0) } }
             members.forEachIndexed { i, name -> clock.after(85.0 + 6 * i) { crash(name, 4.0) } }
@@ -58,25 +58,25 @@
         }
 
     @Test
-    fun `a zone is cut off for longer than a lease, its packets are held back, and the leader crashes`() =
-        day(260.0) {
+    fun `jobs finish when a zone is cut off for longer than a lease, its packets are held back, and the leader crashes`() =
+        runBurst(260.0) {
             cutsHoldPackets = true
             clock.after(60.0) {
-                val apart = cloud.names().filter { cloud.worker(it)?.zone == "b" }
-                apart.forEach { machine -> members.forEach { cut(machine, it, 45.0) } }
+                val cutOffMachines = cloud.names().filter { cloud.worker(it)?.zone == "b" }
+                cutOffMachines.forEach { machine -> members.forEach { cut(machine, it, 45.0) } }
             }
             clock.after(72.0) { leader()?.let { crash(it, 4.0) } }
         }
 
     @Test
-    fun `the leader stands still for longer than a lease, and members refuse one another`() =
-        day(230.0) {
+    fun `jobs finish when the leader stalls for longer than a lease, and members are cut off from each other`() =
+        runBurst(230.0) {
             clock.after(55.0) { leader()?.let { freeze(it, 40.0) } }
             clock.after(110.0) { members.forEach { a -> members.forEach { b -> if (a != b) cut(a, b, 30.0) } } }
         }
 
     private companion object {
-        const val MACHINES = 2152
-        const val MUST_BEGIN_SECONDS = 240.0
+        const val MACHINE_COUNT = 2152
+        const val MAX_WAIT_SECONDS = 240.0
     }
 }
--- a/src/test/kotlin/burlridge/simulation/ScaleTest.kt
+++ b/src/test/kotlin/burlridge/simulation/ScaleTest.kt
@@ -4,19 +4,22 @@
 import org.junit.jupiter.api.Assertions.assertTrue
 import org.junit.jupiter.api.Test
 
-/** Fifteen hundred to six thousand machines and the largest arrays: what is asserted is work, never time. */
+/**
+ * Tests busy fleets of 1500 to 6000 machines with the largest arrays, and idle ones of 1100 to 4000. Assertions are about counts of
+ * operations, never about elapsed time.
+ */
 internal class ScaleTest {
     @Test
-    fun `work grows with tasks and machines, not with their product`() = busyFleet(1_500)
+    fun `work grows with tasks and machines, not with their product, for 1500 machines`() = assertWorkOfBusyFleet(1_500)
 
-    /** No fixed limit may stand below the fleet that the operators run. */
+    /** Guards against fixed limits that are below the size of the fleet that the operators run. */
     @Test
-    fun `the same holds for four thousand machines`() = busyFleet(4_000)
+    fun `work grows with tasks and machines, not with their product, for 4000 machines`() = assertWorkOfBusyFleet(4_000)
 
     @Test
-    fun `the same holds for six thousand machines`() = busyFleet(6_000)
+    fun `work grows with tasks and machines, not with their product, for 6000 machines`() = assertWorkOfBusyFleet(6_000)
 
-    private fun busyFleet(machines: Int) {
+    private fun assertWorkOfBusyFleet(machines: Int) {
         val types = mapOf("small" to MachineTypeSpec(4.0, 16.0, machines / 6), "big" to MachineTypeSpec(16.0, 64.0, machines / 12))
         val cluster = SimulatedCluster(5, types = types, guaranteed = 0.0)
         val jobs =
@@ -37,41 +40,41 @@
         jobs.forEachIndexed { i, job -> cluster.clock.after(40.0 + i) { cluster.submit(job) } }
         cluster.run(200.0)
         assertEquals(emptyList<String>(), cluster.invariants.broken)
-        assertEquals(emptyList<String>(), jobs.map { it.id }.filterNot { cluster.invariants.finished(it) }, "not over")
+        assertEquals(emptyList<String>(), jobs.map { it.id }.filterNot { cluster.invariants.finished(it) }, "not finished")
         assertEquals(machines / 12 * 12, cluster.cloud.names().size)
         val tasks = jobs.sumOf { it.taskCount }
-        val work = cluster.work(cluster.leader().orEmpty())
+        val counters = cluster.work(cluster.leader().orEmpty())
         assertEquals(tasks, cluster.invariants.starts)
-        assertTrue(work.getValue("intent.rows") < tasks / 8, "claim rows: $work")
-        assertTrue(work.getValue("worker.commands") <= tasks * 1.1, "commands: $work")
-        assertTrue(work.getValue("placement.candidates") < tasks * 400L, "candidates: $work")
+        assertTrue(counters.getValue("intent.rows") < tasks / 8, "allocation batch rows: $counters")
+        assertTrue(counters.getValue("worker.commands") <= tasks * 1.1, "commands: $counters")
+        assertTrue(counters.getValue("placement.candidates") < tasks * 400L, "candidates: $counters")
         assertTrue(cluster.state.writes < 25 * 200 / 2, "writes: ${cluster.state.writes}")
     }
 
-    /** Guards the cost of a fleet that has nothing to do, which is what a small controller has least room for. */
+    /** Guards the cost of an idle fleet, which a controller with few resources can least afford. */
     @Test
-    fun `an idle fleet costs reports that are compared, and little else`() {
+    fun `an idle fleet costs heartbeats that are compared instead of decoded, and little else`() {
         for (size in listOf(1_100, 1_650, 4_000)) {
             val types = mapOf("small" to MachineTypeSpec(4.0, 16.0, size / 6), "big" to MachineTypeSpec(16.0, 64.0, size / 6))
             val cluster = SimulatedCluster(5, types = types, guaranteed = 0.0)
             val jobs = (0 until 20).map { cluster.job(it, 60, cpus = 1.0, runSeconds = 20.0) }
             jobs.forEachIndexed { i, job -> cluster.clock.after(30.0 + i) { cluster.submit(job) } }
             cluster.run(IDLE_FROM_SECONDS)
-            assertEquals(emptyList<String>(), jobs.map { it.id }.filterNot { cluster.invariants.finished(it) }, "not over")
+            assertEquals(emptyList<String>(), jobs.map { it.id }.filterNot { cluster.invariants.finished(it) }, "not finished")
             val machines = cluster.cloud.names().size
             assertTrue(machines >= size * 0.9, "$machines machines of $size")
             val leader = cluster.leader().orEmpty()
             val before = HashMap(cluster.work(leader))
             cluster.run(IDLE_FROM_SECONDS + IDLE_SECONDS)
             assertEquals(leader, cluster.leader())
-            val work = cluster.work(leader).mapValues { (name, amount) -> amount - (before[name] ?: 0L) }
-            val reports = work.getValue("worker.reports")
-            assertTrue(reports in (machines * IDLE_SECONDS / 4).toLong()..(machines * IDLE_SECONDS / 2.5).toLong(), "reports: $work")
-            assertTrue((work["worker.reports_read"] ?: 0L) <= reports / 100, "reports that were decoded: $work")
-            assertEquals(0L, work["worker.commands"] ?: 0L, "commands: $work")
-            assertEquals(0L, work["intent.rows"] ?: 0L, "rows: $work")
-            val requests = work.filterKeys { it.startsWith("store.requests") }.values.sum()
-            assertTrue(requests <= IDLE_SECONDS * REQUESTS_PER_SECOND, "requests to the state service: $work")
+            val counters = cluster.work(leader).mapValues { (name, amount) -> amount - (before[name] ?: 0L) }
+            val heartbeats = counters.getValue("worker.reports")
+            assertTrue(heartbeats in (machines * IDLE_SECONDS / 4).toLong()..(machines * IDLE_SECONDS / 2.5).toLong(), "heartbeats: $counters")
+            assertTrue((counters["worker.reports_read"] ?: 0L) <= heartbeats / 100, "heartbeats that were decoded: $counters")
+            assertEquals(0L, counters["worker.commands"] ?: 0L, "commands: $counters")
+            assertEquals(0L, counters["intent.rows"] ?: 0L, "rows: $counters")
+            val requests = counters.filterKeys { it.startsWith("store.requests") }.values.sum()
+            assertTrue(requests <= IDLE_SECONDS * MAX_REQUESTS_PER_SECOND, "requests to the state service: $counters")
         }
     }
 
@@ -79,7 +82,7 @@
         const val IDLE_FROM_SECONDS = 150.0
         const val IDLE_SECONDS = 60.0
 
-        /** Watches of the leader and its renewals: a handful in each lease. */
-        const val REQUESTS_PER_SECOND = 2.0
+        /** Upper limit for the leader's watches and lease renewals, of which there are a handful in each lease. */
+        const val MAX_REQUESTS_PER_SECOND = 2.0
     }
 }
--- a/src/test/kotlin/burlridge/transcript/Transcript.kt
+++ b/src/test/kotlin/burlridge/transcript/Transcript.kt
@@ -9,8 +9,9 @@
 import java.util.zip.CRC32
 
 /**
- * Everything that leaves `Controller.step` of every member of a [SimulatedCluster], in order and with its virtual time, and in the end all rows of the
- * key-value store. Log lines are left out. The words written here are the transcript's own, so that renaming the code changes no line.
+ * Records everything that leaves `Controller.step` of every member of a [SimulatedCluster], in order and with its virtual time, and at the
+ * end all rows of the key-value store. Log lines are left out. The texts written here do not depend on identifiers, so that renaming the
+ * code changes no line.
  */
 internal class Transcript(
     private val cluster: SimulatedCluster,
@@ -74,14 +75,14 @@
             is HandoverMessage.Withdraw -> "withdraw: ${step.reason}"
         }
 
-    /** Stands for the message's bytes on the wire. */
+    /** Describes the message's bytes on the wire by their number and checksum. */
     private fun encoded(message: PeerMessage): String {
         val bytes = PeerMessage.encode(message)
         val checksum = CRC32().also { it.update(bytes) }.value
         return "[${bytes.size} bytes, crc32 %08x]".format(checksum)
     }
 
-    /** The whole transcript; the rows are those that the store holds now. */
+    /** Returns the whole transcript, with the rows that the store holds now. */
     fun text(): String {
         val rows = cluster.state.keys("").map { "row $it ${cluster.state.value(it)}" }
         return (lines + rows).joinToString("\n", postfix = "\n")
--- a/src/test/kotlin/burlridge/transcript/TranscriptSchedule.kt
+++ b/src/test/kotlin/burlridge/transcript/TranscriptSchedule.kt
@@ -2,18 +2,18 @@
 
 import burlridge.simulation.SimulatedCluster
 
-/** A simulated cluster with a load and failures at set times, played until [endsAt]. */
+/** A simulated cluster with a load and failures at fixed times, which runs until [endSeconds] of virtual time. */
 internal class TranscriptSchedule(
     val name: String,
-    private val endsAt: Double,
-    private val cluster: () -> SimulatedCluster,
+    private val endSeconds: Double,
+    private val newCluster: () -> SimulatedCluster,
     private val prepare: SimulatedCluster.() -> Unit,
 ) {
-    fun play(): Transcript {
-        val prepared = cluster()
-        val transcript = Transcript(prepared)
-        prepared.prepare()
-        prepared.run(endsAt)
+    fun run(): Transcript {
+        val cluster = newCluster()
+        val transcript = Transcript(cluster)
+        cluster.prepare()
+        cluster.run(endSeconds)
         return transcript
     }
 
--- a/src/test/kotlin/burlridge/transcript/TranscriptSchedules.kt
+++ b/src/test/kotlin/burlridge/transcript/TranscriptSchedules.kt
@@ -24,11 +24,11 @@
     action: () -> Unit,
 ) = clock.after(seconds, action)
 
-/** Arrays of two teams, one of which has a guarantee and a limit; every seventh is cancelled. */
-private fun SimulatedCluster.arrays(
+/** Submits arrays of two teams, one of which has a guaranteed share and a limit; every seventh is cancelled. */
+private fun SimulatedCluster.submitArrays(
     count: Int,
     from: Double = 5.0,
-    every: Double = 2.0,
+    intervalSeconds: Double = 2.0,
 ) = repeat(count) { i ->
     val spec =
         when (i % 5) {
@@ -38,7 +38,7 @@
             3 -> job(i, 2, cpus = 8.0, jobClass = "bulk", runSeconds = 30.0, spot = false)
             else -> job(i, 6, cpus = 1.0, zone = "b", runSeconds = 8.0, team = "crew-x")
         }
-    at(from + i * every) { submit(spec, abortAfter = if (i % 7 == 6) 10.0 else null) }
+    at(from + i * intervalSeconds) { submit(spec, abortAfter = if (i % 7 == 6) 10.0 else null) }
 }
 
 private fun SimulatedCluster.atLeader(
@@ -46,15 +46,15 @@
     action: (leader: String) -> Unit,
 ) = at(seconds) { leader()?.let(action) }
 
-/** Jobs that several teams submit above their limit, while some are cancelled. */
-private fun SimulatedCluster.teamsAtTheirLimit() {
+/** Submits jobs of two teams, one of which exceeds its limit and has some of its jobs cancelled. */
+private fun SimulatedCluster.submitJobsAboveTeamLimit() {
     repeat(12) { i ->
         at(5.0 + i) { submit(job(i, 10, cpus = 2.0, runSeconds = 20.0, team = "crew-x"), abortAfter = if (i % 4 == 3) 12.0 else null) }
         at(5.5 + i) { submit(job(100 + i, 6, cpus = 2.0, runSeconds = 12.0, jobClass = "bulk")) }
     }
 }
 
-private fun SimulatedCluster.lateWrites(
+private fun SimulatedCluster.delayOrLoseWrites(
     from: Double,
     until: Double,
 ) {
@@ -73,7 +73,7 @@
     operator = OperatorSettings(failover = FailoverSettings(standbys = 1)),
 )
 
-private fun SimulatedCluster.savingJobs(count: Int): List<JobSpec> =
+private fun SimulatedCluster.submitSavingJobs(count: Int): List<JobSpec> =
     submitAll((0 until count).map { savingJob(it, 1 + it % 4, runSeconds = 30.0) }, from = 10.0, everySeconds = 1.5)
 
 internal val TRANSCRIPT_SCHEDULES: List<TranscriptSchedule> =
@@ -86,9 +86,9 @@
         }) {
             at(14.0) { submit(gang(1, 2, runSeconds = 4.0)) }
         },
-        TranscriptSchedule("arrays", 150.0, { SimulatedCluster(403) }) { arrays(24) },
+        TranscriptSchedule("arrays", 150.0, { SimulatedCluster(403) }) { submitArrays(24) },
         TranscriptSchedule("five-members-at-their-limits", 140.0, { SimulatedCluster(404, members = (0 until 5).map { "drover-$it" }) }) {
-            teamsAtTheirLimit()
+            submitJobsAboveTeamLimit()
             sendWrongOnes(60.0)
             atLeader(30.0) { crash(it, 5.0) }
         },
@@ -99,20 +99,20 @@
             at(70.0) { cloud.worker(cloud.names().first())?.recall(12.0) }
         },
         TranscriptSchedule("leader-killed", 150.0, { SimulatedCluster(406) }) {
-            arrays(20)
+            submitArrays(20)
             atLeader(25.0) { crash(it, 2.0) }
             atLeader(50.0) { crash(it, 0.2) }
             at(80.0) { members.forEach { crash(it, 3.0) } }
         },
         TranscriptSchedule("leader-frozen", 150.0, { SimulatedCluster(407) }) {
-            arrays(20)
+            submitArrays(20)
             atLeader(25.0) { freeze(it, 3.0) }
             atLeader(45.0) { freeze(it, 20.0) }
             atLeader(80.0) { pauseMidStep(it, 15.0) }
         },
         TranscriptSchedule("leader-cut", 170.0, { SimulatedCluster(408) }) {
             cutsHoldPackets = true
-            arrays(20)
+            submitArrays(20)
             atLeader(25.0) { cut(it, "state", 20.0) }
             atLeader(60.0) {
                 cut(it, "state", 25.0)
@@ -123,25 +123,25 @@
         TranscriptSchedule("leader-refused", 160.0, { SimulatedCluster(409) }) {
             val long = (0 until 4).map { job(200 + it, 3, runSeconds = 60.0) }
             long.forEach { spec -> at(8.0) { submit(spec) } }
-            arrays(12)
+            submitArrays(12)
             atLeader(30.0) { refuse(it, 15.0) }
             at(30.5) { long.take(2).forEach { abort(it) } }
             at(33.0) { state.outage(25.0) }
             at(34.0) { long.drop(2).forEach { abort(it) } }
         },
         TranscriptSchedule("store-outage", 160.0, { SimulatedCluster(410) }) {
-            arrays(20)
+            submitArrays(20)
             at(28.0) { state.outage(20.0) }
             at(70.0) { state.outage(3.0) }
             state.limitWrites(10.0)
         },
         TranscriptSchedule("late-writes", 170.0, { SimulatedCluster(411) }) {
-            arrays(20)
-            lateWrites(15.0, 60.0)
+            submitArrays(20)
+            delayOrLoseWrites(15.0, 60.0)
             atLeader(40.0) { crash(it, 4.0) }
         },
         TranscriptSchedule("rentals-and-returns", 230.0, { SimulatedCluster(412) }) {
-            arrays(12)
+            submitArrays(12)
             at(15.0) { cloud.down = true }
             at(30.0) { cloud.down = false }
             at(40.0) {
@@ -157,13 +157,13 @@
         TranscriptSchedule("rolling-restart", 200.0, {
             SimulatedCluster(413, next = """{"value_kb":2,"txn_ops":4,"write_rps":30}""", old = true)
         }) {
-            arrays(24)
+            submitArrays(24)
             members.forEachIndexed { i, member -> upgradeAt(member, 25.0 + 12.0 * i) }
             at(75.0) { state.lower(valueKb = 2.0, changesPerTransaction = 4) }
             at(80.0) { submit(gang(90, 6)) }
         },
         TranscriptSchedule("machines-out-of-reach", 180.0, { SimulatedCluster(414) }) {
-            arrays(20)
+            submitArrays(20)
             at(30.0) { cloud.names().take(2).forEach { deafen(it, 20.0) } }
             at(40.0) { cloud.names().takeLast(2).forEach { mute(it, 30.0) } }
             at(50.0) { cloud.names().take(2).forEach { cloud.worker(it)?.hang(15.0) } }
@@ -172,7 +172,7 @@
             copyAfter = { if (clock.now < 80.0 && random.nextInt(5) == 0) 20.0 else null }
         },
         TranscriptSchedule("failover-handovers", 150.0, { failoverCluster(415, 3) }) {
-            arrays(20)
+            submitArrays(20)
             atLeader(30.0) { leader ->
                 drain(leader)
                 at(6.0) { crash(leader, 2.0) }
@@ -182,13 +182,13 @@
         },
         TranscriptSchedule("failover-five-members", 150.0, { failoverCluster(416, 5) }) {
             repeat(4) { i -> at(20.0 + 8.0 * i) { submit(gang(50 + i, 5)) } }
-            arrays(14)
+            submitArrays(14)
             atLeader(35.0) { drain(it) }
             atLeader(36.0) { crash(it, 4.0) }
             at(70.0) { state.outage(10.0) }
         },
         TranscriptSchedule("balance-drains-and-moves", 160.0, { balancedCluster(417) }) {
-            savingJobs(14)
+            submitSavingJobs(14)
             at(30.0) { drainZone("a") }
             atLeader(34.0) { crash(it, 4.0) }
             at(70.0) { undrainZone("a") }
@@ -196,19 +196,19 @@
         TranscriptSchedule("balance-and-failover", 160.0, {
             balancedCluster(418, members = 5, failover = true, operatorOf = { balanced(failover = true) })
         }) {
-            savingJobs(14)
+            submitSavingJobs(14)
             repeat(2) { i -> at(22.0 + 9.0 * i) { submit(gang(60 + i, 4, runSeconds = 25.0)) } }
             at(32.0) { drainZone("b") }
             atLeader(40.0) { drain(it) }
             at(50.0) { cloud.names().take(2).forEach { cloud.worker(it)?.slowness = 8.0 } }
         },
         TranscriptSchedule("drawn-failures", 260.0, { SimulatedCluster(419) }) {
-            arrays(24)
+            submitArrays(24)
             RandomFaults(this, 419).draw(10, 20.0, 120.0)
         },
         TranscriptSchedule("drawn-failures-with-gangs", 260.0, { failoverCluster(420, 3) }) {
             repeat(6) { i -> at(25.0 + 9.0 * i) { submit(gang(70 + i, 3 + i)) } }
-            arrays(16)
+            submitArrays(16)
             RandomFaults(this, 420).draw(10, 20.0, 120.0)
         },
     )
--- a/src/test/kotlin/burlridge/transcript/TranscriptTest.kt
+++ b/src/test/kotlin/burlridge/transcript/TranscriptTest.kt
@@ -8,20 +8,20 @@
 import java.nio.file.Path
 
 /**
- * Holds the controllers' behaviour as it was recorded: a change of form alone changes no digest. Where one differs, the whole transcript
- * is written to `target/transcripts/`; `mvn test -Dtest=TranscriptTest -Dtranscripts=all` writes all of them, so that those of two
- * versions can be compared.
+ * Checks that the controllers behave as recorded: a refactoring changes no digest. If a digest differs, the whole transcript is written to
+ * `target/transcripts/`; `mvn test -Dtest=TranscriptTest -Dtranscripts=all` writes all of them, so that those of two versions can be
+ * compared.
  */
 internal class TranscriptTest {
-    private class Recorded(
+    private class RecordedDigest(
         val digest: String,
         val lines: Int,
     )
 
-    private val recorded: Map<String, Recorded> =
+    private val recorded: Map<String, RecordedDigest> =
         resource("digests.txt").lines().filter { it.isNotBlank() }.associate { line ->
             val (name, digest, lines) = line.split(' ')
-            name to Recorded(digest, lines.toInt())
+            name to RecordedDigest(digest, lines.toInt())
         }
 
     private fun resource(name: String): String = checkNotNull(javaClass.getResource("/transcripts/$name")) { "no $name" }.readText()
@@ -40,8 +40,8 @@
 
     @ParameterizedTest
     @MethodSource("schedules")
-    fun `a schedule gives the transcript that was recorded`(schedule: TranscriptSchedule) {
-        val transcript = schedule.play()
+    fun `a schedule produces the recorded digest`(schedule: TranscriptSchedule) {
+        val transcript = schedule.run()
         val expected = recorded[schedule.name]
         val matches = expected?.digest == transcript.digest()
         if (!matches || System.getProperty("transcripts") != null) write(schedule, transcript)
@@ -51,12 +51,12 @@
 
     @ParameterizedTest
     @MethodSource("shortSchedules")
-    fun `a short schedule gives the transcript that is kept for people to read`(schedule: TranscriptSchedule) {
-        assertEquals(resource("${schedule.name}.txt"), schedule.play().text())
+    fun `a short schedule produces the recorded transcript`(schedule: TranscriptSchedule) {
+        assertEquals(resource("${schedule.name}.txt"), schedule.run().text())
     }
 
     @Test
-    fun `every digest belongs to a schedule`() {
+    fun `exactly the schedules have recorded digests`() {
         assertEquals(schedules().map { it.name }.toSet(), recorded.keys)
     }
 
