--- a/src/test/kotlin/burlridge/simulation/ScaleTest.kt
+++ b/src/test/kotlin/burlridge/simulation/ScaleTest.kt
@@ -69,7 +69,10 @@
             assertEquals(leader, cluster.leader())
             val counters = cluster.work(leader).mapValues { (name, amount) -> amount - (before[name] ?: 0L) }
             val heartbeats = counters.getValue("worker.reports")
-            assertTrue(heartbeats in (machines * IDLE_SECONDS / 4).toLong()..(machines * IDLE_SECONDS / 2.5).toLong(), "heartbeats: $counters")
+            assertTrue(
+                heartbeats in (machines * IDLE_SECONDS / 4).toLong()..(machines * IDLE_SECONDS / 2.5).toLong(),
+                "heartbeats: $counters",
+            )
             assertTrue((counters["worker.reports_read"] ?: 0L) <= heartbeats / 100, "heartbeats that were decoded: $counters")
             assertEquals(0L, counters["worker.commands"] ?: 0L, "commands: $counters")
             assertEquals(0L, counters["intent.rows"] ?: 0L, "rows: $counters")
