--- a/src/main/kotlin/burlridge/app/AdminCommand.kt
+++ b/src/main/kotlin/burlridge/app/AdminCommand.kt
@@ -66,7 +66,7 @@
             Json.obj {
                 put(target.kind, target.value)
                 put("force", forced)
-                put(MachineRequests.ASKED, System.currentTimeMillis())
+                put(MachineRequests.REQUESTED_AT_KEY, System.currentTimeMillis())
             }
         val answer =
             requestIfEnabled("POST", path, Json.write(request)) ?: throw Failure("the controller at $address has no balance switched on")
--- a/src/main/kotlin/burlridge/balance/Balance.kt
+++ b/src/main/kotlin/burlridge/balance/Balance.kt
@@ -40,8 +40,8 @@
         }
     private val cordons = Cordons(index, workers, dependencies.fleet, decisions)
     private val drainSafety = DrainSafety(context.settings, dependencies.registry, workers, dependencies.fleet)
-    private val times = context.settings.workers
-    private val retentionMillis = (times.leaseSeconds * RETENTION_LEASES * MILLIS_PER_SECOND).toLong()
+    private val workerTimes = context.settings.workers
+    private val retentionMillis = (workerTimes.leaseSeconds * RETENTION_LEASES * MILLIS_PER_SECOND).toLong()
     private var nextSweepAt = 0.0
     private var progress: Map<Drain, DrainProgress> = emptyMap()
 
@@ -60,7 +60,7 @@
 
     override fun reservations(): List<CapacityReservation> = moves.reservations()
 
-    override fun isAvoided(machine: Machine): Boolean = machine.id in hotspots.hot
+    override fun isAvoided(machine: Machine): Boolean = machine.id in hotspots.hotMachines
 
     override fun onPlaced(
         taskName: String,
@@ -71,7 +71,7 @@
     /** The decisions of this term about the task or machine [subject], with reasons, as JSON. */
     fun explain(subject: String): JsonNode = decisions.explain(subject)
 
-    override fun remainingStarts(machine: Machine): Int = slowStart.startsLeft(machine)
+    override fun remainingStarts(machine: Machine): Int = slowStart.remainingStarts(machine)
 
     override fun fetchSeconds(
         machine: Machine,
@@ -109,7 +109,7 @@
     /** Advances moves and drains, ten times per heartbeat interval. */
     fun tick() {
         if (context.now < nextSweepAt) return
-        nextSweepAt = context.now + times.reportSeconds / SWEEPS_PER_REPORT
+        nextSweepAt = context.now + workerTimes.reportSeconds / SWEEPS_PER_HEARTBEAT_INTERVAL
         moves.tick()
         hotspots.tick()
         if (moves.openMoves.isNotEmpty()) requestPlacement()
@@ -124,8 +124,8 @@
         when (drain.state) {
             DrainState.REQUESTED -> drains.advance(drain, DrainState.DRAINING)
             DrainState.DRAINING -> if (isEmptied(drain)) drains.advance(drain, DrainState.DRAINED)
-            DrainState.DRAINED -> if (drain.target is DrainTarget.SingleMachine && isExpired(drain)) drains.forget(drain)
-            DrainState.CANCELLED -> if (isExpired(drain)) drains.forget(drain)
+            DrainState.DRAINED -> if (drain.target is DrainTarget.SingleMachine && isExpired(drain)) drains.deleteRow(drain)
+            DrainState.CANCELLED -> if (isExpired(drain)) drains.deleteRow(drain)
         }
     }
 
@@ -149,8 +149,8 @@
         forced: Boolean,
         onResult: (DrainChange) -> Unit,
     ) {
-        val exists = drainSafety.checkExists(target)
-        val check = if (exists == DrainCheck.Allowed && !forced) drainSafety.checkCapacityRemains(target, index) else exists
+        val existence = drainSafety.checkExists(target)
+        val check = if (existence == DrainCheck.Allowed && !forced) drainSafety.checkCapacityRemains(target, index) else existence
         when (check) {
             is DrainCheck.Refused -> onResult(DrainChange.Refused(check.reason))
             DrainCheck.Allowed -> drains.request(target, DrainCause.OPERATOR, onResult)
@@ -179,11 +179,11 @@
             context.settings.member,
             drains.all.map { DrainReport(it, progress[it] ?: DrainProgress()) },
             machinesWithReclaimNotice(),
-            hotspots.hot.associateWith { hotspots.loadTracker.slowdown(it, context.now) },
+            hotspots.hotMachines.associateWith { hotspots.loadTracker.slowdown(it, context.now) },
             moves.openMoves,
-            moves.spentLately,
+            moves.tasksMovedInWindow,
             settings.movesPerMinute,
-            (drains.damaged + moves.damaged).toList(),
+            (drains.damagedRows + moves.damagedRows).toList(),
         )
 
     /** Spot machines that the cloud reclaims; their workers repeat the notice in every heartbeat, so it needs no row. */
@@ -195,7 +195,7 @@
     internal companion object {
         /** Prefixes of the rows that a new leader reads for this package. */
         val PREFIXES: List<String> = listOf(Drain.PREFIX, MoveBatch.PREFIX)
-        private const val SWEEPS_PER_REPORT = 10
+        private const val SWEEPS_PER_HEARTBEAT_INTERVAL = 10
         private const val MILLIS_PER_SECOND = 1000
 
         /** How long the row of a finished drain is kept, in worker leases. */
--- a/src/main/kotlin/burlridge/balance/BalanceReport.kt
+++ b/src/main/kotlin/burlridge/balance/BalanceReport.kt
@@ -13,16 +13,16 @@
     fun encode(to: ObjectNode) {
         drain.target
             .encode(to)
-            .put("state", drain.state.wire)
-            .put("cause", drain.cause.wire)
+            .put("state", drain.state.wireName)
+            .put("cause", drain.cause.wireName)
             .put("requested_ms", drain.requestedMillis)
             .put("changed_ms", drain.changedMillis)
         if (progress == null) return
         to
-            .put("machines_left", progress.machines)
-            .put("tasks_left", progress.tasks.values.sum())
-        val waits = to.putObject("waits_for")
-        progress.tasks.forEach { (reason, count) -> waits.put(reason.text, count) }
+            .put("machines_left", progress.machineCount)
+            .put("tasks_left", progress.tasksByDelay.values.sum())
+        val waitsFor = to.putObject("waits_for")
+        progress.tasksByDelay.forEach { (reason, count) -> waitsFor.put(reason.text, count) }
     }
 }
 
@@ -33,9 +33,9 @@
     /** Machines with a spot reclaim notice. */
     private val machinesWithReclaimNotice: List<String>,
     /** Hot machines with their slowdown. */
-    private val hot: Map<String, Double>,
+    private val hotMachines: Map<String, Double>,
     private val moves: List<Move>,
-    private val movedLately: Int,
+    private val tasksMovedInWindow: Int,
     private val movesPerMinute: Int,
     private val damagedRows: List<String>,
 ) {
@@ -46,10 +46,10 @@
             putArray("drains").also { list -> drains.forEach { it.encode(list.addObject()) } }
             putArray("machines_with_notice").also { list -> machinesWithReclaimNotice.forEach(list::add) }
             val slowdowns = putObject("hot_machines")
-            hot.forEach { (machine, slowdown) -> slowdowns.put(machine, slowdown) }
+            hotMachines.forEach { (machine, slowdown) -> slowdowns.put(machine, slowdown) }
             putArray("moves").also { list -> moves.take(MAX_LISTED_MOVES).forEach { encode(it, list.addObject()) } }
             put("open_moves", moves.size)
-            put("moved_lately", movedLately)
+            put("moved_lately", tasksMovedInWindow)
             put("moves_per_minute", movesPerMinute)
             putArray("damaged_rows").also { list -> damagedRows.forEach(list::add) }
         }
@@ -59,12 +59,12 @@
         to: ObjectNode,
     ) {
         to
-            .put("task", if (move.isGang) "${move.job} (gang of ${move.tasks})" else move.taskName)
+            .put("task", if (move.isGang) "${move.job} (gang of ${move.taskCount})" else move.taskName)
             .put("run", move.attempt)
             .put("from", move.from)
             .put("to", move.to)
-            .put("time", move.count)
-            .put("reason", move.reason.wire)
+            .put("time", move.moveNumber)
+            .put("reason", move.reason.wireName)
     }
 
     private companion object {
--- a/src/main/kotlin/burlridge/balance/Cordons.kt
+++ b/src/main/kotlin/burlridge/balance/Cordons.kt
@@ -13,11 +13,11 @@
     private val decisions: DecisionLog,
 ) {
     /** Machines of a drained network that were seen to join; each holds off new rentals of its kind once. */
-    private val heldOffMachines = HashSet<String>()
+    private val backedOffMachines = HashSet<String>()
 
     /** Forgets what this term has seen. */
     fun clear() {
-        heldOffMachines.clear()
+        backedOffMachines.clear()
     }
 
     /** Compares all machines with the drains. */
@@ -37,7 +37,7 @@
             if (drain.cause == DrainCause.SLOW) workers.evictStraggler(machine) else machine.drainReason = DrainReason.OPERATOR
         }
         // The cloud cannot be told in which network to put machines, so its kind is not rented again for a while.
-        if (drain.target is DrainTarget.Network && machine.idleSince >= machine.knownSince && heldOffMachines.add(machine.id)) {
+        if (drain.target is DrainTarget.Network && machine.idleSince >= machine.knownSince && backedOffMachines.add(machine.id)) {
             fleet.backOff(machine)
         }
     }
--- a/src/main/kotlin/burlridge/balance/Decision.kt
+++ b/src/main/kotlin/burlridge/balance/Decision.kt
@@ -31,9 +31,9 @@
         override val kind: String get() = "Planned"
         override val subjects: List<String> get() = listOfNotNull(move.taskName, move.job, move.from, move.to)
         override val text: String get() {
-            val what = if (move.isGang) "gang ${move.job} of ${move.tasks}" else move.taskName
+            val what = if (move.isGang) "gang ${move.job} of ${move.taskCount}" else move.taskName
             val where = move.to?.let { "to $it, where room is kept" } ?: "to wherever there is room"
-            return "$what run ${move.attempt} is moved from ${move.from} $where (${move.reason.wire}), move ${move.count} of it"
+            return "$what run ${move.attempt} is moved from ${move.from} $where (${move.reason.wireName}), move ${move.moveNumber} of it"
         }
     }
 
@@ -96,7 +96,7 @@
         override val kind: String get() = "Covered"
         override val subjects: List<String> get() = listOf(machine)
         override val text: String
-            get() = "$machine is out of service: drain of ${drain.target.kind} ${drain.target.value} (${drain.cause.wire})"
+            get() = "$machine is out of service: drain of ${drain.target.kind} ${drain.target.value} (${drain.cause.wireName})"
     }
 
     /** A machine serves again since no drain applies to it any more. */
--- a/src/main/kotlin/burlridge/balance/DecisionLog.kt
+++ b/src/main/kotlin/burlridge/balance/DecisionLog.kt
@@ -17,20 +17,20 @@
     private val entries = ArrayDeque<Entry>()
 
     /** Decisions of this term, including those dropped. */
-    private var count = 0L
+    private var totalCount = 0L
     private var sinceMillis = 0L
 
     /** Forgets everything: a new term begins, or this one has ended. */
     fun clear() {
         entries.clear()
-        count = 0
+        totalCount = 0
         sinceMillis = context.wallMillis
     }
 
     /** Records and counts [decision]. */
     fun add(decision: Decision) {
         context.count(COUNTER + decision.kind)
-        count++
+        totalCount++
         entries.addLast(Entry(context.wallMillis, decision))
         if (entries.size > maxEntries) entries.removeFirst()
     }
@@ -41,7 +41,7 @@
             put("member", context.settings.member)
             put("subject", subject)
             put("since_ms", sinceMillis)
-            put("dropped", count - entries.size)
+            put("dropped", totalCount - entries.size)
             putArray("decisions").also { list ->
                 entries.filter { subject in it.decision.subjects }.forEach { entry ->
                     list
--- a/src/main/kotlin/burlridge/balance/Drain.kt
+++ b/src/main/kotlin/burlridge/balance/Drain.kt
@@ -6,7 +6,7 @@
 
 /** How far a drain has come; only the leader changes it, by a fenced write. */
 internal enum class DrainState(
-    val wire: String,
+    val wireName: String,
 ) {
     /** Accepted and durable; nothing has been done for it yet. */
     REQUESTED("requested"),
@@ -22,13 +22,13 @@
     ;
 
     internal companion object {
-        fun of(wire: String): DrainState? = entries.firstOrNull { it.wire == wire }
+        fun of(wireName: String): DrainState? = entries.firstOrNull { it.wireName == wireName }
     }
 }
 
 /** Why the machines are to be emptied. */
 internal enum class DrainCause(
-    val wire: String,
+    val wireName: String,
 ) {
     OPERATOR("operator"),
 
@@ -37,7 +37,7 @@
     ;
 
     internal companion object {
-        fun of(wire: String): DrainCause? = entries.firstOrNull { it.wire == wire }
+        fun of(wireName: String): DrainCause? = entries.firstOrNull { it.wireName == wireName }
     }
 }
 
@@ -57,13 +57,13 @@
     val rowKey: String get() = PREFIX + target.key
 
     /** Whether machines are cordoned for it. */
-    val active: Boolean get() = state != DrainState.CANCELLED
+    val isActive: Boolean get() = state != DrainState.CANCELLED
 
     /** The value of its row. */
     fun encode(): JsonNode =
         Json.obj {
-            put("st", state.wire)
-            put("cause", cause.wire)
+            put("st", state.wireName)
+            put("cause", cause.wireName)
             put("at", requestedMillis)
             put("changed", changedMillis)
             target.encode(putObject("target"))
--- a/src/main/kotlin/burlridge/balance/DrainIndex.kt
+++ b/src/main/kotlin/burlridge/balance/DrainIndex.kt
@@ -16,7 +16,7 @@
 
     /** Replaces the index by the active ones of [drains]. */
     fun rebuild(drains: List<Drain>) {
-        val active = drains.filter { it.active }
+        val active = drains.filter { it.isActive }
         byMachine = active.filter { it.target is DrainTarget.SingleMachine }.associateBy { it.target.value }
         byZone = active.filter { it.target is DrainTarget.Zone }.associateBy { it.target.value }
         networks = active.filter { it.target is DrainTarget.Network }
@@ -27,9 +27,9 @@
     fun isDrained(zone: String): Boolean = zone in byZone
 
     /** The active drain that covers [machine], a more specific one first; null for none. */
-    fun covering(machine: Machine): Drain? = byMachine[machine.id] ?: byZone[machine.zone] ?: inNetwork(machine)
+    fun covering(machine: Machine): Drain? = byMachine[machine.id] ?: byZone[machine.zone] ?: coveringNetwork(machine)
 
-    private fun inNetwork(machine: Machine): Drain? {
+    private fun coveringNetwork(machine: Machine): Drain? {
         if (networks.isEmpty()) return null
         val host = machine.address?.host ?: return null
         if (byHost.size >= MAX_CACHED_HOSTS) byHost.clear()
--- a/src/main/kotlin/burlridge/balance/DrainProgress.kt
+++ b/src/main/kotlin/burlridge/balance/DrainProgress.kt
@@ -20,16 +20,16 @@
 /** What is left on the machines of one drain. */
 internal class DrainProgress {
     /** Machines that the drain covers and that are still there. */
-    var machines: Int = 0
+    var machineCount: Int = 0
 
-    /** Remaining tasks by the reason why they are still there. */
-    val tasks: EnumMap<EvictionDelay, Int> = EnumMap(EvictionDelay::class.java)
+    /** Remaining tasks by the delay why they are still there. */
+    val tasksByDelay: EnumMap<EvictionDelay, Int> = EnumMap(EvictionDelay::class.java)
 
-    /** Counts [count] further tasks that remain for [reason]. */
+    /** Counts [count] further tasks that remain for [delay]. */
     fun addRemaining(
-        reason: EvictionDelay,
+        delay: EvictionDelay,
         count: Int = 1,
     ) {
-        tasks.merge(reason, count, Int::plus)
+        tasksByDelay.merge(delay, count, Int::plus)
     }
 }
--- a/src/main/kotlin/burlridge/balance/DrainRegistry.kt
+++ b/src/main/kotlin/burlridge/balance/DrainRegistry.kt
@@ -41,14 +41,14 @@
         var drain: Drain?,
     ) {
         /** The change that is being written, and the callbacks that wait for its outcome. */
-        var writing: Drain? = null
-        val waiters = ArrayList<(DrainChange) -> Unit>()
+        var pendingWrite: Drain? = null
+        val callbacks = ArrayList<(DrainChange) -> Unit>()
     }
 
     private val entries = LinkedHashMap<String, Entry>()
 
     /** Keys of rows that cannot be read; they are left as they are. */
-    val damaged: LinkedHashSet<String> = LinkedHashSet()
+    val damagedRows: LinkedHashSet<String> = LinkedHashSet()
 
     /** All drains, cancelled ones that are still kept included. */
     val all: List<Drain> get() = entries.values.mapNotNull { it.drain }
@@ -57,7 +57,7 @@
     /** Forgets everything: a new term begins, or this one has ended. */
     fun clear() {
         entries.clear()
-        damaged.clear()
+        damagedRows.clear()
         onChange()
     }
 
@@ -67,7 +67,7 @@
         if (drain != null) {
             entries[row.key] = Entry(drain)
             onChange()
-        } else if (damaged.add(row.key)) {
+        } else if (damagedRows.add(row.key)) {
             context.infoLimited("drain row unreadable", "row" to row.key)
         }
     }
@@ -79,11 +79,11 @@
         onResult: (DrainChange) -> Unit,
     ) {
         val key = Drain.PREFIX + target.key
-        if (key in damaged) return onResult(DrainChange.Refused("its row $key is damaged; remove it first"))
+        if (key in damagedRows) return onResult(DrainChange.Refused("its row $key is damaged; remove it first"))
         val entry = entries.getOrPut(key) { Entry(null) }
-        val now = entry.drain
-        if (entry.writing == null && now?.active == true) return onResult(DrainChange.Written(now))
-        val next = Drain(target, cause, DrainState.REQUESTED, context.wallMillis, context.wallMillis, now?.modRevision ?: 0)
+        val current = entry.drain
+        if (entry.pendingWrite == null && current?.isActive == true) return onResult(DrainChange.Written(current))
+        val next = Drain(target, cause, DrainState.REQUESTED, context.wallMillis, context.wallMillis, current?.modRevision ?: 0)
         change(entry, next, onResult)
     }
 
@@ -93,13 +93,13 @@
         onResult: (DrainChange) -> Unit,
     ) {
         val entry = entries[Drain.PREFIX + target.key]
-        val now = entry?.drain
-        if (entry == null || (now == null && entry.writing == null)) {
+        val current = entry?.drain
+        if (entry == null || (current == null && entry.pendingWrite == null)) {
             return onResult(DrainChange.Refused("there is no drain of ${target.kind} ${target.value}"))
         }
-        if (now == null) return onResult(DrainChange.Busy)
-        if (entry.writing == null && !now.active) return onResult(DrainChange.Written(now))
-        change(entry, now.copy(state = DrainState.CANCELLED, changedMillis = context.wallMillis), onResult)
+        if (current == null) return onResult(DrainChange.Busy)
+        if (entry.pendingWrite == null && !current.isActive) return onResult(DrainChange.Written(current))
+        change(entry, current.copy(state = DrainState.CANCELLED, changedMillis = context.wallMillis), onResult)
     }
 
     /** Puts [drain] into [state]. Nothing happens while another change of it is being written: the next sweep asks again. */
@@ -108,7 +108,11 @@
         state: DrainState,
     ) {
         val entry = entries[drain.rowKey] ?: return
-        if (entry.writing == null && entry.drain == drain) change(entry, drain.copy(state = state, changedMillis = context.wallMillis)) {}
+        if (entry.pendingWrite == null &&
+            entry.drain == drain
+        ) {
+            change(entry, drain.copy(state = state, changedMillis = context.wallMillis)) {}
+        }
     }
 
     private fun change(
@@ -116,15 +120,15 @@
         next: Drain,
         onResult: (DrainChange) -> Unit,
     ) {
-        val writing = entry.writing
+        val pendingWrite = entry.pendingWrite
         when {
-            writing == null -> {
-                entry.waiters += onResult
+            pendingWrite == null -> {
+                entry.callbacks += onResult
                 write(entry, next)
             }
 
-            writing.active == next.active -> {
-                entry.waiters += onResult
+            pendingWrite.isActive == next.isActive -> {
+                entry.callbacks += onResult
             }
 
             else -> {
@@ -137,7 +141,7 @@
         entry: Entry,
         next: Drain,
     ) {
-        entry.writing = next
+        entry.pendingWrite = next
         val transaction =
             Transaction(
                 listOf(leadership.fenceCondition(), Condition(next.rowKey, next.modRevision)),
@@ -148,7 +152,7 @@
                 result is TransactionResult.Committed -> onWritten(entry, next.copy(modRevision = result.revision))
                 result is TransactionResult.Conflict && Leadership.TERM_ROW_KEY in result.failed -> leadership.stepDownOnSupersededTerm()
                 result is TransactionResult.Conflict -> readBack(entry, next)
-                else -> settle(entry, entry.drain, DrainChange.Refused("its row is not taken by the state service"))
+                else -> finishWrite(entry, entry.drain, DrainChange.Refused("its row is not taken by the state service"))
             }
         }
     }
@@ -158,14 +162,14 @@
         entry: Entry,
         next: Drain,
     ) {
-        val mine = leadership.whileLeading(leadership.term)
+        val isStillLeading = leadership.whileLeading(leadership.term)
         store.get(next.rowKey, RequestPriority.CLAIM) { read ->
             val row = (read as? ReadResult.Found)?.value
             when {
-                !mine() -> Unit
-                read is ReadResult.Failed -> context.schedule(RETRY_SECONDS) { if (mine()) readBack(entry, next) }
+                !isStillLeading() -> Unit
+                read is ReadResult.Failed -> context.schedule(RETRY_SECONDS) { if (isStillLeading()) readBack(entry, next) }
                 row != null && next.isWrittenIn(row) -> onWritten(entry, next.copy(modRevision = row.modRevision))
-                else -> settle(entry, row?.let(Drain::decode), DrainChange.Refused("its row was changed by someone else"))
+                else -> finishWrite(entry, row?.let(Drain::decode), DrainChange.Refused("its row was changed by someone else"))
             }
         }
     }
@@ -177,31 +181,31 @@
         context.info(
             "drain changed",
             drain.target.kind to drain.target.value,
-            "state" to drain.state.wire,
-            "cause" to drain.cause.wire,
+            "state" to drain.state.wireName,
+            "cause" to drain.cause.wireName,
         )
-        settle(entry, drain, DrainChange.Written(drain))
+        finishWrite(entry, drain, DrainChange.Written(drain))
     }
 
-    private fun settle(
+    private fun finishWrite(
         entry: Entry,
         drain: Drain?,
         outcome: DrainChange,
     ) {
-        val key = entry.writing?.rowKey
+        val key = entry.pendingWrite?.rowKey
         entry.drain = drain
-        entry.writing = null
+        entry.pendingWrite = null
         if (drain == null && key != null) entries.remove(key)
         onChange()
-        val notified = entry.waiters.toList()
-        entry.waiters.clear()
-        notified.forEach { it(outcome) }
+        val pendingCallbacks = entry.callbacks.toList()
+        entry.callbacks.clear()
+        pendingCallbacks.forEach { it(outcome) }
     }
 
     /** Removes the row of a [drain] that ended long ago. */
-    fun forget(drain: Drain) {
-        val entry = entries[drain.rowKey]?.takeIf { it.writing == null && it.drain == drain } ?: return
-        entry.writing = drain
+    fun deleteRow(drain: Drain) {
+        val entry = entries[drain.rowKey]?.takeIf { it.pendingWrite == null && it.drain == drain } ?: return
+        entry.pendingWrite = drain
         val transaction =
             Transaction(
                 listOf(leadership.fenceCondition(), Condition(drain.rowKey, drain.modRevision)),
@@ -212,7 +216,7 @@
                 result is TransactionResult.Conflict && Leadership.TERM_ROW_KEY in result.failed -> leadership.stepDownOnSupersededTerm()
 
                 // Only this leader writes the row: if its revision has moved on, an earlier copy of this write has removed it.
-                else -> settle(entry, null, DrainChange.Busy)
+                else -> finishWrite(entry, null, DrainChange.Busy)
             }
         }
     }
--- a/src/main/kotlin/burlridge/balance/DrainSafety.kt
+++ b/src/main/kotlin/burlridge/balance/DrainSafety.kt
@@ -26,7 +26,7 @@
     private val workers: WorkerManager,
     private val fleet: Fleet,
 ) {
-    private val guaranteed =
+    private val guaranteedTeams =
         settings.teams.values
             .filter { it.cpus > 0 || it.gpus > 0 }
             .mapTo(HashSet()) { it.name }
@@ -57,43 +57,43 @@
     /** Refuses a drain that takes the last machine on which a task of a guaranteed team, or a waiting task, fits. */
     fun checkCapacityRemains(
         target: DrainTarget,
-        drained: DrainIndex,
+        activeDrains: DrainIndex,
     ): DrainCheck {
-        val serving =
+        val servingMachines =
             workers.machines.values.filter {
                 it.isUp && !it.isLeaseExpired && !it.isDraining && it.reclaimAt == null &&
-                    drained.covering(it) == null
+                    activeDrains.covering(it) == null
             }
-        val (leaving, staying) = serving.partition(target::matches)
-        if (leaving.isEmpty()) return DrainCheck.Allowed
-        if (staying.isEmpty() && guaranteed.isNotEmpty()) {
+        val (drainedMachines, remainingMachines) = servingMachines.partition(target::matches)
+        if (drainedMachines.isEmpty()) return DrainCheck.Allowed
+        if (remainingMachines.isEmpty() && guaranteedTeams.isNotEmpty()) {
             return refused(
-                "it takes the last machine, and ${guaranteed.sorted().joinToString()} is guaranteed room; force it if that is meant",
+                "it takes the last machine, and ${guaranteedTeams.sorted().joinToString()} is guaranteed room; force it if that is meant",
             )
         }
-        val stranded =
+        val strandedJob =
             registry.jobs.values.firstOrNull {
-                needsCapacity(it) && leaving.any { m -> canHold(m, it.spec) } &&
-                    staying.none { m -> canHold(m, it.spec) }
+                needsCapacity(it) && drainedMachines.any { machine -> canHold(machine, it.spec) } &&
+                    remainingMachines.none { machine -> canHold(machine, it.spec) }
             }
                 ?: return DrainCheck.Allowed
-        val owner = "${stranded.spec.id} (team ${stranded.spec.team})"
+        val owner = "${strandedJob.spec.id} (team ${strandedJob.spec.team})"
         return refused("it takes the last machine that can hold a task of $owner; force it if that is meant")
     }
 
     private fun refused(reason: String): DrainCheck = DrainCheck.Refused(reason)
 
-    private fun needsCapacity(job: Job): Boolean = !job.isEnding && (job.unallocatedCount > 0 || job.spec.team in guaranteed)
+    private fun needsCapacity(job: Job): Boolean = !job.isEnding && (job.unallocatedCount > 0 || job.spec.team in guaranteedTeams)
 
     private fun canHold(
         machine: Machine,
         spec: JobSpec,
     ): Boolean {
-        val whole =
+        val machineSize =
             fleet.catalog
                 ?.types
                 ?.get(machine.type)
                 ?.size ?: return false
-        return spec.taskResources.fits(whole) && spec.allows(machine.type, machine.zone, machine.spot)
+        return spec.taskResources.fits(machineSize) && spec.allows(machine.type, machine.zone, machine.spot)
     }
 }
--- a/src/main/kotlin/burlridge/balance/DrainTarget.kt
+++ b/src/main/kotlin/burlridge/balance/DrainTarget.kt
@@ -61,7 +61,8 @@
 
         override fun matches(machine: Machine): Boolean {
             val host = machine.address?.host ?: return false
-            val address = IPAddressString(host.removeSurrounding("[", "]"), ADDRESSES).address?.takeIf { !it.isPrefixed } ?: return false
+            val address =
+                IPAddressString(host.removeSurrounding("[", "]"), ADDRESS_FORMATS).address?.takeIf { !it.isPrefixed } ?: return false
             return block.contains(address)
         }
     }
@@ -70,10 +71,10 @@
         const val MACHINE: String = "machine"
         const val ZONE: String = "zone"
         const val NETWORK: String = "network"
-        private val NAME = Regex("[A-Za-z0-9._-]{1,100}")
+        private val NAME_PATTERN = Regex("[A-Za-z0-9._-]{1,100}")
 
         /** Plain addresses and blocks only; the library's further forms (ranges, wildcards, masks, octal) are refused. */
-        private val ADDRESSES: IPAddressStringParameters =
+        private val ADDRESS_FORMATS: IPAddressStringParameters =
             IPAddressStringParameters
                 .Builder()
                 .allowEmpty(false)
@@ -88,21 +89,21 @@
 
         /** The one target that [node] names. Throws [InvalidDrainTargetException]. */
         fun parse(node: JsonNode?): DrainTarget {
-            val named = listOf(MACHINE, ZONE, NETWORK).filter { node?.path(it)?.isTextual == true }
-            val kind = named.singleOrNull() ?: throw InvalidDrainTargetException("name one $MACHINE, one $NETWORK or one $ZONE")
+            val presentKinds = listOf(MACHINE, ZONE, NETWORK).filter { node?.path(it)?.isTextual == true }
+            val kind = presentKinds.singleOrNull() ?: throw InvalidDrainTargetException("name one $MACHINE, one $NETWORK or one $ZONE")
             val value = node?.path(kind)?.asText().orEmpty()
             return when (kind) {
-                MACHINE -> SingleMachine(name(kind, value))
-                ZONE -> Zone(name(kind, value))
-                else -> Network(block(value))
+                MACHINE -> SingleMachine(validName(kind, value))
+                ZONE -> Zone(validName(kind, value))
+                else -> Network(parseBlock(value))
             }
         }
 
-        private fun name(
+        private fun validName(
             kind: String,
             value: String,
         ): String =
-            if (NAME.matches(
+            if (NAME_PATTERN.matches(
                     value,
                 )
             ) {
@@ -111,8 +112,8 @@
                 throw InvalidDrainTargetException("\"${value.take(MAX_SHOWN_CHARS)}\" is no name of a $kind")
             }
 
-        private fun block(value: String): IPAddress {
-            val address = IPAddressString(value, ADDRESSES).address
+        private fun parseBlock(value: String): IPAddress {
+            val address = IPAddressString(value, ADDRESS_FORMATS).address
             val block = address?.let { if (it.isPrefixed) it.toPrefixBlock() else it }
             return block
                 ?: throw InvalidDrainTargetException(
--- a/src/main/kotlin/burlridge/balance/GracefulEviction.kt
+++ b/src/main/kotlin/burlridge/balance/GracefulEviction.kt
@@ -23,7 +23,7 @@
     private val registry: JobRegistry,
     private val workers: WorkerManager,
     private val moves: MoveExecutor,
-    private val targets: () -> MoveTargetFinder,
+    private val newTargetFinder: () -> MoveTargetFinder,
 ) {
     private val finishSeconds = settings.finishReports * context.settings.workers.reportSeconds
     private val capacityWaitSeconds = settings.roomLeases * context.settings.workers.leaseSeconds
@@ -41,7 +41,7 @@
         for (machine in workers.machines.values.toList()) {
             val drain = covering(machine) ?: continue
             val drainProgress = progress.getOrPut(drain) { DrainProgress() }
-            drainProgress.machines++
+            drainProgress.machineCount++
             if (machine.drainReason != DrainReason.OPERATOR) continue
             workers.releaseUndispatched(machine, LossReason.MACHINE_DRAINED)
             for (allocation in registry.allocations.byMachine[machine.id]
@@ -57,9 +57,9 @@
 
     private inner class Sweep {
         private val planned = ArrayList<Move>()
-        private val gangs = HashSet<String>()
+        private val stoppedGangs = HashSet<String>()
         private val withoutTarget = HashMap<String, Double>()
-        private val targetFinder by lazy(LazyThreadSafetyMode.NONE) { targets() }
+        private val targetFinder by lazy(LazyThreadSafetyMode.NONE) { newTargetFinder() }
 
         fun assess(
             machine: Machine,
@@ -70,7 +70,7 @@
                 allocation.phase <= AllocationPhase.COMMITTED -> EvictionDelay.STARTING
 
                 allocation.stopGraceSeconds != null || allocation.phase == AllocationPhase.CHECKPOINTING ||
-                    allocation.job in gangs -> EvictionDelay.STOPPING
+                    allocation.job in stoppedGangs -> EvictionDelay.STOPPING
 
                 workers.isSilent(machine) || !machine.isResponsive || machine.isLeaseExpired -> EvictionDelay.NO_HEARTBEAT
 
@@ -87,14 +87,14 @@
             val task = if (job.spec.gang) Move.WHOLE_GANG else allocation.task
             val taskName = "${allocation.job}/$task"
             val permission = settings.permission(job.spec.jobClass)
-            val count = moves.countOf(taskName) + 1
+            val moveNumber = moves.moveCountOf(taskName) + 1
             return when {
                 moves.isOpen(taskName) -> EvictionDelay.STOPPING
                 permission == MovePermission.NEVER -> EvictionDelay.NOT_PERMITTED
                 permission == MovePermission.SAVED && job.spec.checkpointIntervalSeconds <= 0 -> EvictionDelay.NO_CHECKPOINTS
-                count > settings.movesPerTask -> EvictionDelay.MOVE_LIMIT_REACHED
-                moves.writing || planned.size >= moves.maxMovesPerRow -> EvictionDelay.OVER_BUDGET
-                else -> plan(machine, job, allocation, task, count)
+                moveNumber > settings.movesPerTask -> EvictionDelay.MOVE_LIMIT_REACHED
+                moves.isWriting || planned.size >= moves.maxMovesPerRow -> EvictionDelay.OVER_BUDGET
+                else -> plan(machine, job, allocation, task, moveNumber)
             }
         }
 
@@ -103,18 +103,18 @@
             job: Job,
             allocation: Allocation,
             task: Int,
-            count: Int,
+            moveNumber: Int,
         ): EvictionDelay {
             val spec = job.spec
-            val tasks = if (spec.gang) spec.taskCount else 1
-            val move = Move(allocation.job, task, allocation.attempt, spec.team, spec.jobClass, machine.id, null, count, tasks)
+            val taskCount = if (spec.gang) spec.taskCount else 1
+            val move = Move(allocation.job, task, allocation.attempt, spec.team, spec.jobClass, machine.id, null, moveNumber, taskCount)
             if (!moves.permits(move)) return EvictionDelay.OVER_BUDGET
             // A gang is placed as a whole once it has stopped, so no capacity is reserved for it.
             val target = if (spec.gang) null else targetFinder.reserveTarget(job, allocation)
             if (target == null && !spec.gang && !hasWaitedForCapacity(move.taskName)) return EvictionDelay.NO_CAPACITY
-            moves.spend(move)
+            moves.charge(move)
             planned += move.copy(to = target?.id)
-            if (spec.gang) gangs += allocation.job
+            if (spec.gang) stoppedGangs += allocation.job
             return EvictionDelay.STOPPING
         }
 
@@ -141,9 +141,9 @@
                 allocation.isInherited &&
                     allocation.phase == AllocationPhase.RUNNING
             }
-        val ranSeconds = since?.let { context.now - it } ?: 0.0
-        val leftSeconds = (job.meanRunSeconds ?: job.spec.estimatedRunSeconds) * ESTIMATE_MARGIN - ranSeconds
-        return leftSeconds in 0.0..finishSeconds
+        val elapsedSeconds = since?.let { context.now - it } ?: 0.0
+        val remainingSeconds = (job.meanRunSeconds ?: job.spec.estimatedRunSeconds) * ESTIMATE_MARGIN - elapsedSeconds
+        return remainingSeconds in 0.0..finishSeconds
     }
 
     private companion object {
--- a/src/main/kotlin/burlridge/balance/HotspotMitigation.kt
+++ b/src/main/kotlin/burlridge/balance/HotspotMitigation.kt
@@ -22,20 +22,20 @@
     private val workers: WorkerManager,
     private val moves: MoveExecutor,
     private val decisions: DecisionLog,
-    private val targets: () -> MoveTargetFinder,
+    private val newTargetFinder: () -> MoveTargetFinder,
 ) {
-    private val times = context.settings.workers
-    val loadTracker: LoadTracker = LoadTracker(settings, minOf(times.leaseSeconds, MAX_HALF_LIFE_SECONDS))
+    private val workerTimes = context.settings.workers
+    val loadTracker: LoadTracker = LoadTracker(settings, minOf(workerTimes.leaseSeconds, MAX_HALF_LIFE_SECONDS))
     private var nextAssessmentAt = 0.0
 
     /** Names of machines that get nothing new; empty while the measurement is unreliable. */
-    var hot: Set<String> = emptySet()
+    var hotMachines: Set<String> = emptySet()
         private set
 
     /** Forgets what this term has measured. */
     fun clear() {
         loadTracker.clear()
-        hot = emptySet()
+        hotMachines = emptySet()
     }
 
     /** A new heartbeat of [machine] has been processed. */
@@ -49,41 +49,42 @@
         }
     }
 
-    /** A task of [job] has run to its end on [machine] in [ranSeconds]. */
+    /** A task of [job] has run to its end on [machine] in [elapsedSeconds]. */
     fun onTaskCompleted(
         machine: Machine,
         job: Job,
-        ranSeconds: Double,
-    ) = loadTracker.recordCompleted(machine.id, job, ranSeconds, context.now)
+        elapsedSeconds: Double,
+    ) = loadTracker.recordCompleted(machine.id, job, elapsedSeconds, context.now)
 
     /** Updates the set of hot machines and plans moves off them, twice per heartbeat interval. */
     fun tick() {
         if (settings.hotFactor <= 0.0 || context.now < nextAssessmentAt) return
-        nextAssessmentAt = context.now + times.reportSeconds / 2
+        nextAssessmentAt = context.now + workerTimes.reportSeconds / 2
         loadTracker.retainOnly(workers.machines.keys)
-        val before = hot
-        hot = hotMachines()
-        (hot - before).forEach { id ->
+        val previouslyHot = hotMachines
+        hotMachines = findHotMachines()
+        (hotMachines - previouslyHot).forEach { id ->
             decisions.add(Decision.MachineBecameHot(id, loadTracker.slowdown(id, context.now)))
             context.infoLimited("machine hot", "machine" to id, "slowdown" to "%.1f".format(loadTracker.slowdown(id, context.now)))
         }
-        (before - hot).forEach { decisions.add(Decision.MachineCooledDown(it, loadTracker.slowdown(it, context.now))) }
-        if (hot.isNotEmpty() && settings.relieveHot && !moves.writing) moveTasksOffHotMachines()
+        (previouslyHot - hotMachines).forEach { decisions.add(Decision.MachineCooledDown(it, loadTracker.slowdown(it, context.now))) }
+        if (hotMachines.isNotEmpty() && settings.relieveHot && !moves.isWriting) moveTasksOffHotMachines()
     }
 
-    private fun hotMachines(): Set<String> {
-        val up = workers.machines.values.filter { it.isUp && !it.isLeaseExpired && !it.isDraining }
-        val loads = up.associateWith { loadTracker.load(it, workers.isSilent(it) || !it.isResponsive, context.now) }
-        val hottest = loads.filterValues { it == LoadLevel.HOT }.keys
-        val silentMachines = up.count { workers.isSilent(it) || !it.isResponsive }
-        val isUnreliable = hottest.size > maxOf(1.0, up.size * MAX_HOT_SHARE) || silentMachines > up.size * MAX_SILENT_SHARE
-        return if (isUnreliable) emptySet() else hottest.mapTo(HashSet()) { it.id }
+    private fun findHotMachines(): Set<String> {
+        val servingMachines = workers.machines.values.filter { it.isUp && !it.isLeaseExpired && !it.isDraining }
+        val loads = servingMachines.associateWith { loadTracker.load(it, workers.isSilent(it) || !it.isResponsive, context.now) }
+        val hotCandidates = loads.filterValues { it == LoadLevel.HOT }.keys
+        val silentCount = servingMachines.count { workers.isSilent(it) || !it.isResponsive }
+        val isUnreliable =
+            hotCandidates.size > maxOf(1.0, servingMachines.size * MAX_HOT_SHARE) || silentCount > servingMachines.size * MAX_SILENT_SHARE
+        return if (isUnreliable) emptySet() else hotCandidates.mapTo(HashSet()) { it.id }
     }
 
     private fun moveTasksOffHotMachines() {
-        val targetFinder = lazy(LazyThreadSafetyMode.NONE) { targets() }
+        val targetFinder = lazy(LazyThreadSafetyMode.NONE) { newTargetFinder() }
         val planned = ArrayList<Move>()
-        for (id in hot) {
+        for (id in hotMachines) {
             if (planned.size >= moves.maxMovesPerRow) break
             planMove(id, targetFinder)?.let { planned += it }
         }
@@ -98,12 +99,12 @@
         val machine = workers.machines[id] ?: return null
         val (job, allocation) = mostBeneficialMove(machine) ?: return null
         val spec = job.spec
-        val count = moves.countOf(allocation.taskName) + 1
+        val moveNumber = moves.moveCountOf(allocation.taskName) + 1
         val move =
-            Move(allocation.job, allocation.task, allocation.attempt, spec.team, spec.jobClass, id, null, count, 1, MoveReason.HOT)
-        if (count > settings.movesPerTask || !moves.permits(move)) return null
+            Move(allocation.job, allocation.task, allocation.attempt, spec.team, spec.jobClass, id, null, moveNumber, 1, MoveReason.HOT)
+        if (moveNumber > settings.movesPerTask || !moves.permits(move)) return null
         val target = targetFinder.value.reserveTarget(job, allocation) { isWorthwhile(job, allocation, machine, it) } ?: return null
-        moves.spend(move)
+        moves.charge(move)
         return move.copy(to = target.id)
     }
 
@@ -119,7 +120,7 @@
                 (gain(job, allocation, machine, fetchSeconds = 0.0)?.gainSeconds ?: 0.0) > minGainSeconds
             }
 
-    private val minGainSeconds = settings.gainReports * times.reportSeconds
+    private val minGainSeconds = settings.gainReports * workerTimes.reportSeconds
 
     private fun isMovable(
         job: Job,
@@ -144,7 +145,7 @@
         from: Machine,
         to: MoveTargetFinder.Candidate,
     ): Boolean {
-        if (to.machine.id in hot || loadTracker.slowdown(to.machine.id, context.now) > settings.coolFactor) return false
+        if (to.machine.id in hotMachines || loadTracker.slowdown(to.machine.id, context.now) > settings.coolFactor) return false
         return (gain(job, allocation, from, to.fetchSeconds)?.gainSeconds ?: 0.0) > minGainSeconds
     }
 
@@ -155,18 +156,18 @@
         fetchSeconds: Double,
     ): MoveGain? {
         val expectedSeconds = loadTracker.expectedRunSeconds(job) ?: return null
-        val ranSeconds = context.now - (allocation.startedAt ?: return null)
+        val elapsedSeconds = context.now - (allocation.startedAt ?: return null)
         val slowdown = loadTracker.slowdown(machine.id, context.now)
         // A task that should have ended by now may end at any moment: nothing is gained for certain.
-        val remainingSeconds = (expectedSeconds - ranSeconds / slowdown).takeIf { it > 0.0 } ?: return null
-        val saves = job.spec.checkpointIntervalSeconds > 0
+        val remainingSeconds = (expectedSeconds - elapsedSeconds / slowdown).takeIf { it > 0.0 } ?: return null
+        val hasCheckpoints = job.spec.checkpointIntervalSeconds > 0
         return MoveGain(
             remainingSeconds,
             slowdown,
-            if (saves) 0.0 else ranSeconds,
-            if (saves) job.spec.saveSeconds else 0.0,
+            if (hasCheckpoints) 0.0 else elapsedSeconds,
+            if (hasCheckpoints) job.spec.saveSeconds else 0.0,
             fetchSeconds,
-            times.reportSeconds / 2,
+            workerTimes.reportSeconds / 2,
         )
     }
 
--- a/src/main/kotlin/burlridge/balance/LoadTracker.kt
+++ b/src/main/kotlin/burlridge/balance/LoadTracker.kt
@@ -27,26 +27,26 @@
 ) {
     private class MachineRecord {
         var slowdown = 1.0
-        var samples = 0
+        var sampleCount = 0
         var sampledAt = 0.0
-        var hot = false
+        var isHot = false
     }
 
     /** How long tasks of a job class run, as a ratio to their owners' estimates. */
     private class ClassRuntime {
         var ratio = 1.0
-        var samples = 0
+        var sampleCount = 0
     }
 
     private val machines = Object2ObjectOpenHashMap<String, MachineRecord>()
     private val classes = Object2ObjectOpenHashMap<String, ClassRuntime>()
 
     /** Samples taken so far. */
-    var samples: Long = 0
+    var sampleCount: Long = 0
         private set
 
     /** Upper bound of the memory taken, in bytes. */
-    val sizeBytes: Long get() = machines.size * BYTES_PER_MACHINE + classes.size * BYTES_PER_MACHINE
+    val sizeBytes: Long get() = machines.size * BYTES_PER_ENTRY + classes.size * BYTES_PER_ENTRY
 
     /** Forgets all measurements. */
     fun clear() {
@@ -55,44 +55,45 @@
     }
 
     /** Forgets machines that are gone, once there are many of them. */
-    fun retainOnly(record: Set<String>) {
-        if (machines.size > record.size * 2 + MIN_SAMPLES) machines.keys.retainAll(record)
+    fun retainOnly(machineIds: Set<String>) {
+        if (machines.size > machineIds.size * 2 + MIN_SAMPLES) machines.keys.retainAll(machineIds)
     }
 
-    /** A task of [job] has run to its end on [machine] in [ranSeconds]. */
+    /** A task of [job] has run to its end on [machine] in [elapsedSeconds]. */
     fun recordCompleted(
         machine: String,
         job: Job,
-        ranSeconds: Double,
+        elapsedSeconds: Double,
         now: Double,
     ) {
-        if (!isPlausible(ranSeconds)) return
-        expectedRunSeconds(job)?.let { addSample(machine, ranSeconds / it, COMPLETION_WEIGHT, now) }
+        if (!isPlausible(elapsedSeconds)) return
+        expectedRunSeconds(job)?.let { addSample(machine, elapsedSeconds / it, COMPLETION_WEIGHT, now) }
         val runtime = classes.getOrPut(job.spec.jobClass) { ClassRuntime() }
-        val ratio = ranSeconds / job.spec.estimatedRunSeconds.coerceAtLeast(1.0)
-        runtime.samples++
-        runtime.ratio += (ratio - runtime.ratio) * maxOf(COMPLETION_WEIGHT, 1.0 / runtime.samples)
+        val ratio = elapsedSeconds / job.spec.estimatedRunSeconds.coerceAtLeast(1.0)
+        runtime.sampleCount++
+        runtime.ratio += (ratio - runtime.ratio) * maxOf(COMPLETION_WEIGHT, 1.0 / runtime.sampleCount)
     }
 
-    /** A task of [job] still runs on [machine] after [ranSeconds]; a sample only once it is overdue. */
+    /** A task of [job] still runs on [machine] after [elapsedSeconds]; a sample only once it is overdue. */
     fun recordRunning(
         machine: String,
         job: Job,
-        ranSeconds: Double,
+        elapsedSeconds: Double,
         now: Double,
     ) {
-        if (!isPlausible(ranSeconds)) return
-        val ratio = ranSeconds / (expectedRunSeconds(job) ?: return)
+        if (!isPlausible(elapsedSeconds)) return
+        val ratio = elapsedSeconds / (expectedRunSeconds(job) ?: return)
         if (ratio > 1.0) addSample(machine, ratio, OVERDUE_WEIGHT, now)
     }
 
     /** A jump of the clock, or a start that was never seen, gives no sample. */
-    private fun isPlausible(ranSeconds: Double): Boolean = ranSeconds.isFinite() && ranSeconds > 0.0 && ranSeconds < MAX_RUN_SECONDS
+    private fun isPlausible(elapsedSeconds: Double): Boolean =
+        elapsedSeconds.isFinite() && elapsedSeconds > 0.0 && elapsedSeconds < MAX_RUN_SECONDS
 
     /** Expected run time by other tasks of [job], else by its class; null where neither is known yet. */
     fun expectedRunSeconds(job: Job): Double? {
         job.meanRunSeconds?.let { return it.coerceAtLeast(1.0) }
-        val runtime = classes[job.spec.jobClass]?.takeIf { it.samples >= MIN_SAMPLES } ?: return null
+        val runtime = classes[job.spec.jobClass]?.takeIf { it.sampleCount >= MIN_SAMPLES } ?: return null
         return (job.spec.estimatedRunSeconds * runtime.ratio).coerceAtLeast(1.0)
     }
 
@@ -102,19 +103,19 @@
         weight: Double,
         now: Double,
     ) {
-        val load = machines.getOrPut(machine) { MachineRecord() }
-        val decayedSlowdown = decayedSlowdown(load, now)
-        samples++
-        load.samples++
-        load.sampledAt = now
-        load.slowdown = (decayedSlowdown + (ratio.coerceAtMost(MAX_SLOWDOWN) - decayedSlowdown) * weight)
-        if (load.slowdown > settings.hotFactor && load.samples >= MIN_SAMPLES) load.hot = true
+        val record = machines.getOrPut(machine) { MachineRecord() }
+        val decayedSlowdown = decayedSlowdown(record, now)
+        sampleCount++
+        record.sampleCount++
+        record.sampledAt = now
+        record.slowdown = (decayedSlowdown + (ratio.coerceAtMost(MAX_SLOWDOWN) - decayedSlowdown) * weight)
+        if (record.slowdown > settings.hotFactor && record.sampleCount >= MIN_SAMPLES) record.isHot = true
     }
 
     private fun decayedSlowdown(
-        load: MachineRecord,
+        record: MachineRecord,
         now: Double,
-    ): Double = 1.0 + (load.slowdown - 1.0) * Math.pow(HALF, (now - load.sampledAt) / halfLifeSeconds)
+    ): Double = 1.0 + (record.slowdown - 1.0) * Math.pow(HALF, (now - record.sampledAt) / halfLifeSeconds)
 
     /** How many times as long as elsewhere tasks take on [machine]; 1 where nothing is known. */
     fun slowdown(
@@ -122,18 +123,18 @@
         now: Double,
     ): Double = machines[machine]?.let { decayedSlowdown(it, now) } ?: 1.0
 
-    /** The load of [machine], which is [silent] if it has sent no recent heartbeat. */
+    /** The load of [machine], which is [isSilent] if it has sent no recent heartbeat. */
     fun load(
         machine: Machine,
-        silent: Boolean,
+        isSilent: Boolean,
         now: Double,
     ): LoadLevel {
         val record = machines[machine.id] ?: return LoadLevel.UNKNOWN
-        if (record.hot && decayedSlowdown(record, now) < settings.coolFactor) record.hot = false
+        if (record.isHot && decayedSlowdown(record, now) < settings.coolFactor) record.isHot = false
         return when {
-            silent -> LoadLevel.UNKNOWN
-            record.hot -> LoadLevel.HOT
-            record.samples < MIN_SAMPLES -> LoadLevel.UNKNOWN
+            isSilent -> LoadLevel.UNKNOWN
+            record.isHot -> LoadLevel.HOT
+            record.sampleCount < MIN_SAMPLES -> LoadLevel.UNKNOWN
             else -> LoadLevel.NORMAL
         }
     }
@@ -150,6 +151,6 @@
         private const val MAX_RUN_SECONDS = 1e6
 
         /** Upper bound for an entry with its key and its place in the table. */
-        private const val BYTES_PER_MACHINE = 200L
+        private const val BYTES_PER_ENTRY = 200L
     }
 }
--- a/src/main/kotlin/burlridge/balance/MachineRequests.kt
+++ b/src/main/kotlin/burlridge/balance/MachineRequests.kt
@@ -23,68 +23,91 @@
         method: String,
         path: String,
         body: String,
-        passedOn: Boolean,
-        onResult: (HttpResponse) -> Unit,
+        isForwarded: Boolean,
+        respond: (HttpResponse) -> Unit,
     ) {
-        val allowed = if (path == STATUS || path.startsWith(EXPLAIN)) "GET" else "POST"
+        val allowedMethod = if (path == STATUS || path.startsWith(EXPLAIN)) "GET" else "POST"
         when {
-            method != allowed -> onResult(HttpResponse.methodNotAllowed(allowed))
-            leadership.holdsLease && isLoaded() -> lead(path, body, onceInTime(onResult))
-            passedOn || leadership.isLeader -> onResult(HttpResponse.unavailable("${context.settings.member} does not lead now; ask again"))
-            else -> passOn(method, path, body, onResult)
+            method != allowedMethod -> {
+                respond(HttpResponse.methodNotAllowed(allowedMethod))
+            }
+
+            leadership.holdsLease && isLoaded() -> {
+                handleAsLeader(path, body, respondOnceBeforeTimeout(respond))
+            }
+
+            isForwarded || leadership.isLeader -> {
+                respond(
+                    HttpResponse.unavailable("${context.settings.member} does not lead now; ask again"),
+                )
+            }
+
+            else -> {
+                forwardToLeader(method, path, body, respond)
+            }
         }
     }
 
-    private fun passOn(
+    private fun forwardToLeader(
         method: String,
         path: String,
         body: String,
-        onResult: (HttpResponse) -> Unit,
+        respond: (HttpResponse) -> Unit,
     ) {
         val leader = leadership.knownLeader?.takeIf { it != context.settings.member }
-        if (leader == null) return onResult(HttpResponse.unavailable("no leader is known; ask again"))
-        peers.forward(leader, method, path, body, ANSWER_SECONDS) { answer ->
-            onResult(
+        if (leader == null) return respond(HttpResponse.unavailable("no leader is known; ask again"))
+        peers.forward(leader, method, path, body, FORWARD_TIMEOUT_SECONDS) { response ->
+            respond(
                 when {
-                    answer == null -> HttpResponse.unavailable("the leader $leader does not answer; ask again: asked twice it is one drain")
-                    answer.status == NOT_FOUND -> HttpResponse.error(CONFLICT, "the leader $leader has [balance] switched off")
-                    else -> answer
+                    response == null -> {
+                        HttpResponse.unavailable(
+                            "the leader $leader does not answer; ask again: asked twice it is one drain",
+                        )
+                    }
+
+                    response.status == NOT_FOUND -> {
+                        HttpResponse.error(CONFLICT, "the leader $leader has [balance] switched off")
+                    }
+
+                    else -> {
+                        response
+                    }
                 },
             )
         }
     }
 
-    private fun lead(
+    private fun handleAsLeader(
         path: String,
         body: String,
-        onResult: (HttpResponse) -> Unit,
+        respond: (HttpResponse) -> Unit,
     ) {
-        if (path == STATUS) return onResult(HttpResponse(OK, Json.write(balance.report().encode())))
-        if (path.startsWith(EXPLAIN)) return onResult(HttpResponse(OK, Json.write(balance.explain(path.removePrefix(EXPLAIN)))))
+        if (path == STATUS) return respond(HttpResponse(OK, Json.write(balance.report().encode())))
+        if (path.startsWith(EXPLAIN)) return respond(HttpResponse(OK, Json.write(balance.explain(path.removePrefix(EXPLAIN)))))
         val request = Json.parseOrNull(body)
-        if (isStale(request)) return onResult(HttpResponse.error(CONFLICT, "this was asked too long ago and is not carried out; ask again"))
+        if (isStale(request)) return respond(HttpResponse.error(CONFLICT, "this was asked too long ago and is not carried out; ask again"))
         val target =
             try {
                 DrainTarget.parse(request)
             } catch (e: InvalidDrainTargetException) {
-                return onResult(HttpResponse.error(MALFORMED, e.message.orEmpty()))
+                return respond(HttpResponse.error(BAD_REQUEST, e.message.orEmpty()))
             }
         if (path == UNDRAIN) {
-            balance.undrain(target) { onResult(answer(it)) }
+            balance.undrain(target) { respond(toResponse(it)) }
         } else {
-            balance.drain(target, isForced(request)) { onResult(answer(it)) }
+            balance.drain(target, isForced(request)) { respond(toResponse(it)) }
         }
     }
 
     /** What was held up on its way must not undo what was asked since: whoever asked has given it up. */
     private fun isStale(request: JsonNode?): Boolean {
-        val askedMillis = request?.path(ASKED)?.takeIf { it.isIntegralNumber } ?: return false
-        return context.wallMillis - askedMillis.asLong() > MOST_AGE_MILLIS
+        val requestedMillis = request?.path(REQUESTED_AT_KEY)?.takeIf { it.isIntegralNumber } ?: return false
+        return context.wallMillis - requestedMillis.asLong() > MAX_REQUEST_AGE_MILLIS
     }
 
     private fun isForced(request: JsonNode?): Boolean = request?.path("force")?.asBoolean(false) ?: false
 
-    private fun answer(change: DrainChange): HttpResponse =
+    private fun toResponse(change: DrainChange): HttpResponse =
         when (change) {
             is DrainChange.Refused -> HttpResponse.error(CONFLICT, change.reason)
             is DrainChange.Busy -> HttpResponse.unavailable("another change of this drain is being written; ask again")
@@ -92,18 +115,18 @@
         }
 
     /** A write may stay open for as long as the state service is away, or end with the term: whoever asked is told to ask again. */
-    private fun onceInTime(onResult: (HttpResponse) -> Unit): (HttpResponse) -> Unit {
-        var answered = false
+    private fun respondOnceBeforeTimeout(respond: (HttpResponse) -> Unit): (HttpResponse) -> Unit {
+        var hasResponded = false
 
-        fun answer(answer: HttpResponse) {
-            if (answered) return
-            answered = true
-            onResult(answer)
+        fun respondOnce(response: HttpResponse) {
+            if (hasResponded) return
+            hasResponded = true
+            respond(response)
         }
         context.schedule(
-            WRITE_SECONDS,
-        ) { answer(HttpResponse.unavailable("not known to be durable yet; ask again: asked twice it is one drain")) }
-        return ::answer
+            WRITE_TIMEOUT_SECONDS,
+        ) { respondOnce(HttpResponse.unavailable("not known to be durable yet; ask again: asked twice it is one drain")) }
+        return ::respondOnce
     }
 
     internal companion object {
@@ -117,15 +140,15 @@
         fun serves(path: String): Boolean = path == STATUS || path == DRAIN || path == UNDRAIN || path.startsWith(EXPLAIN)
 
         /** In a request, the time of day at which it was asked, in milliseconds. */
-        const val ASKED: String = "asked_ms"
+        const val REQUESTED_AT_KEY: String = "asked_ms"
 
         /** How long whoever asks waits for the answer, and what times of day may differ by. */
-        private const val MOST_AGE_MILLIS = 7_000
+        private const val MAX_REQUEST_AGE_MILLIS = 7_000
         private const val OK = 200
-        private const val MALFORMED = 400
+        private const val BAD_REQUEST = 400
         private const val NOT_FOUND = 404
         private const val CONFLICT = 409
-        private const val WRITE_SECONDS = 3.0
-        private const val ANSWER_SECONDS = 4.0
+        private const val WRITE_TIMEOUT_SECONDS = 3.0
+        private const val FORWARD_TIMEOUT_SECONDS = 4.0
     }
 }
--- a/src/main/kotlin/burlridge/balance/Move.kt
+++ b/src/main/kotlin/burlridge/balance/Move.kt
@@ -6,7 +6,7 @@
 
 /** Why a task is moved. */
 internal enum class MoveReason(
-    val wire: String,
+    val wireName: String,
 ) {
     DRAIN("drain"),
 
@@ -15,7 +15,7 @@
     ;
 
     internal companion object {
-        fun of(wire: String): MoveReason? = entries.firstOrNull { it.wire == wire }
+        fun of(wireName: String): MoveReason? = entries.firstOrNull { it.wireName == wireName }
     }
 }
 
@@ -30,9 +30,9 @@
     /** Machine on which capacity is reserved for it; null where it waits like any other task. */
     val to: String?,
     /** How often the task has been moved, this move included. */
-    val count: Int,
+    val moveNumber: Int,
     /** How many tasks it stops. */
-    val tasks: Int,
+    val taskCount: Int,
     val reason: MoveReason = MoveReason.DRAIN,
 ) {
     /** `<job>/<task>`. */
@@ -54,10 +54,10 @@
     val moves: List<Move>,
 ) {
     /** Whether its row is known to be written. */
-    var durable: Boolean = false
+    var isDurable: Boolean = false
 
     /** Whether its row is being removed. */
-    var removing: Boolean = false
+    var isBeingRemoved: Boolean = false
 
     /** The value of its row. */
     fun encode(): JsonNode =
@@ -76,9 +76,9 @@
                         .add(it.attempt)
                         .add(it.from)
                         .add(it.to)
-                        .add(it.count)
-                        .add(it.tasks)
-                        .add(it.reason.wire)
+                        .add(it.moveNumber)
+                        .add(it.taskCount)
+                        .add(it.reason.wireName)
                 }
             }
         }
@@ -109,7 +109,7 @@
                     if (!team.isTextual || !jobClass.isTextual || !list.isArray) return null
                     list.map { decode(id, team.asText(), jobClass.asText(), it) ?: return null }
                 }
-            return MoveBatch(row.key, value.path("at").asLong(), moves).also { it.durable = true }
+            return MoveBatch(row.key, value.path("at").asLong(), moves).also { it.isDurable = true }
         }
 
         private fun decode(
@@ -130,11 +130,11 @@
                     jobClass = jobClass,
                     from = entry.path(FROM).asText(),
                     to = entry.path(TO).takeIf { it.isTextual }?.asText(),
-                    count = numbers.getValue(COUNT).asInt(),
-                    tasks = numbers.getValue(TASKS).asInt(),
+                    moveNumber = numbers.getValue(COUNT).asInt(),
+                    taskCount = numbers.getValue(TASKS).asInt(),
                     reason = reason,
                 )
-            return move.takeIf { it.task >= Move.WHOLE_GANG && it.attempt > 0 && it.count > 0 && it.tasks > 0 }
+            return move.takeIf { it.task >= Move.WHOLE_GANG && it.attempt > 0 && it.moveNumber > 0 && it.taskCount > 0 }
         }
     }
 }
--- a/src/main/kotlin/burlridge/balance/MoveBatchWriter.kt
+++ b/src/main/kotlin/burlridge/balance/MoveBatchWriter.kt
@@ -18,7 +18,7 @@
     /** Told of each batch whose row is durable. */
     private val onDurable: (MoveBatch) -> Unit,
 ) {
-    private var nextBatch = 0L
+    private var nextBatchNumber = 0L
 
     /** Whether the outcome of a row is open; no more is planned meanwhile. */
     var isWriting: Boolean = false
@@ -26,13 +26,13 @@
 
     /** Forgets this term's numbering and open writes. */
     fun clear() {
-        nextBatch = 0
+        nextBatchNumber = 0
         isWriting = false
     }
 
     /** A batch under a key that no other batch ever has. */
     fun newBatch(planned: List<Move>): MoveBatch =
-        MoveBatch("${MoveBatch.PREFIX}${leadership.term}-${nextBatch++}", context.wallMillis, planned)
+        MoveBatch("${MoveBatch.PREFIX}${leadership.term}-${nextBatchNumber++}", context.wallMillis, planned)
 
     /** Writes the row of [batch]. */
     fun write(batch: MoveBatch) {
@@ -57,7 +57,7 @@
 
             // No other leader writes this key: on a conflict an earlier copy of this same write was executed.
             result is TransactionResult.Committed || result is TransactionResult.Conflict -> {
-                batch.durable = true
+                batch.isDurable = true
                 onDurable(batch)
             }
 
@@ -70,12 +70,12 @@
 
     /** Removes the rows of batches that nobody needs any more. */
     fun removeUnused(isNeeded: (MoveBatch) -> Boolean) {
-        val unused = moves.allBatches.filterNot(isNeeded).take(context.settings.store.changesPerTransaction)
-        if (unused.isEmpty()) return
-        unused.forEach { it.removing = true }
-        val transaction = Transaction(listOf(leadership.fenceCondition()), unused.map { Change.Delete(it.key) })
+        val unusedBatches = moves.allBatches.filterNot(isNeeded).take(context.settings.store.changesPerTransaction)
+        if (unusedBatches.isEmpty()) return
+        unusedBatches.forEach { it.isBeingRemoved = true }
+        val transaction = Transaction(listOf(leadership.fenceCondition()), unusedBatches.map { Change.Delete(it.key) })
         store.commitUntilKnown(transaction, RequestPriority.CLEANUP, leadership.whileLeading(leadership.term)) { result ->
-            if (result is TransactionResult.Committed) unused.forEach(moves::forget) else leadership.stepDownOnSupersededTerm()
+            if (result is TransactionResult.Committed) unusedBatches.forEach(moves::removeBatch) else leadership.stepDownOnSupersededTerm()
         }
     }
 }
--- a/src/main/kotlin/burlridge/balance/MoveBudget.kt
+++ b/src/main/kotlin/burlridge/balance/MoveBudget.kt
@@ -6,22 +6,22 @@
 internal class MoveBudget(
     private val settings: BalanceSettings,
 ) {
-    private class SpentMove(
+    private class ChargedMove(
         val atMillis: Long,
         val move: Move,
     )
 
-    private val window = ArrayDeque<SpentMove>()
+    private val window = ArrayDeque<ChargedMove>()
 
     /** Forgets all moves. */
     fun clear() = window.clear()
 
     /** Counts [move] at the time of day [atMillis]. Moves loaded from rows come in no order of time. */
-    fun spend(
+    fun charge(
         move: Move,
         atMillis: Long,
     ) {
-        window.addLast(SpentMove(atMillis, move))
+        window.addLast(ChargedMove(atMillis, move))
     }
 
     /** Whether [move] keeps to every budget; a gang larger than a budget is never moved. */
@@ -30,19 +30,19 @@
         nowMillis: Long,
     ): Boolean {
         window.removeIf { nowMillis - it.atMillis > WINDOW_MILLIS }
-        return within(settings.movesPerMinute, move) { true } &&
-            within(settings.classMovesPerMinute, move) { it.jobClass == move.jobClass } &&
-            within(settings.teamMovesPerMinute, move) { it.team == move.team }
+        return isWithinLimit(settings.movesPerMinute, move) { true } &&
+            isWithinLimit(settings.classMovesPerMinute, move) { it.jobClass == move.jobClass } &&
+            isWithinLimit(settings.teamMovesPerMinute, move) { it.team == move.team }
     }
 
-    private fun within(
+    private fun isWithinLimit(
         limit: Int,
         move: Move,
         counts: (Move) -> Boolean,
-    ): Boolean = move.tasks <= limit - window.sumOf { if (counts(it.move)) it.move.tasks else 0 }
+    ): Boolean = move.taskCount <= limit - window.sumOf { if (counts(it.move)) it.move.taskCount else 0 }
 
     /** Tasks moved within the window. */
-    fun spent(nowMillis: Long): Int = window.sumOf { if (nowMillis - it.atMillis > WINDOW_MILLIS) 0 else it.move.tasks }
+    fun tasksInWindow(nowMillis: Long): Int = window.sumOf { if (nowMillis - it.atMillis > WINDOW_MILLIS) 0 else it.move.taskCount }
 
     internal companion object {
         /** A minute plus what the clocks of two leaders may differ by. */
--- a/src/main/kotlin/burlridge/balance/MoveExecutor.kt
+++ b/src/main/kotlin/burlridge/balance/MoveExecutor.kt
@@ -33,16 +33,16 @@
     private val reservationMillis = (settings.keepLeases * context.settings.workers.leaseSeconds * MILLIS_PER_SECOND).toLong()
 
     /** Keys of rows that cannot be read; they are left as they are. */
-    val damaged: Set<String> get() = moves.damaged
+    val damagedRows: Set<String> get() = moves.damagedRows
 
     /** Whether the outcome of a row is open; no more is planned meanwhile. */
-    val writing: Boolean get() = writer.isWriting
+    val isWriting: Boolean get() = writer.isWriting
 
     /** All open moves, oldest first. */
     val openMoves: List<Move> get() = moves.openMoves.map { it.move }
 
     /** Tasks moved within the budget's window. */
-    val spentLately: Int get() = moves.spentLately
+    val tasksMovedInWindow: Int get() = moves.tasksMovedInWindow
 
     /** How many moves one row holds. */
     val maxMovesPerRow: Int = (context.settings.store.valueBytes / MoveBatch.BYTES_PER_MOVE).coerceAtLeast(1)
@@ -60,22 +60,22 @@
     fun isOpen(taskName: String): Boolean = moves.isOpen(taskName)
 
     /** How often the task has been moved, by any leader. */
-    fun countOf(taskName: String): Int = moves.countOf(taskName)
+    fun moveCountOf(taskName: String): Int = moves.moveCountOf(taskName)
 
     /** Whether [move] keeps to all budgets. */
     fun permits(move: Move): Boolean = moves.permits(move)
 
     /** Counts [move] before its row is written, so that the next one that is checked sees it. */
-    fun spend(move: Move) = moves.spend(move)
+    fun charge(move: Move) = moves.charge(move)
 
     /** Writes the row of [planned], which have been spent, and then stops their tasks. */
     fun plan(planned: List<Move>) {
         val batch = writer.newBatch(planned)
         moves.add(batch)
         planned.forEach { decisions.add(Decision.MovePlanned(it)) }
-        val tasks = planned.sumOf { it.tasks }
-        context.count("balance.moves", tasks)
-        context.info("moves planned", "batch" to batch.key, "tasks" to tasks, "jobs" to planned.distinctBy { it.job }.size)
+        val taskCount = planned.sumOf { it.taskCount }
+        context.count("balance.moves", taskCount)
+        context.info("moves planned", "batch" to batch.key, "tasks" to taskCount, "jobs" to planned.distinctBy { it.job }.size)
         writer.write(batch)
     }
 
@@ -91,11 +91,11 @@
     }
 
     private fun isUnused(batch: MoveBatch): Boolean =
-        batch.durable && !batch.removing && context.wallMillis - batch.plannedMillis > MoveBudget.WINDOW_MILLIS &&
+        batch.isDurable && !batch.isBeingRemoved && context.wallMillis - batch.plannedMillis > MoveBudget.WINDOW_MILLIS &&
             batch.moves.none { it.job in registry.jobs }
 
     private fun advance(open: OpenMove) {
-        if (!open.batch.durable) return
+        if (!open.batch.isDurable) return
         val job = registry.jobs[open.move.job]
         val hasEnded =
             when {
@@ -114,7 +114,7 @@
         val move = open.move
         val allocation = job.allocations.get(move.task)
         return when {
-            allocation == null -> job.done.get(move.task) || releasesReservation(open)
+            allocation == null -> job.done.get(move.task) || releaseReservationIfLapsed(open)
             allocation.attempt != move.attempt -> true
             open.isStopSent || allocation.stopGraceSeconds != null -> false
             isRevoked(move) -> true.also { decisions.add(Decision.MoveRevoked(move)) }
@@ -122,8 +122,8 @@
         }
     }
 
-    private fun releasesReservation(open: OpenMove): Boolean {
-        if (holdsReservation(open)) return false
+    private fun releaseReservationIfLapsed(open: OpenMove): Boolean {
+        if (isReservationValid(open)) return false
         if (open.move.to != null) decisions.add(Decision.ReservationReleased(open.move))
         return true
     }
@@ -153,7 +153,7 @@
     /** The drain for which it was planned was cancelled before its stop was sent. */
     private fun isRevoked(move: Move): Boolean = move.reason == MoveReason.DRAIN && workers.machines[move.from]?.isDraining == false
 
-    private fun holdsReservation(open: OpenMove): Boolean {
+    private fun isReservationValid(open: OpenMove): Boolean {
         val machine = open.move.to?.let { workers.machines[it] } ?: return false
         return context.wallMillis < open.batch.plannedMillis + reservationMillis && machine.isUp && !machine.isLeaseExpired &&
             !machine.isDraining && machine.reclaimAt == null
@@ -165,7 +165,7 @@
     private fun reservation(open: OpenMove): CapacityReservation? {
         val move = open.move
         val job = registry.jobs[move.job]?.takeIf { !it.isEnding && !move.isGang } ?: return null
-        val machine = move.to?.let { workers.machines[it] }?.takeIf { holdsReservation(open) } ?: return null
+        val machine = move.to?.let { workers.machines[it] }?.takeIf { isReservationValid(open) } ?: return null
         val hasStartedElsewhere = (job.allocations.get(move.task)?.attempt ?: 0) > move.attempt
         return if (hasStartedElsewhere || job.done.get(move.task)) null else CapacityReservation(job, move.task, machine)
     }
--- a/src/main/kotlin/burlridge/balance/MoveGain.kt
+++ b/src/main/kotlin/burlridge/balance/MoveGain.kt
@@ -16,12 +16,12 @@
     val handoverSeconds: Double,
 ) {
     /** Net gain; the slowdown is an estimate, so only a part of it is counted. */
-    val gainSeconds: Double get() = remainingSeconds * (slowdown - 1.0) * CERTAIN_SHARE - costSeconds
+    val gainSeconds: Double get() = remainingSeconds * (slowdown - 1.0) * COUNTED_GAIN_SHARE - costSeconds
 
     /** Everything that the move costs. */
     val costSeconds: Double get() = lostSeconds + saveSeconds + fetchSeconds + handoverSeconds
 
     private companion object {
-        const val CERTAIN_SHARE = 0.7
+        const val COUNTED_GAIN_SHARE = 0.7
     }
 }
--- a/src/main/kotlin/burlridge/balance/MoveRegistry.kt
+++ b/src/main/kotlin/burlridge/balance/MoveRegistry.kt
@@ -24,7 +24,7 @@
     private val counts = HashMap<String, Int>()
 
     /** Keys of rows that cannot be read; they are left as they are. */
-    val damaged: LinkedHashSet<String> = LinkedHashSet()
+    val damagedRows: LinkedHashSet<String> = LinkedHashSet()
 
     /** Whether no batch is known. */
     val isEmpty: Boolean get() = batches.isEmpty()
@@ -36,7 +36,7 @@
     val openMoves: Collection<OpenMove> get() = open.values
 
     /** Tasks moved within the budget's window. */
-    val spentLately: Int get() = budget.spent(context.wallMillis)
+    val tasksMovedInWindow: Int get() = budget.tasksInWindow(context.wallMillis)
 
     /** Forgets everything: a new term begins, or this one has ended. */
     fun clear() {
@@ -44,24 +44,24 @@
         batches.clear()
         open.clear()
         counts.clear()
-        damaged.clear()
+        damagedRows.clear()
     }
 
     /** Takes over a row of an earlier leader. */
     fun load(row: Row) {
         val batch = MoveBatch.decode(row)
         if (batch != null) {
-            takeOver(batch)
-        } else if (damaged.add(row.key)) {
+            addLoaded(batch)
+        } else if (damagedRows.add(row.key)) {
             context.infoLimited("move row unreadable", "row" to row.key)
         }
     }
 
-    private fun takeOver(batch: MoveBatch) {
+    private fun addLoaded(batch: MoveBatch) {
         batches[batch.key] = batch
         for (move in batch.moves) {
-            budget.spend(move, batch.plannedMillis)
-            counts.merge(move.taskName, move.count, ::maxOf)
+            budget.charge(move, batch.plannedMillis)
+            counts.merge(move.taskName, move.moveNumber, ::maxOf)
             val before = open[move.taskName]
             if (before == null || before.move.attempt < move.attempt) open[move.taskName] = OpenMove(move, batch)
         }
@@ -71,7 +71,7 @@
     fun add(batch: MoveBatch) {
         batches[batch.key] = batch
         for (move in batch.moves) {
-            counts[move.taskName] = move.count
+            counts[move.taskName] = move.moveNumber
             open[move.taskName] = OpenMove(move, batch)
         }
     }
@@ -83,7 +83,7 @@
     }
 
     /** Forgets a batch whose row is removed. */
-    fun forget(batch: MoveBatch) {
+    fun removeBatch(batch: MoveBatch) {
         batches.remove(batch.key)
         batch.moves.forEach { counts.remove(it.taskName) }
     }
@@ -103,11 +103,11 @@
     fun isOpen(taskName: String): Boolean = taskName in open
 
     /** How often the task has been moved, by any leader. */
-    fun countOf(taskName: String): Int = counts[taskName] ?: 0
+    fun moveCountOf(taskName: String): Int = counts[taskName] ?: 0
 
     /** Whether [move] keeps to all budgets. */
     fun permits(move: Move): Boolean = budget.permits(move, context.wallMillis)
 
     /** Counts [move] before its row is written, so that the next one that is checked sees it. */
-    fun spend(move: Move) = budget.spend(move, context.wallMillis)
+    fun charge(move: Move) = budget.charge(move, context.wallMillis)
 }
--- a/src/main/kotlin/burlridge/balance/SlowStart.kt
+++ b/src/main/kotlin/burlridge/balance/SlowStart.kt
@@ -22,48 +22,60 @@
 ) {
     private val coldSeconds = settings.coldReports * context.settings.workers.reportSeconds
 
-    /** How many more starts [machine] may get now; [UNLIMITED] once it has been up for a while. */
-    fun startsLeft(machine: Machine): Int {
-        if (!isCold(machine)) return UNLIMITED
+    /** How many more starts [machine] may get now; [UNLIMITED_STARTS] once it has been up for a while. */
+    fun remainingStarts(machine: Machine): Int {
+        if (!isCold(machine)) return UNLIMITED_STARTS
         val running = machine.reportedTasks.values.count { it.state == TaskState.Known.RUNNING }
-        return (maxOf(settings.coldStarts, running * GROWTH) - starting(machine).size).coerceAtLeast(0)
+        return (maxOf(settings.coldStarts, running * STARTS_PER_RUNNING_TASK) - startingAllocations(machine).size).coerceAtLeast(0)
     }
 
     private fun isCold(machine: Machine): Boolean {
         if (coldSeconds <= 0.0) return false
         // To a new leader every machine is new, so the time of its rental bounds how long it can have been up.
-        val upSince = if (machine.rentedAt > 0) minOf(machine.upSince, machine.rentedAt + bootSeconds(machine.type) * LONG_BOOT) else NEVER
+        val upSince =
+            if (machine.rentedAt >
+                0
+            ) {
+                minOf(machine.upSince, machine.rentedAt + bootSeconds(machine.type) * BOOT_TIME_MARGIN)
+            } else {
+                LONG_AGO
+            }
         return context.now < maxOf(upSince, machine.epochChangedAt) + coldSeconds
     }
 
-    private fun starting(machine: Machine): List<Allocation> =
+    private fun startingAllocations(machine: Machine): List<Allocation> =
         registry.allocations.byMachine[machine.id]
             ?.values
             ?.filter { it.phase < AllocationPhase.AWAITING_GANG }
             .orEmpty()
 
     /**
-     * How long [spec]'s image takes to be there, which takes [aloneSeconds] if nothing else is fetched: images share the machine's
+     * How long [spec]'s image takes to be there, which takes [uncontendedSeconds] if nothing else is fetched: images share the machine's
      * rate.
      */
     fun fetchSeconds(
         machine: Machine,
         spec: JobSpec,
-        aloneSeconds: Double,
+        uncontendedSeconds: Double,
     ): Double {
-        if (aloneSeconds <= 0.0) return 0.0
-        val images = starting(machine).mapNotNullTo(HashSet()) { registry.jobs[it.job]?.spec?.image }
-        images.removeAll(machine.images.keys)
-        return if (images.remove(spec.image)) aloneSeconds * HALF_DONE * (1 + images.size) else aloneSeconds * (1 + images.size)
+        if (uncontendedSeconds <= 0.0) return 0.0
+        val imagesBeingFetched = startingAllocations(machine).mapNotNullTo(HashSet()) { registry.jobs[it.job]?.spec?.image }
+        imagesBeingFetched.removeAll(machine.images.keys)
+        return if (imagesBeingFetched.remove(spec.image)) {
+            uncontendedSeconds * MEAN_REMAINING_FETCH_SHARE * (1 + imagesBeingFetched.size)
+        } else {
+            uncontendedSeconds *
+                (1 + imagesBeingFetched.size)
+        }
     }
 
     internal companion object {
-        const val UNLIMITED: Int = Int.MAX_VALUE
-        private const val GROWTH = 2
-        private const val LONG_BOOT = 1.5
-        private const val NEVER = -1e9
+        const val UNLIMITED_STARTS: Int = Int.MAX_VALUE
+        private const val STARTS_PER_RUNNING_TASK = 2
+        private const val BOOT_TIME_MARGIN = 1.5
+        private const val LONG_AGO = -1e9
 
         /** On average half of a fetch that is under way remains. */
-        private const val HALF_DONE = 0.5
+        private const val MEAN_REMAINING_FETCH_SHARE = 0.5
     }
 }
--- a/src/test/kotlin/burlridge/balance/BalanceInputTest.kt
+++ b/src/test/kotlin/burlridge/balance/BalanceInputTest.kt
@@ -21,7 +21,7 @@
 
 /** What operators, other versions and damaged rows say wrongly. */
 internal class BalanceInputTest {
-    private fun refusal(lines: String): String =
+    private fun errorMessageOf(lines: String): String =
         assertThrows(InvalidSettingsException::class.java, { OperatorSettings.parse("[balance]\n$lines\n") }, lines).message.orEmpty()
 
     @Test
@@ -51,9 +51,9 @@
                 "relieve_hot = perhaps" to "relieve_hot in [balance] must be true or false",
                 "room_leases = 1e9" to "room_leases in [balance]",
             )
-        for ((line, complaint) in wrong) {
-            val message = refusal(line)
-            assertTrue(complaint in message && '\n' !in message, message)
+        for ((line, expected) in wrong) {
+            val message = errorMessageOf(line)
+            assertTrue(expected in message && '\n' !in message, message)
         }
     }
 
@@ -99,7 +99,7 @@
 
     @Test
     fun `a network holds the machines whose address lies in it, whatever they report`() {
-        fun at(
+        fun covers(
             network: String,
             host: String?,
         ): Boolean {
@@ -107,9 +107,9 @@
             machine.address = host?.let { Endpoint(it, 9000) }
             return target("""{"network":"$network"}""").matches(machine)
         }
-        assertTrue(at("10.1.0.0/24", "10.1.0.255") && at("2001:db8::/48", "[2001:db8:0:5::1]") && at("0.0.0.0/0", "10.9.9.9"))
+        assertTrue(covers("10.1.0.0/24", "10.1.0.255") && covers("2001:db8::/48", "[2001:db8:0:5::1]") && covers("0.0.0.0/0", "10.9.9.9"))
         val outside = listOf("10.1.1.0", "2001:db8::1", "", "nowhere", "10.1.0.1/16", "10.1.0", null)
-        assertEquals(emptyList<String?>(), outside.filter { at("10.1.0.0/24", it) })
+        assertEquals(emptyList<String?>(), outside.filter { covers("10.1.0.0/24", it) })
     }
 
     @Test
@@ -140,30 +140,30 @@
 
     @Test
     fun `requests that are wrong are answered with one line, and change nothing`() {
-        val cluster = balancedCluster(1)
+        val cluster = clusterWithBalance(1)
         cluster.run(25.0)
         val drain = MachineRequests.DRAIN
         for (member in cluster.members) {
-            assertEquals(400, cluster.answerOf(member, "POST", drain, "{").first)
-            assertEquals(400, cluster.answerOf(member, "POST", drain, """{"network":"10.1.0.0/40"}""").first)
-            assertEquals(405, cluster.answerOf(member, "GET", drain).first)
-            assertEquals(405, cluster.answerOf(member, "POST", MachineRequests.STATUS).first)
-            val (status, answer) = cluster.answerOf(member, "POST", drain, """{"machine":"m-999999"}""")
+            assertEquals(400, cluster.requestAndWait(member, "POST", drain, "{").first)
+            assertEquals(400, cluster.requestAndWait(member, "POST", drain, """{"network":"10.1.0.0/40"}""").first)
+            assertEquals(405, cluster.requestAndWait(member, "GET", drain).first)
+            assertEquals(405, cluster.requestAndWait(member, "POST", MachineRequests.STATUS).first)
+            val (status, answer) = cluster.requestAndWait(member, "POST", drain, """{"machine":"m-999999"}""")
             assertEquals(409 to "unknown machine m-999999", status to answer.path("error").asText())
             assertEquals(
                 "unknown zone q",
                 cluster
-                    .answerOf(member, "POST", drain, """{"zone":"q"}""")
+                    .requestAndWait(member, "POST", drain, """{"zone":"q"}""")
                     .second
                     .path("error")
                     .asText(),
             )
-            assertEquals(409, cluster.answerOf(member, "POST", MachineRequests.UNDRAIN, """{"zone":"a"}""").first)
+            assertEquals(409, cluster.requestAndWait(member, "POST", MachineRequests.UNDRAIN, """{"zone":"a"}""").first)
         }
         assertEquals(emptyList<String>(), cluster.state.keys(Drain.PREFIX))
-        val off = SimulatedCluster(1)
-        off.run(10.0)
-        assertEquals(404, off.answerOf("drover-0", "POST", drain, """{"zone":"a"}""").first)
+        val clusterWithoutBalance = SimulatedCluster(1)
+        clusterWithoutBalance.run(10.0)
+        assertEquals(404, clusterWithoutBalance.requestAndWait("drover-0", "POST", drain, """{"zone":"a"}""").first)
     }
 
     @Test
@@ -184,8 +184,8 @@
                 listOf("drain", "--force"),
             )
         wrong.forEach { assertTrue(CommandLine.parse(it + args) is CommandLine.Invalid, "$it") }
-        val cluster = balancedCluster(2)
-        val jobs = cluster.submitAll((0 until 6).map { cluster.savingJob(it, 4) }, 20.0)
+        val cluster = clusterWithBalance(2)
+        val jobs = cluster.submitAll((0 until 6).map { cluster.checkpointingJob(it, 4) }, 20.0)
         cluster.clock.after(40.0) { cluster.drainZone("a") }
         cluster.run(40.4)
         val text = BalanceReportFormatter.describe(cluster.report())
@@ -194,10 +194,10 @@
         val task = Regex("j-00000\\d/\\d").find(text)?.value.orEmpty()
         assertEquals(CommandLine.Explain(files, task), CommandLine.parse(listOf("explain", "--task", task) + args))
         cluster.run(60.0)
-        val why = BalanceReportFormatter.explain(cluster.answerOf("drover-1", "GET", MachineRequests.EXPLAIN + task).second)
-        assertTrue("$task run 1 is moved from m-" in why && "room was kept there for it" in why, why)
+        val explanation = BalanceReportFormatter.explain(cluster.requestAndWait("drover-1", "GET", MachineRequests.EXPLAIN + task).second)
+        assertTrue("$task run 1 is moved from m-" in explanation && "room was kept there for it" in explanation, explanation)
         cluster.run(140.0)
-        cluster.verdict(jobs)
+        cluster.assertNoViolations(jobs)
         assertTrue("drained, 0 machines and 0 tasks left" in BalanceReportFormatter.describe(cluster.report()))
     }
 }
--- a/src/test/kotlin/burlridge/balance/BalanceMeasurement.kt
+++ b/src/test/kotlin/burlridge/balance/BalanceMeasurement.kt
@@ -21,7 +21,7 @@
     OFF("off", null),
     ON("on", BalanceSettings()),
     WITHOUT_MOVES("on, no moves", BalanceSettings(moves = MovePermission.NEVER)),
-    WITHOUT_PICTURE("on, no picture of load", BalanceSettings(hotFactor = 0.0)),
+    WITHOUT_LOAD_TRACKING("on, no picture of load", BalanceSettings(hotFactor = 0.0)),
     WITHOUT_SLOW_START("on, no slow start", BalanceSettings(coldReports = 0.0)),
 }
 
@@ -50,9 +50,9 @@
     val breaches: List<String>,
 )
 
-internal fun List<Double>.quantile(part: Double): Double =
+internal fun List<Double>.quantile(fraction: Double): Double =
     sorted().let {
-        if (it.isEmpty()) Double.NaN else it[((it.size - 1) * part).toInt()]
+        if (it.isEmpty()) Double.NaN else it[((it.size - 1) * fraction).toInt()]
     }
 
 /**
@@ -92,9 +92,9 @@
             }
         fetchedSeconds = 0.0
         cluster.fetchTime = { worker, spec ->
-            val takesSeconds = if (spec.image in worker.images) 0.0 else spec.imageGb * (0.7 + cluster.random.nextDouble() * 0.6)
-            fetchedSeconds += takesSeconds
-            takesSeconds
+            val fetchSeconds = if (spec.image in worker.images) 0.0 else spec.imageGb * (0.7 + cluster.random.nextDouble() * 0.6)
+            fetchedSeconds += fetchSeconds
+            fetchSeconds
         }
         return cluster
     }
@@ -134,19 +134,19 @@
         val names = cluster.cloud.names()
         names.filterIndexed { i, _ -> i % TENTH == 3 }.forEach { cluster.cloud.worker(it)?.slowness = SLOWNESS }
         // Ten jobs of one team, half of what the fleet holds, then previews for a minute and a half.
-        val share = (machines * CPUS * SWEEP_PART / SWEEP_JOBS).toInt()
-        val sweep = (0 until SWEEP_JOBS).map { cluster.sweepJob(2 + it, share, runSeconds = 20.0 + 5 * it) }
+        val tasksPerJob = (machines * CPUS * SWEEP_SHARE / SWEEP_JOBS).toInt()
+        val sweep = (0 until SWEEP_JOBS).map { cluster.sweepJob(2 + it, tasksPerJob, runSeconds = 20.0 + 5 * it) }
         sweep.forEachIndexed { i, job -> cluster.submitAt(BURST_AT + i, job) }
         val previews = cluster.previews(BURST_AT + 5, 90, maxOf(1, machines / 50))
         cluster.run(BURST_AT + 12.0)
-        val load = loads(cluster)
+        val taskCounts = taskCountsByMachine(cluster)
         cluster.run(BURST_AT + 400.0)
         val all = sweep + previews
         return BurstOutcome(
             variant,
             machines,
-            load.max() / load.quantile(0.5).coerceAtLeast(1.0),
-            variation(load),
+            taskCounts.max() / taskCounts.quantile(0.5).coerceAtLeast(1.0),
+            coefficientOfVariation(taskCounts),
             mapOf(SWEEP to waits(cluster, sweep), PREVIEW to waits(cluster, previews)),
             fetchedSeconds,
             cluster.history.stops.size,
@@ -159,22 +159,22 @@
     }
 
     /** Tasks on each machine that is up now. */
-    private fun loads(cluster: SimulatedCluster): List<Double> {
-        val on =
+    private fun taskCountsByMachine(cluster: SimulatedCluster): List<Double> {
+        val startedCount =
             cluster.history.starts
                 .groupingBy { it.machine }
                 .eachCount()
-        val over =
+        val finishedCount =
             cluster.history.ran
                 .groupingBy { it.machine }
                 .eachCount()
         return cluster.cloud
             .names()
             .filter { (cluster.cloud.worker(it)?.term ?: 0) > 0 }
-            .map { ((on[it] ?: 0) - (over[it] ?: 0)).toDouble() }
+            .map { ((startedCount[it] ?: 0) - (finishedCount[it] ?: 0)).toDouble() }
     }
 
-    private fun variation(values: List<Double>): Double {
+    private fun coefficientOfVariation(values: List<Double>): Double {
         val mean = values.average()
         return sqrt(values.sumOf { (it - mean) * (it - mean) } / values.size) / mean
     }
@@ -192,10 +192,10 @@
         cluster: SimulatedCluster,
         jobs: List<JobSpec>,
     ): List<Double> {
-        val wanted = jobs.mapTo(HashSet()) { it.id }
-        val first = HashMap<String, Double>()
-        cluster.history.starts.forEach { first.putIfAbsent(it.task, it.at) }
-        return first.filterKeys { it.substringBefore('/') in wanted }.map { (task, at) ->
+        val jobIds = jobs.mapTo(HashSet()) { it.id }
+        val firstStarts = HashMap<String, Double>()
+        cluster.history.starts.forEach { firstStarts.putIfAbsent(it.task, it.at) }
+        return firstStarts.filterKeys { it.substringBefore('/') in jobIds }.map { (task, at) ->
             at -
                 submittedAt.getValue(task.substringBefore('/'))
         }
@@ -225,10 +225,10 @@
         sweep.forEach { job -> cluster.clock.after(15.0) { cluster.submit(job) } }
         val previews = cluster.previews(30.0, 60, maxOf(1, machines / 100))
         cluster.run(30.0)
-        val leaving = cluster.cloud.names().filterIndexed { i, _ -> i % 3 == 0 }
-        leaving.forEach { drainMachine(cluster, it) }
+        val drainedMachines = cluster.cloud.names().filterIndexed { i, _ -> i % 3 == 0 }
+        drainedMachines.forEach { drainMachine(cluster, it) }
         if (killLeader) cluster.clock.after(2.0) { cluster.leader()?.let { cluster.crash(it, 5.0) } }
-        while (cluster.clock.now < 400.0 && cluster.cloud.names().any { it in leaving }) cluster.run(cluster.clock.now + 0.5)
+        while (cluster.clock.now < 400.0 && cluster.cloud.names().any { it in drainedMachines }) cluster.run(cluster.clock.now + 0.5)
         val drainedSeconds = cluster.clock.now - 30.0
         cluster.run(400.0)
         return DrainOutcome(
@@ -248,8 +248,8 @@
         cluster: SimulatedCluster,
         machine: String,
     ) {
-        cluster.ask(cluster.anyMember(), "POST", MachineRequests.DRAIN, """{"machine":"$machine","force":true}""") { status, _ ->
-            if (status == OK) cluster.drained(machine) else cluster.clock.after(1.0) { drainMachine(cluster, machine) }
+        cluster.sendRequest(cluster.anyMember(), "POST", MachineRequests.DRAIN, """{"machine":"$machine","force":true}""") { status, _ ->
+            if (status == OK) cluster.expectDrained(machine) else cluster.clock.after(1.0) { drainMachine(cluster, machine) }
         }
     }
 
@@ -260,7 +260,7 @@
         const val SWEEP = "sweep"
         const val PREVIEW = "urgent"
         const val SWEEP_JOBS = 10
-        const val SWEEP_PART = 0.5
+        const val SWEEP_SHARE = 0.5
         const val DRAIN_LOAD = 0.5
         const val SLOWNESS = 1.5
         const val BURST_AT = 20.0
@@ -272,11 +272,11 @@
 }
 
 /** Says on standard error what is done: at thousands of machines a run takes minutes. */
-private fun <T> told(
-    what: String,
+private fun <T> withProgressMessage(
+    message: String,
     work: () -> T,
 ): T {
-    System.err.println(what)
+    System.err.println(message)
     return work()
 }
 
@@ -286,13 +286,17 @@
     val bursts =
         sizes.flatMap { size ->
             seeds.flatMap { seed ->
-                Variant.entries.map { told("burst at $size, seed $seed, ${it.label}") { BalanceMeasurement(size).burst(seed, it) } }
+                Variant.entries.map {
+                    withProgressMessage(
+                        "burst at $size, seed $seed, ${it.label}",
+                    ) { BalanceMeasurement(size).burst(seed, it) }
+                }
             }
         }
     val drains =
         sizes.flatMap { size ->
             seeds.flatMap { seed ->
-                listOf(false, true).map { told("drain at $size, seed $seed") { BalanceMeasurement(size).drain(seed, it) } }
+                listOf(false, true).map { withProgressMessage("drain at $size, seed $seed") { BalanceMeasurement(size).drain(seed, it) } }
             }
         }
     val report = BalanceMeasurementReport(seeds.last, bursts, drains)
--- a/src/test/kotlin/burlridge/balance/BalanceMeasurementReport.kt
+++ b/src/test/kotlin/burlridge/balance/BalanceMeasurementReport.kt
@@ -25,7 +25,7 @@
 ) {
     private val sizes = bursts.map { it.machines }.distinct()
 
-    private fun of(
+    private fun runsOf(
         size: Int,
         variant: Variant,
     ) = bursts.filter { it.machines == size && it.variant == variant }
@@ -39,7 +39,7 @@
 
     private fun quantiles(all: List<Double>): String = listOf(0.5, 0.95, 0.99).joinToString(", ") { "%.1f".format(all.quantile(it)) }
 
-    private val burstHead =
+    private val burstHeader =
         listOf(
             "machines",
             "variant",
@@ -56,7 +56,7 @@
     private fun burstRows(): List<List<String>> =
         sizes.flatMap { size ->
             Variant.entries.map { variant ->
-                val runs = of(size, variant)
+                val runs = runsOf(size, variant)
                 listOf(
                     "$size",
                     variant.label,
@@ -73,7 +73,7 @@
             }
         }
 
-    private val drainHead =
+    private val drainHeader =
         listOf("machines", "leader", "drained after s, mean (worst)", "preview waits p50, p95, p99", "moves", "breaches")
 
     private fun drainRows(): List<List<String>> =
@@ -88,7 +88,8 @@
             )
         }
 
-    fun text(): String = (listOf(burstHead) + burstRows() + listOf(drainHead) + drainRows()).joinToString("\n") { it.joinToString(" | ") }
+    fun text(): String =
+        (listOf(burstHeader) + burstRows() + listOf(drainHeader) + drainRows()).joinToString("\n") { it.joinToString(" | ") }
 
     fun html(): String =
         createHTML().html {
@@ -97,8 +98,8 @@
                 h1 { +"Spreading load, measured" }
                 p { +"Stand-in workers in virtual time, $seeds seeds each; means over seeds, waits over all tasks of all seeds." }
                 listOf(
-                    "A skewed burst" to listOf(burstHead) + burstRows(),
-                    "A drain of a third" to listOf(drainHead) + drainRows(),
+                    "A skewed burst" to listOf(burstHeader) + burstRows(),
+                    "A drain of a third" to listOf(drainHeader) + drainRows(),
                 ).forEach { (name, rows) ->
                     h2 { +name }
                     table {
@@ -120,7 +121,7 @@
                 .yAxisTitle("seconds")
                 .build()
         for (jobClass in listOf("sweep", "urgent")) {
-            val waits = Variant.entries.map { variant -> of(size, variant).flatMap { it.waits.getValue(jobClass) }.quantile(0.95) }
+            val waits = Variant.entries.map { variant -> runsOf(size, variant).flatMap { it.waits.getValue(jobClass) }.quantile(0.95) }
             chart.addSeries(jobClass, Variant.entries.map { it.label }, waits)
         }
         return Base64.getEncoder().encodeToString(BitmapEncoder.getBitmapBytes(chart, BitmapEncoder.BitmapFormat.PNG))
--- a/src/test/kotlin/burlridge/balance/BalanceScheduleTest.kt
+++ b/src/test/kotlin/burlridge/balance/BalanceScheduleTest.kt
@@ -19,12 +19,12 @@
  */
 internal class BalanceScheduleTest {
     private class Outcome(
-        val stops: Int,
-        val drained: Int,
-        val leaders: Int,
+        val stopCount: Int,
+        val drainedCount: Int,
+        val leaderCount: Int,
     )
 
-    private fun draw(seededRandom: Random): BalanceSettings =
+    private fun randomSettings(seededRandom: Random): BalanceSettings =
         BalanceSettings(
             finishReports = if (seededRandom.nextBoolean()) 0.5 else 5.0,
             roomLeases = seededRandom.nextDouble(),
@@ -42,17 +42,17 @@
             when (seededRandom.nextInt(6)) {
                 0 -> cluster.job(i, 1 + seededRandom.nextInt(4), runSeconds = runSeconds)
                 1 -> cluster.gang(i, 2 + seededRandom.nextInt(3), runSeconds = runSeconds)
-                2 -> cluster.savingJob(i, 4, runSeconds).copy(spread = true)
-                3 -> cluster.savingJob(i, 3, runSeconds).copy(oneZone = true)
-                4 -> cluster.savingJob(i, 4, runSeconds, cpus = 3.0).copy(team = "crew-x")
-                else -> cluster.savingJob(i, 1 + seededRandom.nextInt(8), runSeconds, cpus = 2.0)
+                2 -> cluster.checkpointingJob(i, 4, runSeconds).copy(spread = true)
+                3 -> cluster.checkpointingJob(i, 3, runSeconds).copy(oneZone = true)
+                4 -> cluster.checkpointingJob(i, 4, runSeconds, cpus = 3.0).copy(team = "crew-x")
+                else -> cluster.checkpointingJob(i, 1 + seededRandom.nextInt(8), runSeconds, cpus = 2.0)
             }
         }
 
-    private fun play(seed: Int): Outcome {
+    private fun runSchedule(seed: Int): Outcome {
         val seededRandom = Random(seed)
-        val settings = draw(seededRandom)
-        val cluster = balancedCluster(seed, settings, if (seededRandom.nextInt(3) == 0) 5 else 3, seededRandom.nextBoolean())
+        val settings = randomSettings(seededRandom)
+        val cluster = clusterWithBalance(seed, settings, if (seededRandom.nextInt(3) == 0) 5 else 3, seededRandom.nextBoolean())
         val jobs = jobs(cluster, seededRandom)
         jobs.forEachIndexed { i, job ->
             val abort = if (seededRandom.nextInt(5) == 0) 4.0 + seededRandom.nextDouble() * 40 else null
@@ -62,25 +62,25 @@
         cluster.savesFail = seededRandom.nextInt(4) == 0
         val leaders = HashSet<String>()
         cluster.onLeader = { leaders += it }
-        val calledOff = seededRandom.nextInt(3) == 0
+        val isCancelled = seededRandom.nextInt(3) == 0
         cluster.clock.after(30.0 + seededRandom.nextDouble() * 10) {
-            cluster.drainZone("a") { if (calledOff) cluster.clock.after(seededRandom.nextDouble() * 20) { cluster.undrainZone("a") } }
+            cluster.drainZone("a") { if (isCancelled) cluster.clock.after(seededRandom.nextDouble() * 20) { cluster.undrainZone("a") } }
         }
         repeat(seededRandom.nextInt(3)) {
             cluster.clock.after(35.0 + seededRandom.nextDouble() * 30) { drainSomeMachine(cluster, seededRandom) }
         }
         repeat(4 + seededRandom.nextInt(8)) {
-            cluster.clock.after(30.0 + seededRandom.nextDouble() * 45) { trouble(cluster, seededRandom) }
+            cluster.clock.after(30.0 + seededRandom.nextDouble() * 45) { injectFault(cluster, seededRandom) }
         }
         cluster.run(300.0)
-        val tail = "seed $seed $settings\n${cluster.tail()}"
-        assertEquals(emptyList<String>(), cluster.invariants.broken, tail)
-        assertEquals(emptyList<String>(), cluster.simultaneousLeaders, tail)
-        assertEquals(emptyList<String>(), cluster.history.breaches(jobs.map { it.id }), tail)
-        assertEquals(emptyList<String>(), cluster.history.drainBreaches(DRAIN_SLACK_SECONDS), tail)
-        assertEquals(emptyList<String>(), cluster.history.moveBreaches(settings.movesPerMinute, settings.movesPerTask), tail)
-        assertEquals(if (calledOff) "cancelled" else "drained", cluster.stateOf("zone/a") ?: "cancelled", tail)
-        return Outcome(cluster.history.stops.size, if (calledOff) 0 else 1, leaders.size)
+        val failureMessage = "seed $seed $settings\n${cluster.recentLog()}"
+        assertEquals(emptyList<String>(), cluster.invariants.broken, failureMessage)
+        assertEquals(emptyList<String>(), cluster.simultaneousLeaders, failureMessage)
+        assertEquals(emptyList<String>(), cluster.history.breaches(jobs.map { it.id }), failureMessage)
+        assertEquals(emptyList<String>(), cluster.history.drainBreaches(DRAIN_SLACK_SECONDS), failureMessage)
+        assertEquals(emptyList<String>(), cluster.history.moveBreaches(settings.movesPerMinute, settings.movesPerTask), failureMessage)
+        assertEquals(if (isCancelled) "cancelled" else "drained", cluster.drainStateOf("zone/a") ?: "cancelled", failureMessage)
+        return Outcome(cluster.history.stops.size, if (isCancelled) 0 else 1, leaders.size)
     }
 
     private fun drainSomeMachine(
@@ -88,33 +88,33 @@
         seededRandom: Random,
     ) {
         val machine = cluster.cloud.names().random(seededRandom)
-        cluster.ask(cluster.anyMember(), "POST", MachineRequests.DRAIN, """{"machine":"$machine","force":true}""") { status, _ ->
-            if (status == 200) cluster.drained(machine)
+        cluster.sendRequest(cluster.anyMember(), "POST", MachineRequests.DRAIN, """{"machine":"$machine","force":true}""") { status, _ ->
+            if (status == 200) cluster.expectDrained(machine)
         }
     }
 
-    private fun trouble(
+    private fun injectFault(
         cluster: SimulatedCluster,
         seededRandom: Random,
     ) {
         val leader = cluster.leader() ?: cluster.anyMember()
-        val whom = if (seededRandom.nextInt(3) > 0) leader else cluster.members.random(seededRandom)
+        val member = if (seededRandom.nextInt(3) > 0) leader else cluster.members.random(seededRandom)
         when (seededRandom.nextInt(11)) {
-            0 -> cluster.crash(whom, seededRandom.nextDouble() * 4)
-            1 -> cluster.freeze(whom, 0.2 + seededRandom.nextDouble() * 10)
-            2 -> cluster.pauseMidStep(whom, 1.0 + seededRandom.nextDouble() * 30)
-            3 -> cluster.cut(whom, "state", 1.0 + seededRandom.nextDouble() * 15)
-            4 -> cluster.peersCut(whom, 1.0 + seededRandom.nextDouble() * 15)
-            5 -> cluster.refuse(whom, 1.0 + seededRandom.nextDouble() * 10)
+            0 -> cluster.crash(member, seededRandom.nextDouble() * 4)
+            1 -> cluster.freeze(member, 0.2 + seededRandom.nextDouble() * 10)
+            2 -> cluster.pauseMidStep(member, 1.0 + seededRandom.nextDouble() * 30)
+            3 -> cluster.cut(member, "state", 1.0 + seededRandom.nextDouble() * 15)
+            4 -> cluster.peersCut(member, 1.0 + seededRandom.nextDouble() * 15)
+            5 -> cluster.refuse(member, 1.0 + seededRandom.nextDouble() * 10)
             6 -> cluster.state.outage(0.5 + seededRandom.nextDouble() * 10)
-            7 -> loseAnswers(cluster, seededRandom)
+            7 -> loseResponses(cluster, seededRandom)
             8 -> cluster.members.forEach { cluster.crash(it, seededRandom.nextDouble() * 3) }
             9 -> cluster.cloud.take(cluster.cloud.names().random(seededRandom))
-            else -> lateReports(cluster, seededRandom)
+            else -> delayHeartbeats(cluster, seededRandom)
         }
     }
 
-    private fun lateReports(
+    private fun delayHeartbeats(
         cluster: SimulatedCluster,
         seededRandom: Random,
     ) {
@@ -122,14 +122,14 @@
         cluster.copyAfter = { if (cluster.clock.now < until) 2.0 + seededRandom.nextDouble() * 30 else null }
     }
 
-    private fun loseAnswers(
+    private fun loseResponses(
         cluster: SimulatedCluster,
         seededRandom: Random,
     ) {
         val until = cluster.clock.now + 0.5 + seededRandom.nextDouble() * 4
         cluster.onCall = { _, call ->
-            val unlucky = cluster.clock.now < until && !call.path.startsWith("/follow") && seededRandom.nextBoolean()
-            if (unlucky) {
+            val isAffected = cluster.clock.now < until && !call.path.startsWith("/follow") && seededRandom.nextBoolean()
+            if (isAffected) {
                 listOf(
                     SimulatedCluster.CallFate.ANSWER_LOST,
                     SimulatedCluster.CallFate.LATE,
@@ -143,16 +143,16 @@
 
     @Test
     fun `whatever fails around drains and moves, no task runs twice or is lost, and no drain is forgotten`() {
-        val count = System.getProperty("simulation.schedules")?.toInt() ?: USUAL_SCHEDULES
-        val first = System.getProperty("from")?.toInt() ?: 1
-        val outcomes = (first until first + count).map { play(it) }
-        assertTrue(outcomes.sumOf { it.stops } >= count * 5, "stops: ${outcomes.sumOf { it.stops }}")
-        assertTrue(outcomes.sumOf { it.drained } >= count / 3, "drained: ${outcomes.sumOf { it.drained }}")
-        assertTrue(outcomes.sumOf { it.leaders } >= count * 2, "leaders: ${outcomes.sumOf { it.leaders }}")
+        val count = System.getProperty("simulation.schedules")?.toInt() ?: DEFAULT_SCHEDULE_COUNT
+        val firstSeed = System.getProperty("from")?.toInt() ?: 1
+        val outcomes = (firstSeed until firstSeed + count).map { runSchedule(it) }
+        assertTrue(outcomes.sumOf { it.stopCount } >= count * 5, "stops: ${outcomes.sumOf { it.stopCount }}")
+        assertTrue(outcomes.sumOf { it.drainedCount } >= count / 3, "drained: ${outcomes.sumOf { it.drainedCount }}")
+        assertTrue(outcomes.sumOf { it.leaderCount } >= count * 2, "leaders: ${outcomes.sumOf { it.leaderCount }}")
     }
 
     private companion object {
-        const val USUAL_SCHEDULES = 200
+        const val DEFAULT_SCHEDULE_COUNT = 200
 
         /** A command that was held up, or is answered late, may still start what left before the drain was accepted. */
         const val DRAIN_SLACK_SECONDS = 34.0
--- a/src/test/kotlin/burlridge/balance/HotspotMitigationTest.kt
+++ b/src/test/kotlin/burlridge/balance/HotspotMitigationTest.kt
@@ -24,8 +24,8 @@
 
     private fun LoadTracker.at(
         now: Double,
-        silent: Boolean = false,
-    ) = load(machine, silent, now)
+        isSilent: Boolean = false,
+    ) = load(machine, isSilent, now)
 
     /** Guards the two thresholds: one that hovers between them keeps the mark it has. */
     @Test
@@ -37,7 +37,7 @@
         assertEquals(LoadLevel.UNKNOWN, loadTracker.at(1.0), "two samples say nothing")
         loadTracker.recordCompleted("m-1", job, 20.0, 2.0)
         assertEquals(LoadLevel.HOT, loadTracker.at(2.0))
-        assertEquals(LoadLevel.UNKNOWN, loadTracker.at(2.0, silent = true), "a silent machine is neither idle nor hot")
+        assertEquals(LoadLevel.UNKNOWN, loadTracker.at(2.0, isSilent = true), "a silent machine is neither idle nor hot")
         while (loadTracker.slowdown("m-1", 3.0) > 1.25) loadTracker.recordCompleted("m-1", job, 11.0, 3.0)
         assertEquals(LoadLevel.HOT, loadTracker.at(3.0))
         while (loadTracker.slowdown("m-1", 4.0) > 1.14) loadTracker.recordCompleted("m-1", job, 10.0, 4.0)
@@ -62,7 +62,7 @@
             loadTracker.recordCompleted("m-1", job(), wrong, 1.0)
             loadTracker.recordRunning("m-1", job(), wrong, 1.0)
         }
-        assertEquals(0, loadTracker.samples)
+        assertEquals(0, loadTracker.sampleCount)
         repeat(4000) { loadTracker.recordCompleted("m-$it", job(), 10.0, 1.0) }
         assertTrue(loadTracker.sizeBytes < 1_000_000, "${loadTracker.sizeBytes} bytes at 4,000 machines")
         loadTracker.retainOnly(setOf("m-1"))
@@ -88,36 +88,43 @@
     }
 
     /** Short tasks by which the pace is learned beside long ones; [hot] of the machines that run both are slow from then on. */
-    private fun SimulatedCluster.warm(
+    private fun SimulatedCluster.startWithSlowMachines(
         slowness: Double,
-        hot: Int,
+        slowCount: Int,
     ): Pair<Set<String>, List<JobSpec>> {
-        val short = submitAll((0 until 90).map { savingJob(it, 6, runSeconds = 4.0) }, 15.0, everySeconds = 0.5)
-        val long = submitAll((100 until 124).map { savingJob(it, 2, runSeconds = 90.0) }, 15.1, everySeconds = 0.3)
+        val short = submitAll((0 until 90).map { checkpointingJob(it, 6, runSeconds = 4.0) }, 15.0, everySeconds = 0.5)
+        val long = submitAll((100 until 124).map { checkpointingJob(it, 2, runSeconds = 90.0) }, 15.1, everySeconds = 0.3)
         run(23.0)
         val machinesOf = { jobs: List<JobSpec> ->
             history.starts.filter { start -> jobs.any { start.task.startsWith(it.id) } }.mapTo(LinkedHashSet()) { it.machine }
         }
-        val slow = (machinesOf(long) intersect machinesOf(short)).take(hot)
-        assertTrue(slow.isNotEmpty())
-        slow.forEach { cloud.worker(it)?.slowness = slowness }
-        return slow.toSet() to short + long
+        val slowMachines = (machinesOf(long) intersect machinesOf(short)).take(slowCount)
+        assertTrue(slowMachines.isNotEmpty())
+        slowMachines.forEach { cloud.worker(it)?.slowness = slowness }
+        return slowMachines.toSet() to short + long
     }
 
-    private fun SimulatedCluster.movedFor(reason: MoveReason): List<Pair<String, String>> =
+    private fun SimulatedCluster.movesWithReason(reason: MoveReason): List<Pair<String, String>> =
         state.keys(MoveBatch.PREFIX).flatMap { key ->
-            state.value(key)?.path("jobs")?.flatMap { it.path(2).toList() }.orEmpty().filter { it.path(6).asText() == reason.wire }.map {
-                it.path(2).asText() to it.path(3).asText()
-            }
+            state
+                .value(
+                    key,
+                )?.path("jobs")
+                ?.flatMap { it.path(2).toList() }
+                .orEmpty()
+                .filter { it.path(6).asText() == reason.wireName }
+                .map {
+                    it.path(2).asText() to it.path(3).asText()
+                }
         }
 
     @Test
     fun `a hot machine gets nothing new and is relieved, whoever leads`() {
         for (seed in 1..4) {
             val small = mapOf("small" to MachineTypeSpec(4.0, 16.0, 6))
-            val cluster = balancedCluster(seed, BalanceSettings(), if (seed % 2 == 0) 5 else 3, failover = seed % 2 == 0, types = small)
-            val (slow, jobs) = cluster.warm(slowness = 1.55, hot = 2)
-            while (cluster.clock.now < 60.0 && cluster.movedFor(MoveReason.HOT).isEmpty()) cluster.run(cluster.clock.now + 0.5)
+            val cluster = clusterWithBalance(seed, BalanceSettings(), if (seed % 2 == 0) 5 else 3, failover = seed % 2 == 0, types = small)
+            val (slowMachines, jobs) = cluster.startWithSlowMachines(slowness = 1.55, slowCount = 2)
+            while (cluster.clock.now < 60.0 && cluster.movesWithReason(MoveReason.HOT).isEmpty()) cluster.run(cluster.clock.now + 0.5)
             val report = cluster.report()
             val hot =
                 report
@@ -125,13 +132,13 @@
                     .fieldNames()
                     .asSequence()
                     .toSet()
-            assertTrue(hot.isNotEmpty() && slow.containsAll(hot), "$hot of $slow\n${cluster.tail()}")
-            val moves = cluster.movedFor(MoveReason.HOT)
-            assertTrue(moves.isNotEmpty(), "nothing was moved: $report\n${cluster.tail()}")
-            assertTrue(moves.all { (from, to) -> from in slow && to !in slow }, moves.toString())
+            assertTrue(hot.isNotEmpty() && slowMachines.containsAll(hot), "$hot of $slowMachines\n${cluster.recentLog()}")
+            val moves = cluster.movesWithReason(MoveReason.HOT)
+            assertTrue(moves.isNotEmpty(), "nothing was moved: $report\n${cluster.recentLog()}")
+            assertTrue(moves.all { (from, to) -> from in slowMachines && to !in slowMachines }, moves.toString())
             cluster.crash(cluster.leader() ?: "drover-0", 4.0)
             cluster.run(240.0)
-            cluster.verdict(jobs, BalanceSettings())
+            cluster.assertNoViolations(jobs, BalanceSettings())
             val places = cluster.history.starts.groupBy({ it.task }, { it.machine })
             assertTrue(
                 places.values.all {
@@ -145,39 +152,44 @@
     /** Guards the two bounds of the picture: a fleet that is slow throughout, and half of it unheard, tells nothing of any machine. */
     @Test
     fun `where much of the fleet looks hot, or a zone is cut off, nothing is moved for it`() {
-        val cluster = balancedCluster(5, BalanceSettings())
-        val (_, jobs) = cluster.warm(slowness = 1.5, hot = 1)
+        val cluster = clusterWithBalance(5, BalanceSettings())
+        val (_, jobs) = cluster.startWithSlowMachines(slowness = 1.5, slowCount = 1)
         cluster.cloud.names().forEach { cluster.cloud.worker(it)?.slowness = 1.5 }
         cluster.run(60.0)
-        assertEquals(emptyList<Any>(), cluster.movedFor(MoveReason.HOT))
+        assertEquals(emptyList<Any>(), cluster.movesWithReason(MoveReason.HOT))
         assertEquals(0, cluster.report().path("hot_machines").size())
         cluster.run(240.0)
-        cluster.verdict(jobs, BalanceSettings())
+        cluster.assertNoViolations(jobs, BalanceSettings())
 
-        val cut = balancedCluster(6, BalanceSettings())
-        val (_, others) = cut.warm(slowness = 1.55, hot = 2)
-        cut.run(36.0)
-        val zone = cut.cloud.names().filter { cut.cloud.worker(it)?.zone == "b" }
-        zone.forEach { machine -> cut.members.forEach { cut.cut(machine, it, 30.0) } }
-        cut.run(60.0)
-        assertTrue(cut.movedFor(MoveReason.HOT).none { it.second in zone }, cut.movedFor(MoveReason.HOT).toString())
-        cut.run(260.0)
-        cut.verdict(others, BalanceSettings())
+        val partitionedCluster = clusterWithBalance(6, BalanceSettings())
+        val (_, others) = partitionedCluster.startWithSlowMachines(slowness = 1.55, slowCount = 2)
+        partitionedCluster.run(36.0)
+        val zone = partitionedCluster.cloud.names().filter { partitionedCluster.cloud.worker(it)?.zone == "b" }
+        zone.forEach { machine -> partitionedCluster.members.forEach { partitionedCluster.cut(machine, it, 30.0) } }
+        partitionedCluster.run(60.0)
+        assertTrue(
+            partitionedCluster.movesWithReason(MoveReason.HOT).none {
+                it.second in zone
+            },
+            partitionedCluster.movesWithReason(MoveReason.HOT).toString(),
+        )
+        partitionedCluster.run(260.0)
+        partitionedCluster.assertNoViolations(others, BalanceSettings())
     }
 
     /** Guards the room that is left for those who have nothing else: a mark must never keep a job waiting. */
     @Test
     fun `a job that fits nowhere else gets the hot machine in time`() {
-        val cluster = balancedCluster(7, BalanceSettings(relieveHot = false))
-        val (slow, jobs) = cluster.warm(slowness = 1.5, hot = 1)
-        val other = cluster.cloud.names().filter { it !in slow }
+        val cluster = clusterWithBalance(7, BalanceSettings(relieveHot = false))
+        val (slowMachines, jobs) = cluster.startWithSlowMachines(slowness = 1.5, slowCount = 1)
+        val other = cluster.cloud.names().filter { it !in slowMachines }
         // All others are full for long.
-        val full = cluster.submitAll((200 until 230).map { cluster.savingJob(it, 12, runSeconds = 200.0) }, 37.0, everySeconds = 0.1)
+        val full = cluster.submitAll((200 until 230).map { cluster.checkpointingJob(it, 12, runSeconds = 200.0) }, 37.0, everySeconds = 0.1)
         cluster.run(320.0)
         assertTrue(other.isNotEmpty())
-        assertEquals(emptyList<String>(), cluster.invariants.broken, cluster.tail())
-        assertTrue(cluster.history.starts.any { it.machine in slow && it.at > 60.0 }, "it was never used again")
+        assertEquals(emptyList<String>(), cluster.invariants.broken, cluster.recentLog())
+        assertTrue(cluster.history.starts.any { it.machine in slowMachines && it.at > 60.0 }, "it was never used again")
         cluster.run(700.0)
-        cluster.verdict(jobs + full, BalanceSettings())
+        cluster.assertNoViolations(jobs + full, BalanceSettings())
     }
 }
--- a/src/test/kotlin/burlridge/balance/MoveTest.kt
+++ b/src/test/kotlin/burlridge/balance/MoveTest.kt
@@ -15,7 +15,7 @@
 internal class MoveTest {
     /** Steps of a move as they can be told from outside: what leaves the leader, or comes back to it. */
     private enum class Step(
-        val isIt: (Effect.HttpCall) -> Boolean,
+        val matches: (Effect.HttpCall) -> Boolean,
     ) {
         ROW({ it.path == "/multi" && "\"set\":\"move/" in it.body.orEmpty() }),
         STOP({ it.path == "/do" && "\"halt\"" in it.body.orEmpty() }),
@@ -24,42 +24,42 @@
         CLEANUP({ it.path == "/multi" && "\"remove\":\"move/" in it.body.orEmpty() }),
     }
 
-    private enum class Trouble { KILLED, FROZEN, CUT_OFF, REFUSED, ANSWER_LOST, LATE }
+    private enum class Fault { KILLED, FROZEN, CUT_OFF, REFUSED, ANSWER_LOST, LATE }
 
-    private fun SimulatedCluster.strike(
+    private fun SimulatedCluster.injectFault(
         name: String,
-        trouble: Trouble,
+        fault: Fault,
     ) {
-        when (trouble) {
-            Trouble.KILLED -> crash(name, 4.0)
-            Trouble.FROZEN -> freeze(name, 9.0)
-            Trouble.CUT_OFF -> listOf("state").plus(members.filter { it != name }).forEach { cut(name, it, 12.0) }
-            Trouble.REFUSED -> refuse(name, 8.0)
+        when (fault) {
+            Fault.KILLED -> crash(name, 4.0)
+            Fault.FROZEN -> freeze(name, 9.0)
+            Fault.CUT_OFF -> listOf("state").plus(members.filter { it != name }).forEach { cut(name, it, 12.0) }
+            Fault.REFUSED -> refuse(name, 8.0)
             else -> Unit
         }
     }
 
     /** Strikes the leader at the first [step] after the drain, and its successor at the same step. */
-    private fun strikeAt(
+    private fun injectFaultAt(
         cluster: SimulatedCluster,
         step: Step,
-        trouble: Trouble,
+        fault: Fault,
         before: Boolean,
     ): () -> Int {
-        val struck = HashSet<String>()
+        val affectedMembers = HashSet<String>()
         cluster.onCall = { name, call ->
-            val hit = cluster.clock.now > 40.0 && step.isIt(call) && struck.size < 2 && struck.add(name)
-            if (hit) cluster.clock.after(if (before) 0.0 else 0.004) { cluster.strike(name, trouble) }
+            val isHit = cluster.clock.now > 40.0 && step.matches(call) && affectedMembers.size < 2 && affectedMembers.add(name)
+            if (isHit) cluster.clock.after(if (before) 0.0 else 0.004) { cluster.injectFault(name, fault) }
             when {
-                hit && trouble == Trouble.ANSWER_LOST -> SimulatedCluster.CallFate.ANSWER_LOST
-                hit && trouble == Trouble.LATE -> SimulatedCluster.CallFate.LATE
+                isHit && fault == Fault.ANSWER_LOST -> SimulatedCluster.CallFate.ANSWER_LOST
+                isHit && fault == Fault.LATE -> SimulatedCluster.CallFate.LATE
                 else -> SimulatedCluster.CallFate.FINE
             }
         }
-        return { struck.size }
+        return { affectedMembers.size }
     }
 
-    private fun SimulatedCluster.movedTo(job: JobSpec): List<Pair<String, Int>> =
+    private fun SimulatedCluster.moveTargets(job: JobSpec): List<Pair<String, Int>> =
         state
             .keys(MoveBatch.PREFIX)
             .flatMap {
@@ -75,23 +75,23 @@
     @Test
     fun `each task is moved once, whatever befalls the leader and its successor at whichever step`() {
         for (step in Step.entries) {
-            for (trouble in Trouble.entries) {
-                val seed = step.ordinal * 10 + trouble.ordinal
-                val cluster = balancedCluster(seed + 1, members = if (seed % 2 == 0) 3 else 5, failover = seed % 3 == 0)
-                val jobs = cluster.submitAll((0 until 6).map { cluster.savingJob(it, 4) }, 20.0)
+            for (fault in Fault.entries) {
+                val seed = step.ordinal * 10 + fault.ordinal
+                val cluster = clusterWithBalance(seed + 1, members = if (seed % 2 == 0) 3 else 5, failover = seed % 3 == 0)
+                val jobs = cluster.submitAll((0 until 6).map { cluster.checkpointingJob(it, 4) }, 20.0)
                 cluster.clock.after(40.0) { cluster.drainZone("a") }
-                val struck = strikeAt(cluster, step, trouble, before = seed % 4 < 2)
+                val affectedCount = injectFaultAt(cluster, step, fault, before = seed % 4 < 2)
                 cluster.run(200.0)
-                cluster.verdict(jobs)
-                assertTrue(struck() > 0, "$step was not reached with $trouble")
-                assertTrue(cluster.history.stops.isNotEmpty(), "$step $trouble: nothing was moved\n${cluster.tail()}")
-                val often =
+                cluster.assertNoViolations(jobs)
+                assertTrue(affectedCount() > 0, "$step was not reached with $fault")
+                assertTrue(cluster.history.stops.isNotEmpty(), "$step $fault: nothing was moved\n${cluster.recentLog()}")
+                val movedTwice =
                     cluster.history.stops
                         .groupBy { it.task }
                         .filterValues { it.size > 1 }
-                assertEquals(emptySet<String>(), often.keys, "$step $trouble: moved twice out of one zone\n${cluster.tail()}")
-                assertEquals("drained", cluster.stateOf("zone/a"), "$step $trouble\n${cluster.tail()}")
-                assertEquals(emptyList<String>(), cluster.state.keys(MoveBatch.PREFIX), "$step $trouble: rows are left")
+                assertEquals(emptySet<String>(), movedTwice.keys, "$step $fault: moved twice out of one zone\n${cluster.recentLog()}")
+                assertEquals("drained", cluster.drainStateOf("zone/a"), "$step $fault\n${cluster.recentLog()}")
+                assertEquals(emptyList<String>(), cluster.state.keys(MoveBatch.PREFIX), "$step $fault: rows are left")
             }
         }
     }
@@ -99,28 +99,28 @@
     /** Guards the room that is kept: the tasks of a crowd that waits would take it. */
     @Test
     fun `a moved task starts where room was kept for it, and nothing of its run is lost`() {
-        val cluster = balancedCluster(1)
-        val moved = cluster.savingJob(1, 12, runSeconds = 60.0, cpus = 2.0)
-        val crowd =
+        val cluster = clusterWithBalance(1)
+        val moved = cluster.checkpointingJob(1, 12, runSeconds = 60.0, cpus = 2.0)
+        val waitingJobs =
             cluster.submitAll(
-                (2 until 30).map { cluster.savingJob(it, 8, runSeconds = 20.0, cpus = 2.0).copy(zone = "b") },
+                (2 until 30).map { cluster.checkpointingJob(it, 8, runSeconds = 20.0, cpus = 2.0).copy(zone = "b") },
                 41.0,
                 everySeconds = 0.2,
             )
         cluster.submitAll(listOf(moved), 20.0)
         cluster.clock.after(41.0) { cluster.drainZone("a") }
         cluster.run(46.0)
-        val targets = cluster.movedTo(moved).filter { it.first != "null" }
-        assertTrue(targets.isNotEmpty(), cluster.tail())
+        val targets = cluster.moveTargets(moved).filter { it.first != "null" }
+        assertTrue(targets.isNotEmpty(), cluster.recentLog())
         cluster.run(70.0)
         for ((machine, task) in targets) {
             val starts = cluster.history.starts.filter { it.task == "${moved.id}/$task" }
             assertEquals(2, starts.size, starts.toString())
-            assertEquals(machine, starts.last().machine, cluster.tail())
+            assertEquals(machine, starts.last().machine, cluster.recentLog())
             assertTrue(starts.last().at < 46.0 + 8.0, "$starts")
         }
         cluster.run(300.0)
-        cluster.verdict(crowd + moved)
+        cluster.assertNoViolations(waitingJobs + moved)
         val longest =
             cluster.history.ran
                 .filter { it.task.startsWith(moved.id) }
@@ -130,15 +130,15 @@
 
     @Test
     fun `a save that fails, or whose stop's answer is lost, costs work and nothing else`() {
-        val cluster = balancedCluster(2)
+        val cluster = clusterWithBalance(2)
         cluster.savesFail = true
-        val jobs = cluster.submitAll((0 until 6).map { cluster.savingJob(it, 4) }, 20.0)
+        val jobs = cluster.submitAll((0 until 6).map { cluster.checkpointingJob(it, 4) }, 20.0)
         cluster.clock.after(40.0) { cluster.drainZone("a") }
-        var lost = 0
+        var stopCount = 0
         cluster.onCall =
             { _, call ->
-                if (Step.STOP.isIt(call) &&
-                    lost++ % 2 == 0
+                if (Step.STOP.matches(call) &&
+                    stopCount++ % 2 == 0
                 ) {
                     SimulatedCluster.CallFate.ANSWER_LOST
                 } else {
@@ -146,21 +146,26 @@
                 }
             }
         cluster.run(220.0)
-        cluster.verdict(jobs)
-        assertTrue(lost > 2)
-        assertEquals("drained", cluster.stateOf("zone/a"), cluster.tail())
+        cluster.assertNoViolations(jobs)
+        assertTrue(stopCount > 2)
+        assertEquals("drained", cluster.drainStateOf("zone/a"), cluster.recentLog())
     }
 
     @Test
     fun `the target is drained, and source and target are lost, in the middle of a move`() {
         for (seed in 1..6) {
-            val cluster = balancedCluster(seed, members = 5)
-            val jobs = cluster.submitAll((0 until 8).map { cluster.savingJob(it, 4) }, 20.0)
+            val cluster = clusterWithBalance(seed, members = 5)
+            val jobs = cluster.submitAll((0 until 8).map { cluster.checkpointingJob(it, 4) }, 20.0)
             cluster.clock.after(40.0) { cluster.drainZone("a") }
             cluster.clock.after(40.6) {
-                val targets = jobs.flatMap { cluster.movedTo(it) }.map { it.first }.distinct()
+                val targets = jobs.flatMap { cluster.moveTargets(it) }.map { it.first }.distinct()
                 targets.take(2).forEach { target ->
-                    cluster.ask(cluster.anyMember(), "POST", MachineRequests.DRAIN, """{"machine":"$target","force":true}""") { _, _ -> }
+                    cluster.sendRequest(
+                        cluster.anyMember(),
+                        "POST",
+                        MachineRequests.DRAIN,
+                        """{"machine":"$target","force":true}""",
+                    ) { _, _ -> }
                 }
                 targets.drop(2).take(2).forEach { cluster.cloud.take(it) }
                 cluster.cloud
@@ -171,58 +176,61 @@
                 cluster.leader()?.let { cluster.crash(it, 5.0) }
             }
             cluster.run(240.0)
-            cluster.verdict(jobs)
-            assertEquals("drained", cluster.stateOf("zone/a"), cluster.tail())
+            cluster.assertNoViolations(jobs)
+            assertEquals("drained", cluster.drainStateOf("zone/a"), cluster.recentLog())
         }
     }
 
     /** A late copy of a report that still shows the task must neither start it twice nor stop it twice. */
     @Test
     fun `reports of the source that come a lease late change nothing`() {
-        val cluster = balancedCluster(3)
+        val cluster = clusterWithBalance(3)
         cluster.copyAfter = { if (cluster.clock.now in 38.0..60.0) 2.0 + cluster.random.nextDouble() * 30 else null }
-        val jobs = cluster.submitAll((0 until 8).map { cluster.savingJob(it, 4) }, 20.0)
+        val jobs = cluster.submitAll((0 until 8).map { cluster.checkpointingJob(it, 4) }, 20.0)
         cluster.clock.after(40.0) { cluster.drainZone("a") }
         cluster.clock.after(44.0) { cluster.leader()?.let { cluster.freeze(it, 10.0) } }
         cluster.run(200.0)
-        cluster.verdict(jobs)
+        cluster.assertNoViolations(jobs)
         assertTrue(
             cluster.history.stops
                 .groupBy { it.task }
                 .all { it.value.size == 1 },
-            cluster.tail(),
+            cluster.recentLog(),
         )
     }
 
     /** Guards the counting of rows of earlier leaders: a new one begins with what is left of the minute. */
     @Test
     fun `budgets hold over all leaders together, and classes keep what is permitted`() {
-        val settings = EAGER.copy(movesPerMinute = 6, movesPerTask = 1, classMoves = mapOf("urgent" to MovePermission.SAVED))
-        val cluster = balancedCluster(4, settings)
-        val jobs = cluster.submitAll((0 until 10).map { cluster.savingJob(it, 4, runSeconds = 100.0) }, 20.0)
-        val kept =
+        val settings = EAGER_MOVES.copy(movesPerMinute = 6, movesPerTask = 1, classMoves = mapOf("urgent" to MovePermission.SAVED))
+        val cluster = clusterWithBalance(4, settings)
+        val jobs = cluster.submitAll((0 until 10).map { cluster.checkpointingJob(it, 4, runSeconds = 100.0) }, 20.0)
+        val jobsWithoutCheckpoints =
             cluster.submitAll(
-                listOf(cluster.savingJob(50, 4, runSeconds = 100.0).copy(checkpointIntervalSeconds = 0.0, saveSeconds = 0.0)),
+                listOf(cluster.checkpointingJob(50, 4, runSeconds = 100.0).copy(checkpointIntervalSeconds = 0.0, saveSeconds = 0.0)),
                 20.0,
             )
         cluster.clock.after(40.0) { cluster.drainZone("a") }
         for (turn in 0 until 8) cluster.clock.after(42.0 + turn * 7) { cluster.leader()?.let { cluster.crash(it, 2.0) } }
         cluster.run(260.0)
-        cluster.verdict(jobs + kept, settings)
+        cluster.assertNoViolations(jobs + jobsWithoutCheckpoints, settings)
         assertTrue(cluster.history.stops.size >= 6, cluster.history.stops.toString())
-        assertTrue(cluster.history.stops.none { it.task.startsWith(kept.first().id) }, "what does not save runs to its end")
-        assertEquals("drained", cluster.stateOf("zone/a"), cluster.tail())
+        assertTrue(
+            cluster.history.stops.none { it.task.startsWith(jobsWithoutCheckpoints.first().id) },
+            "what does not save runs to its end",
+        )
+        assertEquals("drained", cluster.drainStateOf("zone/a"), cluster.recentLog())
     }
 
     @Test
     fun `a cancelled task's move ends with the cancellation`() {
-        val cluster = balancedCluster(5)
-        val jobs = cluster.submitAll((0 until 8).map { cluster.savingJob(it, 4) }, 20.0)
+        val cluster = clusterWithBalance(5)
+        val jobs = cluster.submitAll((0 until 8).map { cluster.checkpointingJob(it, 4) }, 20.0)
         cluster.clock.after(40.0) { cluster.drainZone("a") }
         jobs.take(4).forEachIndexed { i, job -> cluster.clock.after(40.1 + i * 0.3) { cluster.abort(job) } }
         cluster.clock.after(40.9) { cluster.leader()?.let { cluster.crash(it, 3.0) } }
         cluster.run(160.0)
-        cluster.verdict(jobs)
+        cluster.assertNoViolations(jobs)
         assertEquals(emptyList<Any>(), cluster.invariants.startsAfterCancellation.filter { it.second > 2.5 })
         assertEquals(0, cluster.report().path("open_moves").asInt())
     }
@@ -230,13 +238,13 @@
     @Test
     fun `a gang is moved whole, or not`() {
         for (seed in 1..4) {
-            val cluster = balancedCluster(seed)
+            val cluster = clusterWithBalance(seed)
             val gangs = cluster.submitAll((0 until 4).map { cluster.gang(it, 3, runSeconds = 60.0) }, 20.0, everySeconds = 2.0)
             cluster.clock.after(45.0) { cluster.drainZone("a") }
             cluster.clock.after(45.2 + seed * 0.4) { cluster.leader()?.let { cluster.crash(it, 4.0) } }
             cluster.run(260.0)
-            cluster.verdict(gangs)
-            assertEquals("drained", cluster.stateOf("zone/a"), cluster.tail())
+            cluster.assertNoViolations(gangs)
+            assertEquals("drained", cluster.drainStateOf("zone/a"), cluster.recentLog())
             val stops = cluster.history.stops.groupBy { it.task.substringBefore('/') }
             assertTrue(stops.values.all { it.size == 3 }, "stopped in part: $stops")
         }
@@ -246,8 +254,8 @@
     @Test
     fun `a spread job never crowds a zone while some of its tasks move there and others wait`() {
         for (seed in 1..12) {
-            val cluster = balancedCluster(seed, EAGER.copy(finishReports = 0.0))
-            val jobs = cluster.submitAll((0 until 10).map { cluster.savingJob(it, 4).copy(spread = true) }, 20.0, everySeconds = 0.3)
+            val cluster = clusterWithBalance(seed, EAGER_MOVES.copy(finishReports = 0.0))
+            val jobs = cluster.submitAll((0 until 10).map { cluster.checkpointingJob(it, 4).copy(spread = true) }, 20.0, everySeconds = 0.3)
             cluster.clock.after(40.0) { cluster.drainZone("a") }
             // Its tasks in the other zone are lost while those in the drained one are told to stop.
             repeat(8) { turn ->
@@ -261,38 +269,38 @@
                 }
             }
             cluster.run(160.0)
-            cluster.verdict(jobs)
+            cluster.assertNoViolations(jobs)
         }
     }
 
     /** Guards the limit while a task counts in both places: room is kept only as far as its team may use it. */
     @Test
     fun `a team at its limit is moved without room kept, and never exceeds it`() {
-        val cluster = balancedCluster(6, EAGER.copy(roomLeases = 0.2))
-        val jobs = cluster.submitAll((0 until 14).map { cluster.savingJob(it, 4, runSeconds = 50.0).copy(team = "crew-x") }, 20.0)
+        val cluster = clusterWithBalance(6, EAGER_MOVES.copy(roomLeases = 0.2))
+        val jobs = cluster.submitAll((0 until 14).map { cluster.checkpointingJob(it, 4, runSeconds = 50.0).copy(team = "crew-x") }, 20.0)
         cluster.clock.after(45.0) { cluster.drainZone("a") }
         listOf(46.0, 52.0, 61.0).forEach { at -> cluster.clock.after(at) { cluster.leader()?.let { cluster.crash(it, 3.0) } } }
         jobs.take(3).forEach { job -> cluster.clock.after(50.0) { cluster.abort(job) } }
         cluster.run(300.0)
-        cluster.verdict(jobs)
-        assertEquals("drained", cluster.stateOf("zone/a"), cluster.tail())
+        cluster.assertNoViolations(jobs)
+        assertEquals("drained", cluster.drainStateOf("zone/a"), cluster.recentLog())
     }
 
     @Test
     fun `damaged rows stop nothing but themselves and are shown`() {
-        val cluster = balancedCluster(7)
-        val jobs = cluster.submitAll((0 until 6).map { cluster.savingJob(it, 4) }, 20.0)
+        val cluster = clusterWithBalance(7)
+        val jobs = cluster.submitAll((0 until 6).map { cluster.checkpointingJob(it, 4) }, 20.0)
         listOf("drain/zone/b", "drain/machine/x", "move/9-9", "move/9-8").forEachIndexed { i, key ->
             val value = listOf("{}", """{"st":"draining","target":{"machine":"y"}}""", """{"at":1,"jobs":{"j-1":[1]}}""", "[]")[i]
             cluster.state.handle("POST", "/multi", """{"if":[],"then":[{"set":"$key","value":$value}]}""") { _, _ -> }
         }
         cluster.clock.after(40.0) { cluster.drainZone("a") }
         cluster.run(150.0)
-        cluster.verdict(jobs)
+        cluster.assertNoViolations(jobs)
         val report = cluster.report()
         assertEquals(4, report.path("damaged_rows").size(), report.toString())
         assertEquals(Json.parse("{}"), cluster.state.value("drain/zone/b"))
-        val (status, answer) = cluster.answerOf("drover-0", "POST", MachineRequests.DRAIN, """{"zone":"b","force":true}""")
+        val (status, answer) = cluster.requestAndWait("drover-0", "POST", MachineRequests.DRAIN, """{"zone":"b","force":true}""")
         assertTrue(status == 409 && "damaged" in answer.path("error").asText(), answer.toString())
     }
 }
--- a/src/test/kotlin/burlridge/balance/OperatorActions.kt
+++ b/src/test/kotlin/burlridge/balance/OperatorActions.kt
@@ -16,25 +16,25 @@
 // What operators do in a simulated world, and what is expected of it in the end.
 
 /** Tasks do not finish on drained machines but for what is about to end, so that there is something to move. */
-internal val EAGER = BalanceSettings(finishReports = 0.5)
+internal val EAGER_MOVES = BalanceSettings(finishReports = 0.5)
 
-internal fun balanced(
-    settings: BalanceSettings = EAGER,
+internal fun operatorSettingsWithBalance(
+    settings: BalanceSettings = EAGER_MOVES,
     failover: Boolean = false,
 ) = OperatorSettings(balance = settings, failover = if (failover) FailoverSettings() else null)
 
 /** A fleet that does not shrink: no team is guaranteed anything, so all that the cloud gives is kept. */
-internal fun balancedCluster(
+internal fun clusterWithBalance(
     seed: Int,
-    settings: BalanceSettings = EAGER,
+    settings: BalanceSettings = EAGER_MOVES,
     members: Int = 3,
     failover: Boolean = false,
     types: Map<String, MachineTypeSpec> = mapOf("small" to MachineTypeSpec(4.0, 16.0, 6), "big" to MachineTypeSpec(16.0, 64.0, 3)),
-    operatorOf: (String) -> OperatorSettings = { balanced(settings, failover) },
+    operatorOf: (String) -> OperatorSettings = { operatorSettingsWithBalance(settings, failover) },
 ) = SimulatedCluster(seed, members = (0 until members).map { "drover-$it" }, types = types, guaranteed = 0.0, operatorOf = operatorOf)
 
 /** A job whose tasks save their progress when they are stopped. */
-internal fun SimulatedCluster.savingJob(
+internal fun SimulatedCluster.checkpointingJob(
     number: Int,
     tasks: Int,
     runSeconds: Double = 40.0,
@@ -47,7 +47,7 @@
     everySeconds: Double = 0.5,
 ): List<JobSpec> = jobs.onEachIndexed { i, job -> clock.after(from + i * everySeconds) { submit(job) } }
 
-internal fun SimulatedCluster.ask(
+internal fun SimulatedCluster.sendRequest(
     member: String,
     method: String,
     path: String,
@@ -61,7 +61,7 @@
     member: () -> String = ::anyMember,
     onAccepted: (ExecutionHistory.Drained) -> Unit = {},
 ) {
-    ask(member(), "POST", MachineRequests.DRAIN, """{"zone":"$zone","force":true,"asked_ms":${nowMillis()}}""") { status, _ ->
+    sendRequest(member(), "POST", MachineRequests.DRAIN, """{"zone":"$zone","force":true,"asked_ms":${nowMillis()}}""") { status, _ ->
         if (status == 200) {
             history.drained += ExecutionHistory.Drained({ zoneOf[it] == zone }, clock.now).also(onAccepted)
         } else {
@@ -71,7 +71,7 @@
 }
 
 /** The service is held to the drain of [machine] from now on. */
-internal fun SimulatedCluster.drained(machine: String) {
+internal fun SimulatedCluster.expectDrained(machine: String) {
     history.drained += ExecutionHistory.Drained({ it == machine }, clock.now)
 }
 
@@ -82,41 +82,41 @@
 ) {
     // From when it is asked on it may be carried out.
     history.drained.forEach { it.until = minOf(it.until, clock.now) }
-    ask(member(), "POST", MachineRequests.UNDRAIN, """{"zone":"$zone","asked_ms":${nowMillis()}}""") { status, _ ->
+    sendRequest(member(), "POST", MachineRequests.UNDRAIN, """{"zone":"$zone","asked_ms":${nowMillis()}}""") { status, _ ->
         if (status == 200) onAccepted() else clock.after(1.0) { undrainZone(zone, member, onAccepted) }
     }
 }
 
 /** Asks [member] now and runs on until it answers. */
-internal fun SimulatedCluster.answerOf(
+internal fun SimulatedCluster.requestAndWait(
     member: String,
     method: String,
     path: String,
     body: String = "",
 ): Pair<Int, JsonNode> {
     var answer: Pair<Int, JsonNode>? = null
-    ask(member, method, path, body) { status, node -> answer = status to node }
+    sendRequest(member, method, path, body) { status, node -> answer = status to node }
     while (answer == null) run(clock.now + 0.1)
     return checkNotNull(answer) { "no answer" }
 }
 
-internal fun SimulatedCluster.report(): JsonNode = answerOf(leader() ?: anyMember(), "GET", MachineRequests.STATUS).second
+internal fun SimulatedCluster.report(): JsonNode = requestAndWait(leader() ?: anyMember(), "GET", MachineRequests.STATUS).second
 
 private fun SimulatedCluster.nowMillis(): Long = (clock.now * 1000).toLong()
 
-internal fun SimulatedCluster.stateOf(key: String): String? = state.value(Drain.PREFIX + key)?.path("st")?.asText()
+internal fun SimulatedCluster.drainStateOf(key: String): String? = state.value(Drain.PREFIX + key)?.path("st")?.asText()
 
-internal fun SimulatedCluster.tail(): String = log.filterNot { "state service" in it }.takeLast(60).joinToString("\n")
+internal fun SimulatedCluster.recentLog(): String = log.filterNot { "state service" in it }.takeLast(60).joinToString("\n")
 
-internal fun SimulatedCluster.verdict(
+internal fun SimulatedCluster.assertNoViolations(
     jobs: List<JobSpec>,
-    settings: BalanceSettings = EAGER,
+    settings: BalanceSettings = EAGER_MOVES,
 ) {
-    assertEquals(emptyList<String>(), invariants.broken, tail())
-    assertEquals(emptyList<String>(), simultaneousLeaders, tail())
-    assertEquals(emptyList<String>(), history.breaches(jobs.map { it.id }), tail())
-    assertEquals(emptyList<String>(), history.drainBreaches(SLACK_SECONDS), tail())
-    assertEquals(emptyList<String>(), history.moveBreaches(settings.movesPerMinute, settings.movesPerTask), tail())
+    assertEquals(emptyList<String>(), invariants.broken, recentLog())
+    assertEquals(emptyList<String>(), simultaneousLeaders, recentLog())
+    assertEquals(emptyList<String>(), history.breaches(jobs.map { it.id }), recentLog())
+    assertEquals(emptyList<String>(), history.drainBreaches(SLACK_SECONDS), recentLog())
+    assertEquals(emptyList<String>(), history.moveBreaches(settings.movesPerMinute, settings.movesPerTask), recentLog())
 }
 
 /** A start that has left begins once its image is there: two seconds at the most, and the news of the answer. */
--- a/src/test/kotlin/burlridge/balance/SlowStartTest.kt
+++ b/src/test/kotlin/burlridge/balance/SlowStartTest.kt
@@ -17,18 +17,18 @@
     /** A burst of tasks of a class without an aim for starting, there before the machines are. */
     private fun burst(
         seed: Int,
-        on: Boolean,
+        isEnabled: Boolean,
         jobClass: String = "batch",
     ): SimulatedCluster {
-        val operator = if (on) balanced(BalanceSettings()) else OperatorSettings()
-        val cluster = balancedCluster(seed, members = if (seed % 2 == 0) 5 else 3, types = large) { operator }
+        val operator = if (isEnabled) operatorSettingsWithBalance(BalanceSettings()) else OperatorSettings()
+        val cluster = clusterWithBalance(seed, members = if (seed % 2 == 0) 5 else 3, types = large) { operator }
         cluster.cloud.bootSeconds = { 8.0 }
         cluster.clock.after(3.0) { cluster.submit(cluster.job(1, 60, runSeconds = 30.0, jobClass = jobClass)) }
         return cluster
     }
 
     /** The most tasks that began on any machine within [seconds] of the first one there. */
-    private fun SimulatedCluster.mostAtOnce(seconds: Double): Int =
+    private fun SimulatedCluster.maxStartsOnOneMachine(seconds: Double): Int =
         history.starts
             .groupBy { it.machine }
             .values
@@ -36,22 +36,22 @@
 
     @Test
     fun `machines that join share a burst, and one that has proved itself is not limited for long`() {
-        val full = burst(1, on = false).also { it.run(40.0) }
-        assertEquals(16, full.mostAtOnce(2.0), "without it the first machines are filled at once")
+        val unlimitedCluster = burst(1, isEnabled = false).also { it.run(40.0) }
+        assertEquals(16, unlimitedCluster.maxStartsOnOneMachine(2.0), "without it the first machines are filled at once")
         for (seed in 1..4) {
-            val cluster = burst(seed, on = true)
+            val cluster = burst(seed, isEnabled = true)
             cluster.run(40.0)
-            assertTrue(cluster.mostAtOnce(0.5) <= 8, "seed $seed: ${cluster.mostAtOnce(0.5)}")
-            assertEquals(60, cluster.history.starts.size, "seed $seed: a part of the burst still waits\n${cluster.tail()}")
-            val spread =
+            assertTrue(cluster.maxStartsOnOneMachine(0.5) <= 8, "seed $seed: ${cluster.maxStartsOnOneMachine(0.5)}")
+            assertEquals(60, cluster.history.starts.size, "seed $seed: a part of the burst still waits\n${cluster.recentLog()}")
+            val startsWith =
                 cluster.history.starts
                     .groupingBy { it.machine }
                     .eachCount()
-            val before =
-                full.history.starts
+            val startsWithout =
+                unlimitedCluster.history.starts
                     .groupingBy { it.machine }
                     .eachCount()
-            assertTrue(spread.size > before.size, "seed $seed: $spread, without it $before")
+            assertTrue(startsWith.size > startsWithout.size, "seed $seed: $startsWith, without it $startsWithout")
         }
     }
 
@@ -59,8 +59,8 @@
     @Test
     fun `a class with an aim for starting is not delayed`() {
         for (seed in 1..4) {
-            val starts = { on: Boolean ->
-                burst(seed, on, "urgent")
+            val starts = { isEnabled: Boolean ->
+                burst(seed, isEnabled, "urgent")
                     .also { it.run(60.0) }
                     .history.starts
                     .map { it.at }
@@ -74,9 +74,9 @@
     @Test
     fun `the next leader limits the same machines, and those that come back or die in their first fetch lose nothing`() {
         for (seed in 1..8) {
-            val cluster = burst(seed, on = true)
+            val cluster = burst(seed, isEnabled = true)
             val jobs =
-                cluster.submitAll((2 until 10).map { cluster.savingJob(it, 6, runSeconds = 15.0) }, 5.0) +
+                cluster.submitAll((2 until 10).map { cluster.checkpointingJob(it, 6, runSeconds = 15.0) }, 5.0) +
                     cluster.job(1, 60, runSeconds = 30.0, jobClass = "batch")
             for (turn in 0 until 5) cluster.clock.after(6.0 + turn * 2.5) { cluster.leader()?.let { cluster.crash(it, 2.0) } }
             repeat(4) { turn ->
@@ -91,14 +91,14 @@
                 }
             }
             cluster.run(240.0)
-            cluster.verdict(jobs, BalanceSettings())
+            cluster.assertNoViolations(jobs, BalanceSettings())
         }
     }
 
     /** Guards the cloud's age of a machine: to a new leader all machines are new. */
     @Test
     fun `a new leader does not take an old fleet for a cold one`() {
-        val cluster = balancedCluster(9, BalanceSettings(), types = large)
+        val cluster = clusterWithBalance(9, BalanceSettings(), types = large)
         cluster.run(70.0)
         cluster.crash(cluster.leader() ?: error("no leader"), 20.0)
         while (cluster.leader() == null) cluster.run(cluster.clock.now + 0.1)
@@ -106,6 +106,6 @@
         val at = cluster.clock.now
         cluster.submit(cluster.job(1, 60, runSeconds = 30.0, jobClass = "batch"))
         cluster.run(at + 4.0)
-        assertEquals(60, cluster.history.starts.size, cluster.tail())
+        assertEquals(60, cluster.history.starts.size, cluster.recentLog())
     }
 }
--- a/src/test/kotlin/burlridge/loopback/BalanceLoopbackTest.kt
+++ b/src/test/kotlin/burlridge/loopback/BalanceLoopbackTest.kt
@@ -17,7 +17,7 @@
     fun `a drain of a third of the machines outlives a leader that is killed and one that is frozen`(
         @TempDir directory: File,
     ) {
-        val plan =
+        val config =
             LoopbackConfig(
                 controllers = 3,
                 machines = 16,
@@ -26,26 +26,26 @@
                 directory = directory,
                 jvmFlags = listOf("-XX:+UseSerialGC", "-XX:TieredStopAtLevel=1", "-Xmx96m"),
             )
-        LoopbackCluster(plan, 2).use { cluster ->
+        LoopbackCluster(config, 2).use { cluster ->
             await("the machines are up") { cluster.workersAtTerm(1) >= 12 }
             cluster.onLoop {
-                repeat(JOBS) { i -> cluster.clock.after(i * 0.4) { cluster.submit(savingJob(cluster, i)) } }
+                repeat(JOB_COUNT) { i -> cluster.clock.after(i * 0.4) { cluster.submit(checkpointingJob(cluster, i)) } }
             }
-            await("jobs run") { cluster.onLoop { busyMachines(cluster).size == MACHINES_DRAINED }.takeIf { it } }
-            val leaving = cluster.onLoop { busyMachines(cluster) }
-            cluster.onLoop { leaving.forEach { drain(cluster, it) } }
-            await("the drains are accepted") { cluster.onLoop { cluster.history.drained.size == leaving.size }.takeIf { it } }
+            await("jobs run") { cluster.onLoop { recentlyUsedMachines(cluster).size == DRAINED_MACHINE_COUNT }.takeIf { it } }
+            val drainedMachines = cluster.onLoop { recentlyUsedMachines(cluster) }
+            cluster.onLoop { drainedMachines.forEach { drain(cluster, it) } }
+            await("the drains are accepted") { cluster.onLoop { cluster.history.drained.size == drainedMachines.size }.takeIf { it } }
             // However slow this machine is, the tasks run for long enough that some are still there to be moved.
             await("the first move") { cluster.onLoop { cluster.history.stops.isNotEmpty() }.takeIf { it } }
-            val first = leaderOf(cluster)
-            cluster.process(first).kill()
-            val second = await("a leader after the kill") { leaderOrNull(cluster)?.takeIf { it != first } }
-            cluster.process(first).start()
-            cluster.process(second).freeze()
-            await("a leader after the freeze") { leaderOrNull(cluster)?.takeIf { it != second } }
-            await("the drained machines are gone") { cluster.onLoop { cluster.cloud.names().none { it in leaving } }.takeIf { it } }
-            cluster.process(second).resume()
-            await("all jobs are over") { cluster.onLoop { cluster.unfinished.isEmpty() && cluster.jobs.size == JOBS }.takeIf { it } }
+            val firstLeader = leaderOf(cluster)
+            cluster.process(firstLeader).kill()
+            val secondLeader = await("a leader after the kill") { leaderOrNull(cluster)?.takeIf { it != firstLeader } }
+            cluster.process(firstLeader).start()
+            cluster.process(secondLeader).freeze()
+            await("a leader after the freeze") { leaderOrNull(cluster)?.takeIf { it != secondLeader } }
+            await("the drained machines are gone") { cluster.onLoop { cluster.cloud.names().none { it in drainedMachines } }.takeIf { it } }
+            cluster.process(secondLeader).resume()
+            await("all jobs are over") { cluster.onLoop { cluster.unfinished.isEmpty() && cluster.jobs.size == JOB_COUNT }.takeIf { it } }
             await("all controllers answer") { cluster.controllers.all { it.isUp }.takeIf { it } }
             cluster.onLoop { cluster.queryAllControllers() }
             val breaches =
@@ -58,14 +58,14 @@
     }
 
     /** The machines on which something started last. */
-    private fun busyMachines(cluster: LoopbackCluster): List<String> =
+    private fun recentlyUsedMachines(cluster: LoopbackCluster): List<String> =
         cluster.history.starts
             .reversed()
             .map { it.machine }
             .distinct()
-            .take(MACHINES_DRAINED)
+            .take(DRAINED_MACHINE_COUNT)
 
-    private fun savingJob(
+    private fun checkpointingJob(
         cluster: LoopbackCluster,
         number: Int,
     ) = cluster.job(number, 1 + number % 3, runSeconds = 20.0 + number % 5).copy(checkpointIntervalSeconds = 1.0, saveSeconds = 0.3)
@@ -82,7 +82,7 @@
             "POST",
             MachineRequests.DRAIN,
             body,
-            ANSWER_SECONDS,
+            RESPONSE_TIMEOUT_SECONDS,
         ) { status, _ ->
             if (status == OK) {
                 cluster.history.drained += ExecutionHistory.Drained({ it == machine }, cluster.clock.now)
@@ -97,9 +97,9 @@
     private fun leaderOf(cluster: LoopbackCluster): String = await("a leader") { leaderOrNull(cluster) }
 
     private companion object {
-        const val JOBS = 20
-        const val MACHINES_DRAINED = 5
-        const val ANSWER_SECONDS = 5.0
+        const val JOB_COUNT = 20
+        const val DRAINED_MACHINE_COUNT = 5
+        const val RESPONSE_TIMEOUT_SECONDS = 5.0
         const val OK = 200
 
         /** Commands and answers of a busy machine take their time, and a fetch two seconds. */
--- a/src/test/kotlin/burlridge/transcript/TranscriptSchedules.kt
+++ b/src/test/kotlin/burlridge/transcript/TranscriptSchedules.kt
@@ -1,9 +1,9 @@
 package burlridge.transcript
 
-import burlridge.balance.balanced
-import burlridge.balance.balancedCluster
+import burlridge.balance.checkpointingJob
+import burlridge.balance.clusterWithBalance
 import burlridge.balance.drainZone
-import burlridge.balance.savingJob
+import burlridge.balance.operatorSettingsWithBalance
 import burlridge.balance.submitAll
 import burlridge.balance.undrainZone
 import burlridge.job.JobSpec
@@ -74,7 +74,7 @@
 )
 
 private fun SimulatedCluster.savingJobs(count: Int): List<JobSpec> =
-    submitAll((0 until count).map { savingJob(it, 1 + it % 4, runSeconds = 30.0) }, from = 10.0, everySeconds = 1.5)
+    submitAll((0 until count).map { checkpointingJob(it, 1 + it % 4, runSeconds = 30.0) }, from = 10.0, everySeconds = 1.5)
 
 internal val TRANSCRIPT_SCHEDULES: List<TranscriptSchedule> =
     listOf(
@@ -187,14 +187,14 @@
             atLeader(36.0) { crash(it, 4.0) }
             at(70.0) { state.outage(10.0) }
         },
-        TranscriptSchedule("balance-drains-and-moves", 160.0, { balancedCluster(417) }) {
+        TranscriptSchedule("balance-drains-and-moves", 160.0, { clusterWithBalance(417) }) {
             savingJobs(14)
             at(30.0) { drainZone("a") }
             atLeader(34.0) { crash(it, 4.0) }
             at(70.0) { undrainZone("a") }
         },
         TranscriptSchedule("balance-and-failover", 160.0, {
-            balancedCluster(418, members = 5, failover = true, operatorOf = { balanced(failover = true) })
+            clusterWithBalance(418, members = 5, failover = true, operatorOf = { operatorSettingsWithBalance(failover = true) })
         }) {
             savingJobs(14)
             repeat(2) { i -> at(22.0 + 9.0 * i) { submit(gang(60 + i, 4, runSeconds = 25.0)) } }
