--- a/src/main/kotlin/burlridge/admin/AdminRequests.kt
+++ b/src/main/kotlin/burlridge/admin/AdminRequests.kt
@@ -5,14 +5,14 @@
 import burlridge.core.HttpStatus
 import burlridge.failover.MemberRequests
 
-/** Routes the operators' requests, which each member serves on its own address. */
+/** Routes the operators' HTTP requests, which every member accepts on its own address. */
 internal class AdminRequests(
-    /** Null where failover is switched off: then its paths are not found. */
+    /** Null if failover is switched off; its paths then return 404. */
     private val members: MemberRequests?,
-    /** Null where balance is switched off. */
+    /** Null if balance is switched off; its paths then return 404. */
     private val machines: MachineRequests?,
 ) {
-    /** Routes a request to the part that serves its path; 404 if that is switched off. */
+    /** Routes a request to the handler of its path; responds with 404 if there is none. */
     fun handle(
         method: String,
         path: String,
--- a/src/main/kotlin/burlridge/balance/Balance.kt
+++ b/src/main/kotlin/burlridge/balance/Balance.kt
@@ -12,8 +12,8 @@
 import com.fasterxml.jackson.databind.JsonNode
 
 /**
- * Drains, moves of running tasks, hot machines and slow start, for the member that leads; followers only forward requests. Off unless the
- * operators' settings have a section `[balance]`.
+ * Entry point of drains, moves of running tasks, mitigation of hot machines and slow start. Active on the leader; followers only forward
+ * requests. Used only if the operators' settings have a section `[balance]`.
  */
 internal class Balance(
     private val context: StepContext,
@@ -68,7 +68,7 @@
         reason: PlacementReason,
     ) = decisions.add(Decision.TaskPlaced(taskName, machine, reason))
 
-    /** The decisions of this term about the task or machine [subject], with reasons, as JSON. */
+    /** Returns the decisions of this term about the task or machine [subject], with their reasons, as JSON. */
     fun explain(subject: String): JsonNode = decisions.explain(subject)
 
     override fun remainingStarts(machine: Machine): Int = slowStart.remainingStarts(machine)
@@ -85,7 +85,7 @@
         nextSweepAt = 0.0
     }
 
-    /** Forgets everything: a new term begins, or this one has ended. */
+    /** Clears all state; called when a term begins or ends. */
     fun clear() {
         drains.clear()
         moves.clear()
@@ -95,18 +95,18 @@
         cordons.clear()
     }
 
-    /** Loads the rows of earlier leaders, before anything is placed. */
+    /** Loads the rows of earlier leaders; called before the first placement of a term. */
     fun load(listings: Map<String, Listing>) {
         listings[Drain.PREFIX]?.rows?.forEach(drains::load)
         listings[MoveBatch.PREFIX]?.rows?.forEach(moves::load)
     }
 
-    /** Takes covered machines out of service, and puts back those that no drain covers any more; before every scheduling cycle. */
+    /** Cordons machines covered by a drain and uncordons those no longer covered; called before every scheduling cycle. */
     fun applyCordons() {
         if (!drains.isEmpty) cordons.apply()
     }
 
-    /** Advances moves and drains, ten times per heartbeat interval. */
+    /** Advances moves and drains [SWEEPS_PER_HEARTBEAT_INTERVAL] times per heartbeat interval. */
     fun tick() {
         if (context.now < nextSweepAt) return
         nextSweepAt = context.now + workerTimes.reportSeconds / SWEEPS_PER_HEARTBEAT_INTERVAL
@@ -129,10 +129,13 @@
         }
     }
 
-    /** A new leader may not know yet which machines exist, nor where those are that are known from allocations only. */
+    /**
+     * Whether no machine covered by [drain] is left. A new leader may not have read the list of machines yet, and does not know the zone
+     * and address of machines that it knows from allocations only; the result is false until that is settled.
+     */
     private fun isEmptied(drain: Drain): Boolean {
         if (drain in progress || !dependencies.fleet.isInventoryCurrent) return false
-        // A machine known from allocations only, with none left, is gone and never reports again.
+        // A machine known from allocations only, with none of them left, no longer exists and sends no heartbeats, so it is ignored.
         val withTasks =
             workers.machines.values.filter {
                 !dependencies.registry.allocations.byMachine[it.id]
@@ -143,7 +146,7 @@
 
     private fun isExpired(drain: Drain): Boolean = context.wallMillis - drain.changedMillis > retentionMillis
 
-    /** Begins a drain of [target]; unless [forced] it is refused where it would leave a task without any machine that fits. */
+    /** Begins a drain of [target]. Unless [forced], it is refused if it would leave a task without any machine that it fits on. */
     fun drain(
         target: DrainTarget,
         forced: Boolean,
@@ -167,13 +170,13 @@
         onResult(change)
     }
 
-    /** Lets a machine that was found to be a straggler serve again, until it is found to be one once more. */
+    /** Puts the straggler [id] back in service, until it is detected as a straggler again. */
     private fun clearStragglerMark(id: String) {
         val machine = workers.machines[id]?.takeIf { it.drainReason == DrainReason.SLOW } ?: return
         machine.drainReason = null
     }
 
-    /** The state of drains and moves, for operators. */
+    /** Returns the state of drains and moves, for operators. */
     fun report(): BalanceReport =
         BalanceReport(
             context.settings.member,
@@ -186,19 +189,19 @@
             (drains.damagedRows + moves.damagedRows).toList(),
         )
 
-    /** Spot machines that the cloud reclaims; their workers repeat the notice in every heartbeat, so it needs no row. */
+    /** Spot machines that the cloud reclaims. Their workers repeat the reclaim notice in every heartbeat, so it is not stored in a row. */
     private fun machinesWithReclaimNotice(): List<String> =
         workers.machines.values
             .filter { it.reclaimAt != null }
             .map { it.id }
 
     internal companion object {
-        /** Prefixes of the rows that a new leader reads for this package. */
+        /** Key prefixes of the rows that a new leader reads for this package. */
         val PREFIXES: List<String> = listOf(Drain.PREFIX, MoveBatch.PREFIX)
         private const val SWEEPS_PER_HEARTBEAT_INTERVAL = 10
         private const val MILLIS_PER_SECOND = 1000
 
-        /** How long the row of a finished drain is kept, in worker leases. */
+        /** Time for which the row of a finished drain is kept, in worker leases. */
         private const val RETENTION_LEASES = 10
     }
 }
--- a/src/main/kotlin/burlridge/balance/BalanceDependencies.kt
+++ b/src/main/kotlin/burlridge/balance/BalanceDependencies.kt
@@ -7,7 +7,7 @@
 import burlridge.store.StoreClient
 import burlridge.worker.WorkerManager
 
-/** The parts of a controller that this package works with. */
+/** The components of a controller that [Balance] depends on. */
 internal class BalanceDependencies(
     val store: StoreClient,
     val leadership: Leadership,
--- a/src/main/kotlin/burlridge/balance/BalanceReport.kt
+++ b/src/main/kotlin/burlridge/balance/BalanceReport.kt
@@ -4,12 +4,12 @@
 import com.fasterxml.jackson.databind.JsonNode
 import com.fasterxml.jackson.databind.node.ObjectNode
 
-/** One drain, and what is left on its machines if that is known. */
+/** One drain, with its progress if that is known. */
 internal class DrainReport(
     private val drain: Drain,
     private val progress: DrainProgress?,
 ) {
-    /** Adds it to the JSON object [to]. */
+    /** Adds the fields of this report to the JSON object [to]. */
     fun encode(to: ObjectNode) {
         drain.target
             .encode(to)
@@ -26,20 +26,20 @@
     }
 }
 
-/** The leader's drains and moves, for `burlridge status`. */
+/** The state of the leader's drains and moves, for `burlridge status`. */
 internal class BalanceReport(
     private val leader: String,
     private val drains: List<DrainReport>,
     /** Machines with a spot reclaim notice. */
     private val machinesWithReclaimNotice: List<String>,
-    /** Hot machines with their slowdown. */
+    /** The slowdown of each hot machine. */
     private val hotMachines: Map<String, Double>,
     private val moves: List<Move>,
     private val tasksMovedInWindow: Int,
     private val movesPerMinute: Int,
     private val damagedRows: List<String>,
 ) {
-    /** As JSON, for the operators. */
+    /** Encodes this report as JSON. */
     fun encode(): JsonNode =
         Json.obj {
             put("leader", leader)
@@ -68,7 +68,7 @@
     }
 
     private companion object {
-        /** Further ones are only counted. */
+        /** Further moves are only counted. */
         const val MAX_LISTED_MOVES = 50
     }
 }
--- a/src/main/kotlin/burlridge/balance/Cordons.kt
+++ b/src/main/kotlin/burlridge/balance/Cordons.kt
@@ -5,22 +5,22 @@
 import burlridge.worker.Machine
 import burlridge.worker.WorkerManager
 
-/** Takes machines out of service while a drain covers them, and puts them back. */
+/** Cordons machines while a drain covers them, and uncordons them afterwards. */
 internal class Cordons(
     private val index: DrainIndex,
     private val workers: WorkerManager,
     private val fleet: Fleet,
     private val decisions: DecisionLog,
 ) {
-    /** Machines of a drained network that were seen to join; each holds off new rentals of its kind once. */
+    /** Machines that joined in a drained network; each one triggers the rental backoff of its offering only once. */
     private val backedOffMachines = HashSet<String>()
 
-    /** Forgets what this term has seen. */
+    /** Clears all state; called when a term begins or ends. */
     fun clear() {
         backedOffMachines.clear()
     }
 
-    /** Compares all machines with the drains. */
+    /** Cordons and uncordons all machines according to the active drains. */
     fun apply() {
         for (machine in workers.machines.values) {
             val drain = if (index.isEmpty) null else index.covering(machine)
@@ -36,7 +36,7 @@
             decisions.add(Decision.MachineCordoned(machine.id, drain))
             if (drain.cause == DrainCause.SLOW) workers.evictStraggler(machine) else machine.drainReason = DrainReason.OPERATOR
         }
-        // The cloud cannot be told in which network to put machines, so its kind is not rented again for a while.
+        // The network of a machine cannot be chosen when it is rented, so its offering is not rented again for a while.
         if (drain.target is DrainTarget.Network && machine.idleSince >= machine.knownSince && backedOffMachines.add(machine.id)) {
             fleet.backOff(machine)
         }
--- a/src/main/kotlin/burlridge/balance/Decision.kt
+++ b/src/main/kotlin/burlridge/balance/Decision.kt
@@ -2,18 +2,18 @@
 
 import burlridge.placement.PlacementReason
 
-/** A decision of this package that operators can read by `burlridge explain`, with its reason. */
+/** A decision of this package with its reason, which operators can read with `burlridge explain`. */
 internal sealed interface Decision {
-    /** What `burlridge explain` and the counters call this kind of decision; on the wire, so independent of the class's name. */
+    /** Name of this kind of decision in responses and counters; part of the external interface, so independent of the class name. */
     val kind: String
 
-    /** The tasks and machines that it is about. */
+    /** Names of the jobs, tasks and machines that the decision concerns. */
     val subjects: List<String>
 
-    /** The decision and its reason in one sentence, as operators read it. */
+    /** The decision and its reason in one sentence, for operators. */
     val text: String
 
-    /** A task was placed otherwise than by best fit over a sample. */
+    /** A task was placed by another rule than best fit over a sample of machines. */
     data class TaskPlaced(
         val task: String,
         val machine: String,
@@ -24,7 +24,7 @@
         override val text: String get() = "$task is placed on $machine: ${reason.text}"
     }
 
-    /** A running task or gang is to be moved. */
+    /** A move of a running task or gang was planned. */
     data class MovePlanned(
         val move: Move,
     ) : Decision {
@@ -37,7 +37,7 @@
         }
     }
 
-    /** The capacity reserved at the target of a move is released. */
+    /** The capacity reserved at the target of a move was released. */
     data class ReservationReleased(
         val move: Move,
     ) : Decision {
@@ -47,7 +47,7 @@
             get() = "room kept on ${move.to} for ${move.taskName} is given up: it came too late, or the machine is out of service"
     }
 
-    /** A planned move does not take place. */
+    /** A planned move was revoked before its stop was sent. */
     data class MoveRevoked(
         val move: Move,
     ) : Decision {
@@ -56,10 +56,10 @@
         override val text: String get() = "${move.taskName} stays on ${move.from}: its drain was called off before the stop was sent"
     }
 
-    /** A machine gets nothing new because its tasks are slow. */
+    /** A machine became hot: it receives no new tasks because its tasks are slow. */
     data class MachineBecameHot(
         val machine: String,
-        /** How many times as long as elsewhere its tasks take. */
+        /** Run time of its tasks as a multiple of the run time elsewhere. */
         val slowdown: Double,
     ) : Decision {
         override val kind: String get() = "BecameHot"
@@ -68,10 +68,10 @@
             get() = "$machine is hot and gets nothing new: its tasks take %.2f times as long as elsewhere".format(slowdown)
     }
 
-    /** A hot machine gets new tasks again. */
+    /** A machine is no longer hot and receives new tasks again. */
     data class MachineCooledDown(
         val machine: String,
-        /** How many times as long as elsewhere its tasks take. */
+        /** Run time of its tasks as a multiple of the run time elsewhere. */
         val slowdown: Double,
     ) : Decision {
         override val kind: String get() = "Cooled"
@@ -79,7 +79,7 @@
         override val text: String get() = "$machine is not counted as hot any more (slowdown %.2f)".format(slowdown)
     }
 
-    /** A machine is emptied and returned because it is a straggler. */
+    /** A machine is drained and returned because it is a straggler. */
     data class StragglerEvicted(
         val machine: String,
     ) : Decision {
@@ -88,7 +88,7 @@
         override val text: String get() = "$machine is left for being slow"
     }
 
-    /** A machine is taken out of service by a drain. */
+    /** A machine was cordoned because a drain covers it. */
     data class MachineCordoned(
         val machine: String,
         val drain: Drain,
@@ -99,7 +99,7 @@
             get() = "$machine is out of service: drain of ${drain.target.kind} ${drain.target.value} (${drain.cause.wireName})"
     }
 
-    /** A machine serves again since no drain applies to it any more. */
+    /** A machine was uncordoned because no drain covers it any more. */
     data class MachineUncordoned(
         val machine: String,
     ) : Decision {
--- a/src/main/kotlin/burlridge/balance/DecisionLog.kt
+++ b/src/main/kotlin/burlridge/balance/DecisionLog.kt
@@ -4,7 +4,7 @@
 import burlridge.json.Json
 import com.fasterxml.jackson.databind.JsonNode
 
-/** The latest decisions of this leader's term, for `burlridge explain`; the oldest are dropped first. */
+/** Keeps the latest [maxEntries] decisions of this leader's term, for `burlridge explain`; the oldest are dropped first. */
 internal class DecisionLog(
     private val context: StepContext,
     private val maxEntries: Int,
@@ -16,18 +16,18 @@
 
     private val entries = ArrayDeque<Entry>()
 
-    /** Decisions of this term, including those dropped. */
+    /** Number of decisions in this term, including those dropped. */
     private var totalCount = 0L
     private var sinceMillis = 0L
 
-    /** Forgets everything: a new term begins, or this one has ended. */
+    /** Clears all state; called when a term begins or ends. */
     fun clear() {
         entries.clear()
         totalCount = 0
         sinceMillis = context.wallMillis
     }
 
-    /** Records and counts [decision]. */
+    /** Adds [decision] and increments the counter of its kind. */
     fun add(decision: Decision) {
         context.count(COUNTER + decision.kind)
         totalCount++
@@ -35,7 +35,7 @@
         if (entries.size > maxEntries) entries.removeFirst()
     }
 
-    /** All kept decisions about the task or machine [subject], oldest first, as JSON. */
+    /** Returns all kept decisions about the task or machine [subject], oldest first, as JSON. */
     fun explain(subject: String): JsonNode =
         Json.obj {
             put("member", context.settings.member)
--- a/src/main/kotlin/burlridge/balance/Drain.kt
+++ b/src/main/kotlin/burlridge/balance/Drain.kt
@@ -4,20 +4,20 @@
 import burlridge.store.Row
 import com.fasterxml.jackson.databind.JsonNode
 
-/** How far a drain has come; only the leader changes it, by a fenced write. */
+/** The state of a drain; only the leader changes it, by a fenced write. */
 internal enum class DrainState(
     val wireName: String,
 ) {
-    /** Accepted and durable; nothing has been done for it yet. */
+    /** Accepted and durable; processing has not begun. */
     REQUESTED("requested"),
 
-    /** Its machines are cordoned, and what runs there finishes or moves. */
+    /** Its machines are cordoned; their tasks finish or are moved. */
     DRAINING("draining"),
 
-    /** None of its machines is left; machines that join later and match are drained too. */
+    /** None of its machines is left. Matching machines that join later are drained too. */
     DRAINED("drained"),
 
-    /** Cancelled: what has not moved stays. */
+    /** Cancelled; tasks that have not been moved yet stay where they are. */
     CANCELLED("cancelled"),
     ;
 
@@ -26,13 +26,13 @@
     }
 }
 
-/** Why the machines are to be emptied. */
+/** Why machines are drained. */
 internal enum class DrainCause(
     val wireName: String,
 ) {
     OPERATOR("operator"),
 
-    /** The machine is a straggler; kept in a row so that the next leader need not detect it again. */
+    /** The machine is a straggler. Stored in a row so that the next leader need not detect it again. */
     SLOW("slow"),
     ;
 
@@ -41,25 +41,25 @@
     }
 }
 
-/** One drain, as its row has it. */
+/** One drain, as stored in its row. */
 internal data class Drain(
     val target: DrainTarget,
     val cause: DrainCause,
     val state: DrainState,
-    /** Time of day of the request, in milliseconds. */
+    /** Wall-clock time of the request, in milliseconds. */
     val requestedMillis: Long,
-    /** Time of day of the last change, in milliseconds. */
+    /** Wall-clock time of the last change, in milliseconds. */
     val changedMillis: Long,
-    /** Revision of the row; 0 where there is none yet. */
+    /** Revision at which the row was last modified; 0 if there is no row yet. */
     val modRevision: Long = 0,
 ) {
-    /** Key of its row. */
+    /** Key of the row. */
     val rowKey: String get() = PREFIX + target.key
 
-    /** Whether machines are cordoned for it. */
+    /** Whether machines are cordoned for this drain. */
     val isActive: Boolean get() = state != DrainState.CANCELLED
 
-    /** The value of its row. */
+    /** Encodes the value of the row. */
     fun encode(): JsonNode =
         Json.obj {
             put("st", state.wireName)
@@ -69,14 +69,14 @@
             target.encode(putObject("target"))
         }
 
-    /** Whether [row] holds exactly this change: no other has its state and time. */
+    /** Whether [row] holds exactly this change; no other change has the same state and time. */
     fun isWrittenIn(row: Row): Boolean = decode(row)?.copy(modRevision = modRevision) == this
 
     internal companion object {
-        /** Prefix of the rows of drains. */
+        /** Key prefix of the rows of drains. */
         const val PREFIX: String = "drain/"
 
-        /** Null for a row that is damaged or of an unknown version. */
+        /** Decodes [row]; null if it is damaged or written by an unknown version. */
         fun decode(row: Row): Drain? {
             val value = row.value
             val target =
--- a/src/main/kotlin/burlridge/balance/DrainIndex.kt
+++ b/src/main/kotlin/burlridge/balance/DrainIndex.kt
@@ -2,19 +2,19 @@
 
 import burlridge.worker.Machine
 
-/** Finds the active drain that covers a machine; asked for every machine in every scheduling cycle, so lookups are cheap. */
+/** Finds the active drain that covers a machine. Lookups are cheap, because every scheduling cycle looks up every machine. */
 internal class DrainIndex {
     private var byMachine: Map<String, Drain> = emptyMap()
     private var byZone: Map<String, Drain> = emptyMap()
     private var networks: List<Drain> = emptyList()
 
-    /** Results of address lookups, including addresses that are in no drained network. */
+    /** Cached results of network lookups by host, including hosts that are in no drained network. */
     private val byHost = HashMap<String, Drain?>()
 
     /** Whether no drain is active. */
     val isEmpty: Boolean get() = byMachine.isEmpty() && byZone.isEmpty() && networks.isEmpty()
 
-    /** Replaces the index by the active ones of [drains]. */
+    /** Rebuilds the index from the active drains among [drains]. */
     fun rebuild(drains: List<Drain>) {
         val active = drains.filter { it.isActive }
         byMachine = active.filter { it.target is DrainTarget.SingleMachine }.associateBy { it.target.value }
@@ -23,10 +23,10 @@
         byHost.clear()
     }
 
-    /** Whether [zone] is drained as a whole. */
+    /** Whether an active drain covers the whole [zone]. */
     fun isDrained(zone: String): Boolean = zone in byZone
 
-    /** The active drain that covers [machine], a more specific one first; null for none. */
+    /** Returns the active drain that covers [machine]: by machine, else by zone, else by network; null if there is none. */
     fun covering(machine: Machine): Drain? = byMachine[machine.id] ?: byZone[machine.zone] ?: coveringNetwork(machine)
 
     private fun coveringNetwork(machine: Machine): Drain? {
--- a/src/main/kotlin/burlridge/balance/DrainProgress.kt
+++ b/src/main/kotlin/burlridge/balance/DrainProgress.kt
@@ -2,7 +2,7 @@
 
 import java.util.EnumMap
 
-/** Why a task is still on a machine that is drained; [text] is what operators read. */
+/** Why a task is still on a drained machine; [text] is shown to operators. */
 internal enum class EvictionDelay(
     val text: String,
 ) {
@@ -17,15 +17,15 @@
     STARTING("its start is under way"),
 }
 
-/** What is left on the machines of one drain. */
+/** The machines and tasks that one drain still has to empty. */
 internal class DrainProgress {
-    /** Machines that the drain covers and that are still there. */
+    /** Number of existing machines that the drain covers. */
     var machineCount: Int = 0
 
-    /** Remaining tasks by the delay why they are still there. */
+    /** Number of remaining tasks by the reason why they are still there. */
     val tasksByDelay: EnumMap<EvictionDelay, Int> = EnumMap(EvictionDelay::class.java)
 
-    /** Counts [count] further tasks that remain for [delay]. */
+    /** Adds [count] tasks that remain because of [delay]. */
     fun addRemaining(
         delay: EvictionDelay,
         count: Int = 1,
--- a/src/main/kotlin/burlridge/balance/DrainRegistry.kt
+++ b/src/main/kotlin/burlridge/balance/DrainRegistry.kt
@@ -11,25 +11,25 @@
 import burlridge.store.Transaction
 import burlridge.store.TransactionResult
 
-/** What became of a request for a change of a drain. */
+/** The result of a requested change of a drain. */
 internal sealed interface DrainChange {
-    /** Durable as [drain] says; it may have been so before. */
+    /** The state in [drain] is durable; it may have been so before the request. */
     data class Written(
         val drain: Drain,
     ) : DrainChange
 
-    /** Another change of the same drain is being written; this one did not begin. */
+    /** Another change of the same drain is being written; the requested change was not begun. */
     data object Busy : DrainChange
 
-    /** Nothing was written; [reason] is one line for the operator. */
+    /** Nothing was written; [reason] is one line of text for the operator. */
     data class Refused(
         val reason: String,
     ) : DrainChange
 }
 
 /**
- * All drains, a row each, keyed by its target. Only the leader writes them, by compare-and-swap on the row and under its fence. A new
- * leader reads them all before it places anything.
+ * All drains, each in its own row, keyed by target. Only the leader writes these rows, by compare-and-swap on the revision and fenced by
+ * its term. A new leader reads all of them before its first placement.
  */
 internal class DrainRegistry(
     private val context: StepContext,
@@ -40,28 +40,28 @@
     private class Entry(
         var drain: Drain?,
     ) {
-        /** The change that is being written, and the callbacks that wait for its outcome. */
+        /** The change whose write is in flight, if any; [callbacks] are called with its outcome. */
         var pendingWrite: Drain? = null
         val callbacks = ArrayList<(DrainChange) -> Unit>()
     }
 
     private val entries = LinkedHashMap<String, Entry>()
 
-    /** Keys of rows that cannot be read; they are left as they are. */
+    /** Keys of the rows that cannot be decoded; these rows are left unchanged. */
     val damagedRows: LinkedHashSet<String> = LinkedHashSet()
 
-    /** All drains, cancelled ones that are still kept included. */
+    /** All drains, including cancelled ones whose rows are still kept. */
     val all: List<Drain> get() = entries.values.mapNotNull { it.drain }
     val isEmpty: Boolean get() = entries.isEmpty()
 
-    /** Forgets everything: a new term begins, or this one has ended. */
+    /** Clears all state; called when a term begins or ends. */
     fun clear() {
         entries.clear()
         damagedRows.clear()
         onChange()
     }
 
-    /** Takes over a row of an earlier leader. */
+    /** Loads a row that an earlier leader wrote. */
     fun load(row: Row) {
         val drain = Drain.decode(row)
         if (drain != null) {
@@ -72,7 +72,7 @@
         }
     }
 
-    /** Begins a drain of [target], or joins the existing one. */
+    /** Begins a drain of [target]; idempotent if there is an active one already. */
     fun request(
         target: DrainTarget,
         cause: DrainCause,
@@ -102,7 +102,7 @@
         change(entry, current.copy(state = DrainState.CANCELLED, changedMillis = context.wallMillis), onResult)
     }
 
-    /** Puts [drain] into [state]. Nothing happens while another change of it is being written: the next sweep asks again. */
+    /** Puts [drain] into [state]. Does nothing while another change of it is being written; the next sweep retries. */
     fun advance(
         drain: Drain,
         state: DrainState,
@@ -157,7 +157,7 @@
         }
     }
 
-    /** Only the leader writes this row, so an earlier copy of the same change was the one that was executed. */
+    /** Reads the row back after a conflict: only the leader writes it, so normally an earlier copy of the same write was executed. */
     private fun readBack(
         entry: Entry,
         next: Drain,
@@ -202,7 +202,7 @@
         pendingCallbacks.forEach { it(outcome) }
     }
 
-    /** Removes the row of a [drain] that ended long ago. */
+    /** Deletes the row of a finished [drain] whose retention time is over. */
     fun deleteRow(drain: Drain) {
         val entry = entries[drain.rowKey]?.takeIf { it.pendingWrite == null && it.drain == drain } ?: return
         entry.pendingWrite = drain
@@ -215,7 +215,7 @@
             when {
                 result is TransactionResult.Conflict && Leadership.TERM_ROW_KEY in result.failed -> leadership.stepDownOnSupersededTerm()
 
-                // Only this leader writes the row: if its revision has moved on, an earlier copy of this write has removed it.
+                // Only this leader writes the row, so if the revision differs, an earlier copy of this write has deleted it.
                 else -> finishWrite(entry, null, DrainChange.Busy)
             }
         }
--- a/src/main/kotlin/burlridge/balance/DrainSafety.kt
+++ b/src/main/kotlin/burlridge/balance/DrainSafety.kt
@@ -8,18 +8,18 @@
 import burlridge.worker.Machine
 import burlridge.worker.WorkerManager
 
-/** Whether a drain may begin. */
+/** The result of checking a drain before it begins. */
 internal sealed interface DrainCheck {
-    /** Nothing is wrong with it. */
+    /** The drain may begin. */
     data object Allowed : DrainCheck
 
-    /** It may not begin; [reason] is one line for the operator. */
+    /** The drain may not begin; [reason] is one line of text for the operator. */
     data class Refused(
         val reason: String,
     ) : DrainCheck
 }
 
-/** Checks a drain before it begins. */
+/** Checks that the target of a drain exists and that the drain leaves enough machines for the tasks. */
 internal class DrainSafety(
     settings: Settings,
     private val registry: JobRegistry,
@@ -31,7 +31,7 @@
             .filter { it.cpus > 0 || it.gpus > 0 }
             .mapTo(HashSet()) { it.name }
 
-    /** Refuses a machine or zone that is not known; a network may have no machines now and get some later. */
+    /** Refuses an unknown machine or zone. A network is always accepted, since machines may join in it later. */
     fun checkExists(target: DrainTarget): DrainCheck =
         when (target) {
             is DrainTarget.SingleMachine -> allowedIf(target.machine in workers.machines) { "unknown machine ${target.machine}" }
@@ -54,7 +54,10 @@
                 .orEmpty()
     }
 
-    /** Refuses a drain that takes the last machine on which a task of a guaranteed team, or a waiting task, fits. */
+    /**
+     * Refuses a drain that leaves no machine to a team with guaranteed capacity, or no machine that one of its tasks or a waiting task of
+     * any team fits on.
+     */
     fun checkCapacityRemains(
         target: DrainTarget,
         activeDrains: DrainIndex,
--- a/src/main/kotlin/burlridge/balance/DrainTarget.kt
+++ b/src/main/kotlin/burlridge/balance/DrainTarget.kt
@@ -7,14 +7,14 @@
 import inet.ipaddr.IPAddressString
 import inet.ipaddr.IPAddressStringParameters
 
-/** A drain target that cannot be understood; the message is one line for the operator. */
+/** Thrown if a drain target cannot be parsed; the message is one line of text for the operator. */
 internal class InvalidDrainTargetException(
     message: String,
 ) : Exception(message)
 
-/** Which machines a drain covers, including those that join later. */
+/** The set of machines that a drain covers, including machines that join later. */
 internal sealed interface DrainTarget {
-    /** Key of the target's row behind the prefix; equal targets have one key, so a repeated request is idempotent. */
+    /** Key of the drain's row after the prefix. Equal targets have the same key, so a repeated request is idempotent. */
     val key: String
 
     /** `machine`, `zone` or `network`, as in requests, rows and reports. */
@@ -23,13 +23,13 @@
     /** Name of the machine or zone, or the network block, as in requests, rows and reports. */
     val value: String
 
-    /** Whether [machine] is covered. */
+    /** Whether this target covers [machine]. */
     fun matches(machine: Machine): Boolean
 
-    /** Adds this target to the JSON object [to]. */
+    /** Adds this target to the JSON object [to] and returns that object. */
     fun encode(to: ObjectNode): ObjectNode = to.put(kind, value)
 
-    /** One machine, by name. */
+    /** One machine, by its id. */
     data class SingleMachine(
         val machine: String,
     ) : DrainTarget {
@@ -40,7 +40,7 @@
         override fun matches(machine: Machine): Boolean = machine.id == this.machine
     }
 
-    /** All machines of a zone. */
+    /** All machines in a zone. */
     data class Zone(
         val zone: String,
     ) : DrainTarget {
@@ -51,7 +51,7 @@
         override fun matches(machine: Machine): Boolean = machine.zone == zone
     }
 
-    /** All machines with an address in [block], which has no bits set after its prefix. */
+    /** All machines with an address in [block]; the host bits of the block are zero. */
     data class Network(
         val block: IPAddress,
     ) : DrainTarget {
@@ -73,7 +73,7 @@
         const val NETWORK: String = "network"
         private val NAME_PATTERN = Regex("[A-Za-z0-9._-]{1,100}")
 
-        /** Plain addresses and blocks only; the library's further forms (ranges, wildcards, masks, octal) are refused. */
+        /** Accepts plain addresses and CIDR blocks only; the library's other forms (ranges, wildcards, masks, octal) are refused. */
         private val ADDRESS_FORMATS: IPAddressStringParameters =
             IPAddressStringParameters
                 .Builder()
@@ -87,7 +87,7 @@
                 .apply { iPv4AddressParametersBuilder.allow_inet_aton(false) }
                 .toParams()
 
-        /** The one target that [node] names. Throws [InvalidDrainTargetException]. */
+        /** Parses the target in [node], which must name exactly one. Throws [InvalidDrainTargetException]. */
         fun parse(node: JsonNode?): DrainTarget {
             val presentKinds = listOf(MACHINE, ZONE, NETWORK).filter { node?.path(it)?.isTextual == true }
             val kind = presentKinds.singleOrNull() ?: throw InvalidDrainTargetException("name one $MACHINE, one $NETWORK or one $ZONE")
--- a/src/main/kotlin/burlridge/balance/GracefulEviction.kt
+++ b/src/main/kotlin/burlridge/balance/GracefulEviction.kt
@@ -14,8 +14,8 @@
 import burlridge.worker.WorkerManager
 
 /**
- * Empties machines that operators drain: tasks that certainly end soon are left to finish, the rest are moved as far as their job class
- * permits.
+ * Evicts the tasks from machines that operators drain: tasks that are certain to end soon are left to finish, the others are moved if the
+ * settings permit it for their job class.
  */
 internal class GracefulEviction(
     private val context: StepContext,
@@ -28,13 +28,13 @@
     private val finishSeconds = settings.finishReports * context.settings.workers.reportSeconds
     private val capacityWaitSeconds = settings.roomLeases * context.settings.workers.leaseSeconds
 
-    /** Since when each task has found no capacity elsewhere, by task name. */
+    /** Time since which no capacity elsewhere has been found for a task, by task name. */
     private var withoutTargetSince = HashMap<String, Double>()
 
-    /** Forgets what this term has seen. */
+    /** Clears all state; called when a term begins or ends. */
     fun clear() = withoutTargetSince.clear()
 
-    /** One sweep over the machines that drains cover, by [covering]; returns the progress of each drain. */
+    /** Sweeps over all machines for which [covering] returns a drain, plans moves, and returns the progress of each drain. */
     fun sweep(covering: (Machine) -> Drain?): Map<Drain, DrainProgress> {
         val progress = HashMap<Drain, DrainProgress>()
         val sweep = Sweep()
@@ -109,7 +109,7 @@
             val taskCount = if (spec.gang) spec.taskCount else 1
             val move = Move(allocation.job, task, allocation.attempt, spec.team, spec.jobClass, machine.id, null, moveNumber, taskCount)
             if (!moves.permits(move)) return EvictionDelay.OVER_BUDGET
-            // A gang is placed as a whole once it has stopped, so no capacity is reserved for it.
+            // A gang is placed again as a whole after it has stopped, so no capacity is reserved for it.
             val target = if (spec.gang) null else targetFinder.reserveTarget(job, allocation)
             if (target == null && !spec.gang && !hasWaitedForCapacity(move.taskName)) return EvictionDelay.NO_CAPACITY
             moves.charge(move)
@@ -130,12 +130,15 @@
         }
     }
 
-    /** Whether the task certainly ends within the operators' limit, judged by tasks of its job that have ended, or by the owner's estimate. */
+    /**
+     * Whether the task is expected to end within [finishSeconds], by the mean run time of the tasks of its job that have ended, or else by
+     * the owner's estimate.
+     */
     private fun endsSoon(
         job: Job,
         allocation: Allocation,
     ): Boolean {
-        // Of a task that an earlier leader started it is only known that it has run since this leader loaded it.
+        // For a task started under an earlier leader, only the time since this leader loaded its allocation is known.
         val since =
             allocation.startedAt ?: allocation.allocatedAt.takeIf {
                 allocation.isInherited &&
@@ -147,7 +150,7 @@
     }
 
     private companion object {
-        /** Run times within one job differ, and estimates are often wrong by half. */
+        /** Factor on the expected run time: run times within one job vary, and estimates are often wrong by half. */
         const val ESTIMATE_MARGIN = 1.5
     }
 }
--- a/src/main/kotlin/burlridge/balance/HotspotMitigation.kt
+++ b/src/main/kotlin/burlridge/balance/HotspotMitigation.kt
@@ -12,8 +12,9 @@
 import burlridge.worker.WorkerManager
 
 /**
- * Keeps new work off hot machines and moves running tasks off them where that clearly pays: one task per machine at a time, the one that gains
- * most, to a machine that is not hot. Where much of the fleet looks hot or sends no heartbeats the measurement is unreliable, and nothing is done.
+ * Keeps new tasks off hot machines and moves running tasks off them if that clearly shortens the run time: one task per machine at a time,
+ * the one that gains most, to a machine that is not hot. Does nothing if a large share of the fleet looks hot or sends no heartbeats,
+ * because the measurement is then unreliable.
  */
 internal class HotspotMitigation(
     private val context: StepContext,
@@ -28,17 +29,17 @@
     val loadTracker: LoadTracker = LoadTracker(settings, minOf(workerTimes.leaseSeconds, MAX_HALF_LIFE_SECONDS))
     private var nextAssessmentAt = 0.0
 
-    /** Names of machines that get nothing new; empty while the measurement is unreliable. */
+    /** Ids of the machines that receive no new tasks; empty while the measurement is unreliable. */
     var hotMachines: Set<String> = emptySet()
         private set
 
-    /** Forgets what this term has measured. */
+    /** Clears all measurements; called when a term begins or ends. */
     fun clear() {
         loadTracker.clear()
         hotMachines = emptySet()
     }
 
-    /** A new heartbeat of [machine] has been processed. */
+    /** Records the run times so far of the tasks on [machine], after a new heartbeat has been processed. */
     fun onHeartbeat(machine: Machine) {
         for (allocation in registry.allocations.byMachine[machine.id]
             ?.values
@@ -49,7 +50,7 @@
         }
     }
 
-    /** A task of [job] has run to its end on [machine] in [elapsedSeconds]. */
+    /** Records that a task of [job] completed on [machine] after [elapsedSeconds]. */
     fun onTaskCompleted(
         machine: Machine,
         job: Job,
@@ -91,7 +92,10 @@
         if (planned.isNotEmpty()) moves.plan(planned)
     }
 
-    /** The move of one task off the hot machine [id], with capacity reserved and its budget spent; null if none pays or is permitted. */
+    /**
+     * Plans the move of one task off the hot machine [id], reserves capacity for it and charges it to the budgets. Returns null if no move
+     * is worthwhile or permitted.
+     */
     private fun planMove(
         id: String,
         targetFinder: Lazy<MoveTargetFinder>,
@@ -158,7 +162,7 @@
         val expectedSeconds = loadTracker.expectedRunSeconds(job) ?: return null
         val elapsedSeconds = context.now - (allocation.startedAt ?: return null)
         val slowdown = loadTracker.slowdown(machine.id, context.now)
-        // A task that should have ended by now may end at any moment: nothing is gained for certain.
+        // A task that should have ended by now may end at any moment, so a move gains nothing for certain.
         val remainingSeconds = (expectedSeconds - elapsedSeconds / slowdown).takeIf { it > 0.0 } ?: return null
         val hasCheckpoints = job.spec.checkpointIntervalSeconds > 0
         return MoveGain(
@@ -172,11 +176,11 @@
     }
 
     private companion object {
-        /** Where a larger share of the fleet looks hot, or sends no heartbeats, the measurement is unreliable. */
+        /** The measurement is unreliable if a larger share of the fleet looks hot, or is silent. */
         const val MAX_HOT_SHARE = 0.25
         const val MAX_SILENT_SHARE = 0.5
 
-        /** A hot mark must fade well before the 90 s within which a waiting job must get existing capacity. */
+        /** A hot mark must decay well before the 90 s within which a waiting job must be given existing capacity. */
         const val MAX_HALF_LIFE_SECONDS = 20.0
     }
 }
--- a/src/main/kotlin/burlridge/balance/LoadTracker.kt
+++ b/src/main/kotlin/burlridge/balance/LoadTracker.kt
@@ -5,7 +5,7 @@
 import burlridge.worker.Machine
 import it.unimi.dsi.fastutil.objects.Object2ObjectOpenHashMap
 
-/** How loaded a machine is, judged by the progress that its heartbeats show. */
+/** The load of a machine, derived from the progress of its tasks as reported by heartbeats. */
 internal enum class LoadLevel {
     /** No recent heartbeats, or too few samples. */
     UNKNOWN,
@@ -16,9 +16,9 @@
 }
 
 /**
- * Measures how fast tasks progress on each machine compared with the same jobs and job classes elsewhere, from heartbeats alone: an
- * exponentially weighted mean of the slowdown, which decays without new samples, with a threshold to become hot and a lower one to
- * cool down. Each heartbeat costs constant work for each task on the machine.
+ * Measures from heartbeats alone how fast tasks run on each machine, compared with the same jobs and job classes elsewhere. The slowdown is
+ * an exponentially weighted mean, which decays towards 1 without new samples. A machine becomes hot above one threshold and cools down
+ * below a lower one. A heartbeat costs constant work for each task on the machine.
  */
 internal class LoadTracker(
     private val settings: BalanceSettings,
@@ -32,7 +32,7 @@
         var isHot = false
     }
 
-    /** How long tasks of a job class run, as a ratio to their owners' estimates. */
+    /** Mean run time of the tasks of a job class, as a ratio to their owners' estimates. */
     private class ClassRuntime {
         var ratio = 1.0
         var sampleCount = 0
@@ -41,25 +41,25 @@
     private val machines = Object2ObjectOpenHashMap<String, MachineRecord>()
     private val classes = Object2ObjectOpenHashMap<String, ClassRuntime>()
 
-    /** Samples taken so far. */
+    /** Number of samples recorded so far. */
     var sampleCount: Long = 0
         private set
 
-    /** Upper bound of the memory taken, in bytes. */
+    /** Upper bound of the memory used, in bytes. */
     val sizeBytes: Long get() = machines.size * BYTES_PER_ENTRY + classes.size * BYTES_PER_ENTRY
 
-    /** Forgets all measurements. */
+    /** Clears all measurements. */
     fun clear() {
         machines.clear()
         classes.clear()
     }
 
-    /** Forgets machines that are gone, once there are many of them. */
+    /** Removes machines that are not in [machineIds], once there are many of them. */
     fun retainOnly(machineIds: Set<String>) {
         if (machines.size > machineIds.size * 2 + MIN_SAMPLES) machines.keys.retainAll(machineIds)
     }
 
-    /** A task of [job] has run to its end on [machine] in [elapsedSeconds]. */
+    /** Records that a task of [job] completed on [machine] after [elapsedSeconds]. */
     fun recordCompleted(
         machine: String,
         job: Job,
@@ -74,7 +74,7 @@
         runtime.ratio += (ratio - runtime.ratio) * maxOf(COMPLETION_WEIGHT, 1.0 / runtime.sampleCount)
     }
 
-    /** A task of [job] still runs on [machine] after [elapsedSeconds]; a sample only once it is overdue. */
+    /** Records that a task of [job] still runs on [machine] after [elapsedSeconds]; this is a sample only if the task is overdue. */
     fun recordRunning(
         machine: String,
         job: Job,
@@ -86,11 +86,11 @@
         if (ratio > 1.0) addSample(machine, ratio, OVERDUE_WEIGHT, now)
     }
 
-    /** A jump of the clock, or a start that was never seen, gives no sample. */
+    /** Excludes run times that result from a clock jump or from an unobserved start. */
     private fun isPlausible(elapsedSeconds: Double): Boolean =
         elapsedSeconds.isFinite() && elapsedSeconds > 0.0 && elapsedSeconds < MAX_RUN_SECONDS
 
-    /** Expected run time by other tasks of [job], else by its class; null where neither is known yet. */
+    /** Expected run time from other tasks of [job], else from its class; null if neither is known yet. */
     fun expectedRunSeconds(job: Job): Double? {
         job.meanRunSeconds?.let { return it.coerceAtLeast(1.0) }
         val runtime = classes[job.spec.jobClass]?.takeIf { it.sampleCount >= MIN_SAMPLES } ?: return null
@@ -117,13 +117,13 @@
         now: Double,
     ): Double = 1.0 + (record.slowdown - 1.0) * Math.pow(HALF, (now - record.sampledAt) / halfLifeSeconds)
 
-    /** How many times as long as elsewhere tasks take on [machine]; 1 where nothing is known. */
+    /** Run time of tasks on [machine] as a multiple of the run time elsewhere; 1 if there are no samples. */
     fun slowdown(
         machine: String,
         now: Double,
     ): Double = machines[machine]?.let { decayedSlowdown(it, now) } ?: 1.0
 
-    /** The load of [machine], which is [isSilent] if it has sent no recent heartbeat. */
+    /** Returns the load of [machine]; [isSilent] says that no recent heartbeat has arrived from it. */
     fun load(
         machine: Machine,
         isSilent: Boolean,
@@ -140,17 +140,17 @@
     }
 
     internal companion object {
-        /** Fewer samples than this are not judged. */
+        /** With fewer samples the load is unknown. */
         const val MIN_SAMPLES: Int = 3
         private const val HALF = 0.5
         private const val COMPLETION_WEIGHT = 0.3
         private const val OVERDUE_WEIGHT = 0.15
 
-        /** Larger ratios count as this: such a machine is evicted as a straggler anyway. */
+        /** Larger ratios are clamped to this value; a machine that slow is evicted as a straggler anyway. */
         private const val MAX_SLOWDOWN = 4.0
         private const val MAX_RUN_SECONDS = 1e6
 
-        /** Upper bound for an entry with its key and its place in the table. */
+        /** Upper bound for an entry with its key and its slot in the hash table. */
         private const val BYTES_PER_ENTRY = 200L
     }
 }
--- a/src/main/kotlin/burlridge/balance/MachineRequests.kt
+++ b/src/main/kotlin/burlridge/balance/MachineRequests.kt
@@ -8,15 +8,15 @@
 import com.fasterxml.jackson.databind.JsonNode
 
 /**
- * The operators' requests about machines. Any member takes them and passes them to the leader, which answers once its row is durable;
- * a request whose outcome is not known can be repeated, since it names its target and nothing else.
+ * Handles the operators' requests about machines. Any member accepts them and forwards them to the leader, which responds once the row is
+ * durable. Requests are idempotent, as a drain is identified by its target alone, so one whose outcome is unknown can be repeated.
  */
 internal class MachineRequests(
     private val context: StepContext,
     private val leadership: Leadership,
     private val balance: Balance,
     private val peers: PeerRequests,
-    /** Whether this leader has read the rows. */
+    /** Whether this leader has read the stored rows. */
     private val isLoaded: () -> Boolean,
 ) {
     fun handle(
@@ -99,7 +99,7 @@
         }
     }
 
-    /** What was held up on its way must not undo what was asked since: whoever asked has given it up. */
+    /** Whether [request] was delayed for longer than its sender waits; it must not override requests sent since. */
     private fun isStale(request: JsonNode?): Boolean {
         val requestedMillis = request?.path(REQUESTED_AT_KEY)?.takeIf { it.isIntegralNumber } ?: return false
         return context.wallMillis - requestedMillis.asLong() > MAX_REQUEST_AGE_MILLIS
@@ -114,7 +114,10 @@
             is DrainChange.Written -> HttpResponse(OK, Json.write(Json.obj { DrainReport(change.drain, progress = null).encode(this) }))
         }
 
-    /** A write may stay open for as long as the state service is away, or end with the term: whoever asked is told to ask again. */
+    /**
+     * Returns a callback that passes only the first response to [respond]. A write may stay in flight for as long as the state service is
+     * unavailable, or be abandoned when the term ends; after [WRITE_TIMEOUT_SECONDS] the response therefore asks the client to retry.
+     */
     private fun respondOnceBeforeTimeout(respond: (HttpResponse) -> Unit): (HttpResponse) -> Unit {
         var hasResponded = false
 
@@ -134,15 +137,16 @@
         const val DRAIN: String = "/admin/machines/drain"
         const val UNDRAIN: String = "/admin/machines/undrain"
 
-        /** Followed by the name of a task or machine. */
+        /** Prefix of the path; the name of a task or machine follows. */
         const val EXPLAIN: String = "/admin/machines/explain/"
 
+        /** Whether [path] belongs to one of these requests. */
         fun serves(path: String): Boolean = path == STATUS || path == DRAIN || path == UNDRAIN || path.startsWith(EXPLAIN)
 
-        /** In a request, the time of day at which it was asked, in milliseconds. */
+        /** Key of the wall-clock time at which a request was made, in milliseconds. */
         const val REQUESTED_AT_KEY: String = "asked_ms"
 
-        /** How long whoever asks waits for the answer, and what times of day may differ by. */
+        /** The time for which a client waits for the response, plus the tolerated clock skew. */
         private const val MAX_REQUEST_AGE_MILLIS = 7_000
         private const val OK = 200
         private const val BAD_REQUEST = 400
--- a/src/main/kotlin/burlridge/balance/Move.kt
+++ b/src/main/kotlin/burlridge/balance/Move.kt
@@ -10,7 +10,7 @@
 ) {
     DRAIN("drain"),
 
-    /** The machine is hot, and the task certainly ends sooner elsewhere. */
+    /** The machine is hot, and the task is certain to end sooner elsewhere. */
     HOT("hot"),
     ;
 
@@ -19,7 +19,7 @@
     }
 }
 
-/** The decision to stop one attempt of a task, or of a whole gang, so that it continues elsewhere; keyed by job, task and attempt. */
+/** The decision to stop one attempt of a task or a whole gang so that it continues elsewhere. Identified by job, task and attempt. */
 internal data class Move(
     val job: String,
     val task: Int,
@@ -27,39 +27,42 @@
     val team: String,
     val jobClass: String,
     val from: String,
-    /** Machine on which capacity is reserved for it; null where it waits like any other task. */
+    /** Machine on which capacity is reserved; null if the task waits in the queue like any other. */
     val to: String?,
-    /** How often the task has been moved, this move included. */
+    /** Number of moves of the task so far, including this one. */
     val moveNumber: Int,
-    /** How many tasks it stops. */
+    /** Number of tasks that this move stops. */
     val taskCount: Int,
     val reason: MoveReason = MoveReason.DRAIN,
 ) {
-    /** `<job>/<task>`. */
+    /** Name of the task, `<job>/<task>`. */
     val taskName: String get() = "$job/$task"
 
-    /** Whether it stops a whole gang. */
+    /** Whether this move stops a whole gang. */
     val isGang: Boolean get() = task == WHOLE_GANG
 
     internal companion object {
-        /** Stands for all tasks of a gang, which are stopped together. */
+        /** Task number that stands for all tasks of a gang, which are stopped together. */
         const val WHOLE_GANG: Int = -1
     }
 }
 
-/** Moves planned at one time, in one row, which stays until all their jobs have ended, so that no leader moves a task too often. */
+/**
+ * Moves that were planned together and are stored in one row. The row is kept until all their jobs have ended, so that every leader counts
+ * how often a task has been moved, and none moves it too often.
+ */
 internal class MoveBatch(
     val key: String,
     val plannedMillis: Long,
     val moves: List<Move>,
 ) {
-    /** Whether its row is known to be written. */
+    /** Whether the row is known to be written. */
     var isDurable: Boolean = false
 
-    /** Whether its row is being removed. */
+    /** Whether the row is being deleted. */
     var isBeingRemoved: Boolean = false
 
-    /** The value of its row. */
+    /** Encodes the value of the row. */
     fun encode(): JsonNode =
         Json.obj {
             put("st", "planned")
@@ -84,13 +87,13 @@
         }
 
     internal companion object {
-        /** Prefix of the rows of moves. */
+        /** Key prefix of the rows of moves. */
         const val PREFIX: String = "move/"
 
-        /** Upper bound of what a move and its job's entry take of a row, in bytes. */
+        /** Upper bound of the encoded size of a move and its job's entry in a row, in bytes. */
         const val BYTES_PER_MOVE: Int = 330
 
-        // Places of a move's fields in its array, in the order in which encode adds them.
+        // Indexes of a move's fields in its JSON array, in the order in which encode adds them.
         private const val TASK = 0
         private const val ATTEMPT = 1
         private const val FROM = 2
@@ -99,7 +102,7 @@
         private const val TASKS = 5
         private const val REASON = 6
 
-        /** Null for a row that is damaged or of an unknown version. */
+        /** Decodes [row]; null if it is damaged or written by an unknown version. */
         fun decode(row: Row): MoveBatch? {
             val value = row.value
             if (!value.path("at").isIntegralNumber || !value.path("jobs").isObject) return null
--- a/src/main/kotlin/burlridge/balance/MoveBatchWriter.kt
+++ b/src/main/kotlin/burlridge/balance/MoveBatchWriter.kt
@@ -9,28 +9,28 @@
 import burlridge.store.Transaction
 import burlridge.store.TransactionResult
 
-/** Writes and removes the rows of moves under the leader's fence. */
+/** Writes and deletes the rows of moves, fenced by the leader's term. */
 internal class MoveBatchWriter(
     private val context: StepContext,
     private val store: StoreClient,
     private val leadership: Leadership,
     private val moves: MoveRegistry,
-    /** Told of each batch whose row is durable. */
+    /** Called for each batch whose row has become durable. */
     private val onDurable: (MoveBatch) -> Unit,
 ) {
     private var nextBatchNumber = 0L
 
-    /** Whether the outcome of a row is open; no more is planned meanwhile. */
+    /** Whether the write of a row is in flight; no further moves are planned meanwhile. */
     var isWriting: Boolean = false
         private set
 
-    /** Forgets this term's numbering and open writes. */
+    /** Resets the batch numbers and the state of writes; called when a term begins or ends. */
     fun clear() {
         nextBatchNumber = 0
         isWriting = false
     }
 
-    /** A batch under a key that no other batch ever has. */
+    /** Creates a batch with a unique key, made of the term and a number. */
     fun newBatch(planned: List<Move>): MoveBatch =
         MoveBatch("${MoveBatch.PREFIX}${leadership.term}-${nextBatchNumber++}", context.wallMillis, planned)
 
@@ -55,7 +55,7 @@
                 leadership.stepDownOnSupersededTerm()
             }
 
-            // No other leader writes this key: on a conflict an earlier copy of this same write was executed.
+            // No other leader writes this key, so a conflict means that an earlier copy of the same write was executed.
             result is TransactionResult.Committed || result is TransactionResult.Conflict -> {
                 batch.isDurable = true
                 onDurable(batch)
@@ -68,7 +68,7 @@
         }
     }
 
-    /** Removes the rows of batches that nobody needs any more. */
+    /** Deletes the rows of batches for which [isNeeded] returns false. */
     fun removeUnused(isNeeded: (MoveBatch) -> Boolean) {
         val unusedBatches = moves.allBatches.filterNot(isNeeded).take(context.settings.store.changesPerTransaction)
         if (unusedBatches.isEmpty()) return
--- a/src/main/kotlin/burlridge/balance/MoveBudget.kt
+++ b/src/main/kotlin/burlridge/balance/MoveBudget.kt
@@ -2,7 +2,7 @@
 
 import burlridge.settings.BalanceSettings
 
-/** Limits how many tasks are moved within a sliding window of about a minute, by this leader and earlier ones together. */
+/** Limits how many tasks this leader and earlier ones together move within a sliding window of about a minute. */
 internal class MoveBudget(
     private val settings: BalanceSettings,
 ) {
@@ -13,10 +13,10 @@
 
     private val window = ArrayDeque<ChargedMove>()
 
-    /** Forgets all moves. */
+    /** Clears the window. */
     fun clear() = window.clear()
 
-    /** Counts [move] at the time of day [atMillis]. Moves loaded from rows come in no order of time. */
+    /** Charges [move] to the budgets at the wall-clock time [atMillis]. Moves loaded from rows arrive in no order of time. */
     fun charge(
         move: Move,
         atMillis: Long,
@@ -24,7 +24,7 @@
         window.addLast(ChargedMove(atMillis, move))
     }
 
-    /** Whether [move] keeps to every budget; a gang larger than a budget is never moved. */
+    /** Whether [move] is within every budget. A gang larger than a budget is never moved. */
     fun permits(
         move: Move,
         nowMillis: Long,
@@ -41,11 +41,11 @@
         counts: (Move) -> Boolean,
     ): Boolean = move.taskCount <= limit - window.sumOf { if (counts(it.move)) it.move.taskCount else 0 }
 
-    /** Tasks moved within the window. */
+    /** Number of tasks moved within the window. */
     fun tasksInWindow(nowMillis: Long): Int = window.sumOf { if (nowMillis - it.atMillis > WINDOW_MILLIS) 0 else it.move.taskCount }
 
     internal companion object {
-        /** A minute plus what the clocks of two leaders may differ by. */
+        /** A minute plus the clock skew between two leaders. */
         const val WINDOW_MILLIS: Long = 65_000
     }
 }
--- a/src/main/kotlin/burlridge/balance/MoveExecutor.kt
+++ b/src/main/kotlin/burlridge/balance/MoveExecutor.kt
@@ -16,8 +16,9 @@
 import burlridge.worker.WorkerManager
 
 /**
- * Moves running tasks. Each move is durable in a row before its stop is sent: the task is stopped, proven gone by the ordinary rules, and
- * started under the next attempt, where capacity was reserved if it still is. Whatever fails, the task runs on or waits like any other.
+ * Moves running tasks. Each move is durable in a row before its stop command is sent. The task is stopped, confirmed as stopped by the
+ * usual rules, and started with the next attempt number, on the machine with the reservation if that is still valid. If a step fails, the
+ * task either keeps running or waits in the queue like any other.
  */
 internal class MoveExecutor(
     private val context: StepContext,
@@ -32,43 +33,43 @@
     private val writer = MoveBatchWriter(context, store, leadership, moves, ::onDurable)
     private val reservationMillis = (settings.keepLeases * context.settings.workers.leaseSeconds * MILLIS_PER_SECOND).toLong()
 
-    /** Keys of rows that cannot be read; they are left as they are. */
+    /** Keys of the rows that cannot be decoded; these rows are left unchanged. */
     val damagedRows: Set<String> get() = moves.damagedRows
 
-    /** Whether the outcome of a row is open; no more is planned meanwhile. */
+    /** Whether the write of a row is in flight; no further moves are planned meanwhile. */
     val isWriting: Boolean get() = writer.isWriting
 
-    /** All open moves, oldest first. */
+    /** All open moves: loaded ones first, then those of this leader in the order of planning. */
     val openMoves: List<Move> get() = moves.openMoves.map { it.move }
 
-    /** Tasks moved within the budget's window. */
+    /** Number of tasks moved within the window of [MoveBudget]. */
     val tasksMovedInWindow: Int get() = moves.tasksMovedInWindow
 
-    /** How many moves one row holds. */
+    /** Maximum number of moves in one row. */
     val maxMovesPerRow: Int = (context.settings.store.valueBytes / MoveBatch.BYTES_PER_MOVE).coerceAtLeast(1)
 
-    /** Forgets everything: a new term begins, or this one has ended. */
+    /** Clears all state; called when a term begins or ends. */
     fun clear() {
         moves.clear()
         writer.clear()
     }
 
-    /** Takes over a row of an earlier leader. */
+    /** Loads a row that an earlier leader wrote. */
     fun load(row: Row) = moves.load(row)
 
-    /** Whether a move of [taskName] is open. */
+    /** Whether [taskName] has an open move. */
     fun isOpen(taskName: String): Boolean = moves.isOpen(taskName)
 
-    /** How often the task has been moved, by any leader. */
+    /** Number of times the task has been moved, by any leader. */
     fun moveCountOf(taskName: String): Int = moves.moveCountOf(taskName)
 
-    /** Whether [move] keeps to all budgets. */
+    /** Whether [move] is within all budgets. */
     fun permits(move: Move): Boolean = moves.permits(move)
 
-    /** Counts [move] before its row is written, so that the next one that is checked sees it. */
+    /** Charges [move] to the budgets before its row is written, so that the check of the next move includes it. */
     fun charge(move: Move) = moves.charge(move)
 
-    /** Writes the row of [planned], which have been spent, and then stops their tasks. */
+    /** Writes the row of the moves [planned], which have been charged already, and stops their tasks once it is durable. */
     fun plan(planned: List<Move>) {
         val batch = writer.newBatch(planned)
         moves.add(batch)
@@ -83,7 +84,7 @@
         batch.moves.forEach { move -> moves.openMove(move.taskName, batch)?.let(::advance) }
     }
 
-    /** Advances every open move, and removes the rows that nobody needs any more. */
+    /** Advances every open move, and deletes the rows that are no longer needed. */
     fun tick() {
         if (moves.isEmpty) return
         moves.openMoves.toList().forEach(::advance)
@@ -106,7 +107,7 @@
         if (hasEnded) moves.close(open.move.taskName)
     }
 
-    /** True once the move has ended: the task is done, started elsewhere, or waits like any other. */
+    /** Returns true once the move has ended: the task is done, has started elsewhere, waits like any other, or stays ([isRevoked]). */
     private fun advanceTask(
         open: OpenMove,
         job: Job,
@@ -150,7 +151,7 @@
         return false
     }
 
-    /** The drain for which it was planned was cancelled before its stop was sent. */
+    /** Whether the drain for which [move] was planned has been cancelled. */
     private fun isRevoked(move: Move): Boolean = move.reason == MoveReason.DRAIN && workers.machines[move.from]?.isDraining == false
 
     private fun isReservationValid(open: OpenMove): Boolean {
@@ -159,7 +160,10 @@
             !machine.isDraining && machine.reclaimAt == null
     }
 
-    /** Capacity that is held for tasks of open moves; both places count for capacity, quota and zones while the task may be on the first. */
+    /**
+     * Returns the capacity reserved for the tasks of open moves. While a task may still run on its source machine, source and target both
+     * count towards capacity, quota and spreading over zones.
+     */
     fun reservations(): List<CapacityReservation> = moves.openMoves.mapNotNull(::reservation)
 
     private fun reservation(open: OpenMove): CapacityReservation? {
--- a/src/main/kotlin/burlridge/balance/MoveGain.kt
+++ b/src/main/kotlin/burlridge/balance/MoveGain.kt
@@ -1,24 +1,24 @@
 package burlridge.balance
 
-/** What a move costs and gains, in seconds until the task's end. */
+/** The cost and the gain of a move, in seconds of time until the task ends. */
 internal data class MoveGain(
-    /** Work that remains, in seconds on a machine of ordinary speed. */
+    /** Remaining work, in seconds on a machine of normal speed. */
     val remainingSeconds: Double,
-    /** How many times as long the work takes where the task is now. */
+    /** Run time on the task's current machine as a multiple of the run time elsewhere. */
     val slowdown: Double,
-    /** Work that is done again because it was not checkpointed. */
+    /** Work that must be repeated because it was not checkpointed, in seconds. */
     val lostSeconds: Double,
     /** Time to save a checkpoint. */
     val saveSeconds: Double,
-    /** Time to fetch the image at the target. */
+    /** Time to fetch the image on the target machine. */
     val fetchSeconds: Double,
-    /** Time until the stop is confirmed and the new start has arrived. */
+    /** Time until the stop is confirmed and the start command has arrived at the target. */
     val handoverSeconds: Double,
 ) {
-    /** Net gain; the slowdown is an estimate, so only a part of it is counted. */
+    /** Net gain. The slowdown is an estimate, so only [COUNTED_GAIN_SHARE] of the gross gain is counted. */
     val gainSeconds: Double get() = remainingSeconds * (slowdown - 1.0) * COUNTED_GAIN_SHARE - costSeconds
 
-    /** Everything that the move costs. */
+    /** Total cost of the move. */
     val costSeconds: Double get() = lostSeconds + saveSeconds + fetchSeconds + handoverSeconds
 
     private companion object {
--- a/src/main/kotlin/burlridge/balance/MoveRegistry.kt
+++ b/src/main/kotlin/burlridge/balance/MoveRegistry.kt
@@ -4,16 +4,16 @@
 import burlridge.settings.BalanceSettings
 import burlridge.store.Row
 
-/** A move whose task may still have to be stopped, or has not started elsewhere yet. */
+/** A move whose task has not been stopped yet, or has not started elsewhere yet. */
 internal class OpenMove(
     val move: Move,
     val batch: MoveBatch,
 ) {
-    /** The stop was sent by this leader. */
+    /** Whether this leader has sent the stop command. */
     var isStopSent: Boolean = false
 }
 
-/** The moves of this leader and of earlier ones: those that are open, how often each task was moved, and what was spent of the budgets. */
+/** The moves of this leader and earlier ones: the open moves, the number of moves of each task, and the use of the budgets. */
 internal class MoveRegistry(
     private val context: StepContext,
     settings: BalanceSettings,
@@ -23,22 +23,22 @@
     private val open = LinkedHashMap<String, OpenMove>()
     private val counts = HashMap<String, Int>()
 
-    /** Keys of rows that cannot be read; they are left as they are. */
+    /** Keys of the rows that cannot be decoded; these rows are left unchanged. */
     val damagedRows: LinkedHashSet<String> = LinkedHashSet()
 
     /** Whether no batch is known. */
     val isEmpty: Boolean get() = batches.isEmpty()
 
-    /** All batches whose rows may exist, oldest first. */
+    /** All batches whose rows may exist: loaded ones first, then those of this leader in the order of planning. */
     val allBatches: Collection<MoveBatch> get() = batches.values
 
-    /** All open moves, oldest first. */
+    /** All open moves: loaded ones first, then those of this leader in the order of planning. */
     val openMoves: Collection<OpenMove> get() = open.values
 
-    /** Tasks moved within the budget's window. */
+    /** Number of tasks moved within the window of [MoveBudget]. */
     val tasksMovedInWindow: Int get() = budget.tasksInWindow(context.wallMillis)
 
-    /** Forgets everything: a new term begins, or this one has ended. */
+    /** Clears all state; called when a term begins or ends. */
     fun clear() {
         budget.clear()
         batches.clear()
@@ -47,7 +47,7 @@
         damagedRows.clear()
     }
 
-    /** Takes over a row of an earlier leader. */
+    /** Loads a row that an earlier leader wrote. */
     fun load(row: Row) {
         val batch = MoveBatch.decode(row)
         if (batch != null) {
@@ -67,7 +67,7 @@
         }
     }
 
-    /** Adds a batch of this leader; its moves have been spent. */
+    /** Adds a batch of this leader, whose moves have been charged to the budgets already. */
     fun add(batch: MoveBatch) {
         batches[batch.key] = batch
         for (move in batch.moves) {
@@ -76,38 +76,38 @@
         }
     }
 
-    /** Drops a batch that was never written, with its open moves. */
+    /** Removes a batch that was never written, with its open moves. */
     fun discard(batch: MoveBatch) {
         batches.remove(batch.key)
         batch.moves.forEach { open.remove(it.taskName) }
     }
 
-    /** Forgets a batch whose row is removed. */
+    /** Removes a batch whose row has been deleted. */
     fun removeBatch(batch: MoveBatch) {
         batches.remove(batch.key)
         batch.moves.forEach { counts.remove(it.taskName) }
     }
 
-    /** Ends the open move of [taskName]. */
+    /** Removes the open move of [taskName]. */
     fun close(taskName: String) {
         open.remove(taskName)
     }
 
-    /** The open move of [taskName] if it belongs to [batch]. */
+    /** Returns the open move of [taskName] if it belongs to [batch]. */
     fun openMove(
         taskName: String,
         batch: MoveBatch,
     ): OpenMove? = open[taskName]?.takeIf { it.batch === batch }
 
-    /** Whether a move of [taskName] is open. */
+    /** Whether [taskName] has an open move. */
     fun isOpen(taskName: String): Boolean = taskName in open
 
-    /** How often the task has been moved, by any leader. */
+    /** Number of times the task has been moved, by any leader. */
     fun moveCountOf(taskName: String): Int = counts[taskName] ?: 0
 
-    /** Whether [move] keeps to all budgets. */
+    /** Whether [move] is within all budgets. */
     fun permits(move: Move): Boolean = budget.permits(move, context.wallMillis)
 
-    /** Counts [move] before its row is written, so that the next one that is checked sees it. */
+    /** Charges [move] to the budgets before its row is written, so that the check of the next move includes it. */
     fun charge(move: Move) = budget.charge(move, context.wallMillis)
 }
--- a/src/main/kotlin/burlridge/balance/SlowStart.kt
+++ b/src/main/kotlin/burlridge/balance/SlowStart.kt
@@ -10,19 +10,19 @@
 import burlridge.worker.TaskState
 
 /**
- * Limits what a machine gets at once that has just joined, or whose worker has just begun a new session: a few starts, and twice as many as
- * are seen to run there. What it goes by is the cloud's list and the worker's last report, so that the next leader judges alike.
+ * Limits how many tasks start at the same time on a machine that has just joined, or whose worker has just begun a new session: a few, or
+ * twice as many as already run there. It uses only the cloud's list and the worker's last heartbeat, so that the next leader decides alike.
  */
 internal class SlowStart(
     private val context: StepContext,
     private val settings: BalanceSettings,
     private val registry: JobRegistry,
-    /** Seconds that machines of a type usually take to come up. */
+    /** Returns the usual boot time of machines of a type, in seconds. */
     private val bootSeconds: (type: String) -> Double,
 ) {
     private val coldSeconds = settings.coldReports * context.settings.workers.reportSeconds
 
-    /** How many more starts [machine] may get now; [UNLIMITED_STARTS] once it has been up for a while. */
+    /** Number of tasks that may still be started on [machine] now; [UNLIMITED_STARTS] once it has been up for a while. */
     fun remainingStarts(machine: Machine): Int {
         if (!isCold(machine)) return UNLIMITED_STARTS
         val running = machine.reportedTasks.values.count { it.state == TaskState.Known.RUNNING }
@@ -31,7 +31,7 @@
 
     private fun isCold(machine: Machine): Boolean {
         if (coldSeconds <= 0.0) return false
-        // To a new leader every machine is new, so the time of its rental bounds how long it can have been up.
+        // To a new leader every machine looks new, so the rental time gives the latest time at which the machine can have come up.
         val upSince =
             if (machine.rentedAt >
                 0
@@ -50,8 +50,8 @@
             .orEmpty()
 
     /**
-     * How long [spec]'s image takes to be there, which takes [uncontendedSeconds] if nothing else is fetched: images share the machine's
-     * rate.
+     * Expected time until the image of [spec] is on [machine], in seconds. The fetch takes [uncontendedSeconds] if nothing else is fetched;
+     * concurrent fetches share the machine's bandwidth.
      */
     fun fetchSeconds(
         machine: Machine,
@@ -75,7 +75,7 @@
         private const val BOOT_TIME_MARGIN = 1.5
         private const val LONG_AGO = -1e9
 
-        /** On average half of a fetch that is under way remains. */
+        /** On average, half of a fetch in progress remains. */
         private const val MEAN_REMAINING_FETCH_SHARE = 0.5
     }
 }
--- a/src/test/kotlin/burlridge/balance/BalanceInputTest.kt
+++ b/src/test/kotlin/burlridge/balance/BalanceInputTest.kt
@@ -19,13 +19,13 @@
 import org.junit.jupiter.api.Test
 import java.io.File
 
-/** What operators, other versions and damaged rows say wrongly. */
+/** Tests the parsing of settings, requests, rows and command lines, in particular of invalid ones. */
 internal class BalanceInputTest {
     private fun errorMessageOf(lines: String): String =
         assertThrows(InvalidSettingsException::class.java, { OperatorSettings.parse("[balance]\n$lines\n") }, lines).message.orEmpty()
 
     @Test
-    fun `the operators' section is read, and each wrong key named in one line`() {
+    fun `the balance section is parsed, and each invalid key is reported in one line`() {
         val read =
             OperatorSettings
                 .parse(
@@ -34,7 +34,7 @@
         val classes = mapOf("alarm-triage" to MovePermission.NEVER, "x" to MovePermission.SAVED)
         assertEquals(BalanceSettings(moves = MovePermission.REPEAT, classMoves = classes, movesPerTask = 2), read)
         assertEquals(null, OperatorSettings.parse("[fleet]\n").balance)
-        // The file in deploy/ has every key, each with its default.
+        // The file in deploy/ contains every key with its default.
         assertEquals(BalanceSettings(), OperatorSettings.parse(File("deploy/balance.ini").readText()).balance)
         val wrong =
             mapOf(
@@ -58,7 +58,7 @@
     }
 
     @Test
-    fun `a class that the platform does not know is refused by name`() {
+    fun `a job class that the platform settings do not define is rejected by name`() {
         val platform = SimulatedCluster(0).settings("drover-0")
         BalanceSettings(classMoves = mapOf("urgent" to MovePermission.NEVER)).check(platform)
         val wrong = BalanceSettings(classMoves = mapOf("urgnet" to MovePermission.NEVER))
@@ -69,7 +69,7 @@
     private fun target(text: String) = DrainTarget.parse(Json.parseOrNull(text))
 
     @Test
-    fun `targets are machines, zones and networks of both families, and nothing else`() {
+    fun `only machines, zones and networks of both address families are accepted as drain targets`() {
         assertEquals("zone/a", target("""{"zone":"a"}""").key)
         assertEquals("machine/m-000231", target("""{"machine":"m-000231"}""").key)
         assertEquals("network/10.1.0.0/24", target("""{"network":"10.1.0.77/24"}""").key)
@@ -98,7 +98,7 @@
     }
 
     @Test
-    fun `a network holds the machines whose address lies in it, whatever they report`() {
+    fun `a network covers exactly the machines whose address is in it, and tolerates malformed addresses`() {
         fun covers(
             network: String,
             host: String?,
@@ -113,7 +113,7 @@
     }
 
     @Test
-    fun `rows that are damaged or of a later version are told from good ones`() {
+    fun `rows that are damaged or of a later version are not decoded`() {
         val drain = Drain(target("""{"zone":"a"}"""), DrainCause.OPERATOR, DrainState.DRAINING, 5, 7, 9)
         assertEquals(drain, Drain.decode(Row("drain/zone/a", drain.encode(), 9)))
         val moves = listOf(Move("j-1", 3, 2, "t", "c", "m-1", "m-2", 1, 1), Move("j-2", Move.WHOLE_GANG, 1, "t", "d", "m-1", null, 2, 4))
@@ -139,7 +139,7 @@
     }
 
     @Test
-    fun `requests that are wrong are answered with one line, and change nothing`() {
+    fun `invalid requests are answered with an error and change nothing`() {
         val cluster = clusterWithBalance(1)
         cluster.run(25.0)
         val drain = MachineRequests.DRAIN
@@ -167,7 +167,7 @@
     }
 
     @Test
-    fun `the command line names one target, and status prints what the leader says`() {
+    fun `the command line accepts exactly one target, and status and explain print the leader's report`() {
         val files = SettingsFiles("c", "s")
         val args = listOf("--config", "c", "--settings", "s")
         val parsed = CommandLine.parse(listOf("drain") + args + listOf("--network", "10.0.0.0/8", "--force"))
--- a/src/test/kotlin/burlridge/balance/BalanceMeasurement.kt
+++ b/src/test/kotlin/burlridge/balance/BalanceMeasurement.kt
@@ -13,7 +13,7 @@
 import kotlin.math.sqrt
 import kotlin.system.exitProcess
 
-/** What is switched on in a run of the measurement. */
+/** The features that are switched on in a run of the measurement. */
 internal enum class Variant(
     val label: String,
     val settings: BalanceSettings?,
@@ -25,7 +25,7 @@
     WITHOUT_SLOW_START("on, no slow start", BalanceSettings(coldReports = 0.0)),
 }
 
-/** What one run of the burst came to; waits in seconds, by class. */
+/** Results of one run of the burst; waiting times in seconds, by job class. */
 internal class BurstOutcome(
     val variant: Variant,
     val machines: Int,
@@ -35,12 +35,12 @@
     val fetchedSeconds: Double,
     val moves: Int,
     val lostSeconds: Double,
-    /** Until the last task of the sweep was over. */
+    /** Time until the last task of the sweep ended. */
     val sweepSeconds: Double,
     val breaches: List<String>,
 )
 
-/** What a drain of a third of the machines came to. */
+/** Results of one drain of a third of the machines. */
 internal class DrainOutcome(
     val machines: Int,
     val leaderKilled: Boolean,
@@ -56,8 +56,8 @@
     }
 
 /**
- * A skewed burst and a drain of a third of the fleet against stand-in workers in virtual time, a program outside CI. `docs/balance.md` has
- * the command and its figures. Arguments: the file of the report, the number of seeds, and the numbers of machines.
+ * Measures a skewed burst and a drain of a third of the fleet with simulated workers in virtual time; a program that CI does not run.
+ * `docs/balance.md` has the command and the results. Arguments: the report file, the number of seeds, and the numbers of machines.
  */
 internal class BalanceMeasurement(
     private val machines: Int,
@@ -79,7 +79,7 @@
                 writeRps = WRITE_RPS,
                 operator = OperatorSettings(balance = settings),
             )
-        // A tenth joins cold, in the middle of the burst.
+        // A tenth of the machines join in the middle of the burst.
         cluster.cloud.bootSeconds =
             {
                 if (cluster.random.nextInt(TENTH) ==
@@ -127,13 +127,13 @@
         variant: Variant,
     ): BurstOutcome {
         val cluster = cluster(seed, variant.settings)
-        // Images on a tenth of the fleet, and a tenth of the machines slow.
+        // A tenth of the fleet has fetched the image already, and a tenth of the machines is slow.
         val warmUp = cluster.sweepJob(1, machines / TENTH * CPUS.toInt(), runSeconds = 6.0)
         cluster.clock.after(12.0) { cluster.submit(warmUp) }
         cluster.run(14.0)
         val names = cluster.cloud.names()
         names.filterIndexed { i, _ -> i % TENTH == 3 }.forEach { cluster.cloud.worker(it)?.slowness = SLOWNESS }
-        // Ten jobs of one team, half of what the fleet holds, then previews for a minute and a half.
+        // Ten jobs of one team with tasks for half of the capacity of the fleet, then previews for a minute and a half.
         val tasksPerJob = (machines * CPUS * SWEEP_SHARE / SWEEP_JOBS).toInt()
         val sweep = (0 until SWEEP_JOBS).map { cluster.sweepJob(2 + it, tasksPerJob, runSeconds = 20.0 + 5 * it) }
         sweep.forEachIndexed { i, job -> cluster.submitAt(BURST_AT + i, job) }
@@ -158,7 +158,7 @@
         )
     }
 
-    /** Tasks on each machine that is up now. */
+    /** Returns the number of tasks on each machine that is up now. */
     private fun taskCountsByMachine(cluster: SimulatedCluster): List<Double> {
         val startedCount =
             cluster.history.starts
@@ -187,7 +187,7 @@
         clock.after(at - clock.now) { submit(job) }
     }
 
-    /** From a job's submission to each of its tasks' first start. */
+    /** Returns the time from the submission of its job to its first start, for each task of [jobs]. */
     private fun waits(
         cluster: SimulatedCluster,
         jobs: List<JobSpec>,
@@ -207,7 +207,7 @@
     ): List<String> =
         cluster.invariants.broken + cluster.history.breaches(jobs.map { it.id }) + cluster.history.drainBreaches(SLACK_SECONDS)
 
-    /** Every third machine is drained by name, under load; the leader is killed two seconds after. */
+    /** Drains every third machine by name, under load; if [killLeader], the leader is killed two seconds later. */
     fun drain(
         seed: Int,
         killLeader: Boolean,
@@ -271,7 +271,7 @@
     }
 }
 
-/** Says on standard error what is done: at thousands of machines a run takes minutes. */
+/** Prints [message] to standard error before [work], since a run with thousands of machines takes minutes. */
 private fun <T> withProgressMessage(
     message: String,
     work: () -> T,
--- a/src/test/kotlin/burlridge/balance/BalanceMeasurementReport.kt
+++ b/src/test/kotlin/burlridge/balance/BalanceMeasurementReport.kt
@@ -17,7 +17,7 @@
 import org.knowm.xchart.CategoryChartBuilder
 import java.util.Base64
 
-/** The figures of [BalanceMeasurement] as text and as one HTML page with plots. */
+/** Formats the results of [BalanceMeasurement] as text and as one HTML page with charts. */
 internal class BalanceMeasurementReport(
     private val seeds: Int,
     private val bursts: List<BurstOutcome>,
--- a/src/test/kotlin/burlridge/balance/BalanceScheduleTest.kt
+++ b/src/test/kotlin/burlridge/balance/BalanceScheduleTest.kt
@@ -13,9 +13,9 @@
 import kotlin.random.Random
 
 /**
- * Drawn schedules of drains, cancellations of drains and moves, with members killed, frozen, paused in the middle of a step, cut off or
- * refused, answers lost, machines lost and reports late, alone and together. More of them:
- * `mvn test -Dtest=BalanceScheduleTest -Dsimulation.schedules=2000`, from seed N on with `-Dfrom=N`.
+ * Random schedules of drains, cancellations of drains and moves, combined with faults: members are killed, frozen, paused in the middle of
+ * a step, partitioned or refused by the state service, responses and machines are lost, and heartbeats are late. To run more schedules:
+ * `mvn test -Dtest=BalanceScheduleTest -Dsimulation.schedules=2000`; `-Dfrom=N` begins with seed N.
  */
 internal class BalanceScheduleTest {
     private class Outcome(
@@ -142,7 +142,7 @@
     }
 
     @Test
-    fun `whatever fails around drains and moves, no task runs twice or is lost, and no drain is forgotten`() {
+    fun `random faults during drains and moves neither duplicate nor lose a task, and no drain is lost`() {
         val count = System.getProperty("simulation.schedules")?.toInt() ?: DEFAULT_SCHEDULE_COUNT
         val firstSeed = System.getProperty("from")?.toInt() ?: 1
         val outcomes = (firstSeed until firstSeed + count).map { runSchedule(it) }
@@ -154,7 +154,7 @@
     private companion object {
         const val DEFAULT_SCHEDULE_COUNT = 200
 
-        /** A command that was held up, or is answered late, may still start what left before the drain was accepted. */
+        /** A start command sent before the drain was accepted may still take effect if it is delayed or its response is late. */
         const val DRAIN_SLACK_SECONDS = 34.0
     }
 }
--- a/src/test/kotlin/burlridge/balance/DrainTest.kt
+++ b/src/test/kotlin/burlridge/balance/DrainTest.kt
@@ -11,17 +11,17 @@
 import org.junit.jupiter.api.Assertions.assertTrue
 import org.junit.jupiter.api.Test
 
-/** Drains in the whole service, in virtual time, with controllers that fail. */
+/** Tests drains in a simulated cluster, in virtual time, with failing controllers. */
 internal class DrainTest {
     private fun SimulatedCluster.machineCountByZone() = cloud.names().groupingBy { cloud.worker(it)?.zone }.eachCount()
 
     @Test
-    fun `a drained zone is emptied, nothing is rented there, and the leader's death changes nothing`() {
+    fun `a drained zone is emptied and nothing is rented there, even if leaders crash during the drain`() {
         for (failover in listOf(false, true)) {
             val cluster = clusterWithBalance(1, members = if (failover) 5 else 3, failover = failover)
             val jobs = cluster.submitAll((0 until 20).map { cluster.checkpointingJob(it, 3) }, 20.0)
             cluster.clock.after(40.0) { cluster.drainZone("a") }
-            // At once, while it is emptied, and once it is empty.
+            // Just after the request, while the zone is being emptied, and once it is empty.
             listOf(40.5, 45.0, 100.0).forEach { at -> cluster.clock.after(at) { cluster.leader()?.let { cluster.crash(it, 6.0) } } }
             cluster.run(180.0)
             cluster.assertNoViolations(jobs)
@@ -31,9 +31,9 @@
         }
     }
 
-    /** Guards the reading of the rows by a new leader, and their being more than one leader's memory. */
+    /** Guards against a drain that is kept only in the memory of a leader: a new leader must load it from its row. */
     @Test
-    fun `a drain outlives all members, and ends when it is called off`() {
+    fun `a drain survives a restart of all members, and ends when it is cancelled`() {
         val cluster = clusterWithBalance(2)
         val jobs = cluster.submitAll((0 until 12).map { cluster.checkpointingJob(it, 3, runSeconds = 15.0) }, 60.0, everySeconds = 4.0)
         cluster.clock.after(20.0) { cluster.drainZone("a") }
@@ -46,11 +46,11 @@
         cluster.run(170.0)
         cluster.assertNoViolations(jobs + zoneBoundJobs)
         assertEquals(setOf("a", "b"), cluster.machineCountByZone().keys, cluster.recentLog())
-        assertTrue(cluster.invariants.firstStart(zoneBoundJobs.first().id) > 80.0, "what may run nowhere else waits for the zone")
+        assertTrue(cluster.invariants.firstStart(zoneBoundJobs.first().id) > 80.0, "a job bound to the zone must wait for it")
     }
 
     @Test
-    fun `asked for twice, also at two members at one moment, it is one drain`() {
+    fun `repeated and concurrent requests through several members create one drain`() {
         val cluster = clusterWithBalance(3)
         var accepted = 0
         cluster.clock.after(20.0) {
@@ -63,9 +63,9 @@
         assertEquals(listOf("drain/zone/a"), cluster.state.keys(Drain.PREFIX))
     }
 
-    /** One of the two is refused for the moment and asked again; in the end all members say the same. */
+    /** The leader rejects one of the two as busy, and it is retried; in the end all members report the same state. */
     @Test
-    fun `a drain and its cancellation at one moment leave one state that all members tell alike`() {
+    fun `concurrent drain and cancellation leave one state that all members report`() {
         for (seed in 1..10) {
             val cluster = clusterWithBalance(seed)
             cluster.clock.after(20.0) {
@@ -89,13 +89,13 @@
     }
 
     @Test
-    fun `a member that cannot reach the leader says so, or passes the drain on once`() {
+    fun `a member that cannot reach the leader responds with 503, and later forwards the drain once`() {
         val cluster = clusterWithBalance(4)
         val jobs = cluster.submitAll((0 until 8).map { cluster.checkpointingJob(it, 3) }, 15.0)
         cluster.run(30.0)
         val leader = cluster.leader() ?: error("no leader")
         val cut = cluster.members.first { it != leader }
-        // The message is lost where the links between members are cut; the member hears nobody.
+        // The forwarded request is lost, because the member is partitioned from all others.
         cluster.peersCut(cut, 20.0)
         val (status, answer) = cluster.requestAndWait(cut, "POST", MachineRequests.DRAIN, """{"zone":"a"}""")
         assertEquals(503, status)
@@ -108,7 +108,7 @@
     }
 
     @Test
-    fun `the last machine that can hold a task is kept unless forced, and the reason names the job`() {
+    fun `a drain of the last machine that fits a task is refused unless forced, and the reason names the job`() {
         val cluster = SimulatedCluster(5, operator = operatorSettingsWithBalance())
         val guaranteed = cluster.job(1, 1, runSeconds = 60.0, team = "crew-x", zone = "a")
         val elsewhere = cluster.job(2, 1, runSeconds = 60.0, zone = "b")
@@ -119,7 +119,7 @@
         assertTrue("j-000001" in answer.path("error").asText(), answer.toString())
         assertEquals(200, cluster.requestAndWait(cluster.anyMember(), "POST", MachineRequests.DRAIN, """{"zone":"a","force":true}""").first)
         cluster.run(50.0)
-        assertEquals("draining", cluster.drainStateOf("zone/a"), "what does not save runs to its end")
+        assertEquals("draining", cluster.drainStateOf("zone/a"), "a task without checkpoints must run to its end")
         assertEquals(
             "does not save and may not be repeated",
             cluster
@@ -135,9 +135,9 @@
         assertEquals("drained", cluster.drainStateOf("zone/a"), cluster.recentLog())
     }
 
-    /** Guards the row of a slow machine: without it the next leader places there again until it has measured anew. */
+    /** Guards the drain row of a straggler: without it the next leader places tasks there until it has detected the straggler again. */
     @Test
-    fun `a machine left for being slow is not forgotten with its leader`() {
+    fun `a straggler stays drained when the leader that detected it crashes`() {
         val cluster = clusterWithBalance(6, members = 5)
         val jobs = cluster.submitAll((0 until 30).map { cluster.job(it, 10, runSeconds = 12.0) }, 15.0, everySeconds = 1.0)
         cluster.run(20.0)
@@ -166,9 +166,9 @@
         assertEquals(1, cluster.log.count { "straggler machine evicted machine=$slow " in it }, cluster.recentLog())
     }
 
-    /** Guards the row's own stamp: the fence lets every copy of the same leader through. */
+    /** Guards the condition on the row's own revision: the fence alone admits every delayed copy of the same leader's writes. */
     @Test
-    fun `copies of a drain's writes that come after its cancellation change nothing`() {
+    fun `delayed copies of a drain's writes that arrive after its cancellation change nothing`() {
         val cluster = clusterWithBalance(9)
         cluster.lateSeconds = 12.0
         cluster.onCall =
@@ -189,9 +189,9 @@
         }
     }
 
-    /** Guards the age of a request: it waits in a member that stands still, and whoever asked has given it up. */
+    /** Guards the maximum age of a request: it waits in a frozen member until its sender has given up. */
     @Test
-    fun `a drain that is carried on only after its cancellation changes nothing`() {
+    fun `a drain request that is processed only after the cancellation changes nothing`() {
         val cluster = clusterWithBalance(10)
         cluster.clock.after(20.0) { cluster.drainZone("a") }
         cluster.clock.after(30.0) {
@@ -204,9 +204,9 @@
         assertEquals("cancelled", cluster.drainStateOf("zone/a"), cluster.recentLog())
     }
 
-    /** Guards the wait for the cloud's list and the reports: a new leader knows of few machines at first, and not where they are. */
+    /** Guards the wait for the cloud's list and the heartbeats: at first a new leader knows few machines, and not their zones. */
     @Test
-    fun `a new leader does not call a zone drained while tasks run there`() {
+    fun `a new leader does not report a zone as drained while tasks run there`() {
         for (seed in 1..8) {
             val cluster = clusterWithBalance(seed, BalanceSettings(moves = MovePermission.NEVER), members = 5)
             val jobs = cluster.submitAll((0 until 10).map { cluster.checkpointingJob(it, 4, runSeconds = 50.0) }, 20.0)
@@ -220,7 +220,7 @@
     }
 
     @Test
-    fun `a drain by network covers machines that join later, and is not outrun by renting`() {
+    fun `a drain of a network covers machines that join later, and limits further rentals`() {
         val cluster = clusterWithBalance(7)
         val jobs = cluster.submitAll((0 until 20).map { cluster.checkpointingJob(it, 2, runSeconds = 10.0) }, 30.0, everySeconds = 3.0)
         cluster.run(25.0)
@@ -235,9 +235,9 @@
         assertTrue(cluster.cloud.requests.size - before < 60, "rentals: ${cluster.cloud.requests.size - before}")
     }
 
-    /** What the page says: while the version before, or one with balance off, leads, drains are not honoured, and not lost. */
+    /** While a member of the previous version or with balance switched off leads, drains are not applied, but are not lost either. */
     @Test
-    fun `members with and without balance serve together`() {
+    fun `drains survive while members with and without balance lead in turn`() {
         val cluster = clusterWithBalance(8) { if (it == "drover-0") OperatorSettings() else operatorSettingsWithBalance() }
         val jobs = cluster.submitAll((0 until 30).map { cluster.checkpointingJob(it, 3, runSeconds = 20.0) }, 15.0, everySeconds = 3.0)
         cluster.clock.after(30.0) { cluster.drainZone("a", { "drover-1" }) }
--- a/src/test/kotlin/burlridge/balance/HotspotMitigationTest.kt
+++ b/src/test/kotlin/burlridge/balance/HotspotMitigationTest.kt
@@ -11,7 +11,7 @@
 import org.junit.jupiter.api.Assertions.assertTrue
 import org.junit.jupiter.api.Test
 
-/** The picture of load, and what is done about machines that run hot. */
+/** Tests the load measurement and the mitigation of hot machines. */
 internal class HotspotMitigationTest {
     private val settings = BalanceSettings()
     private val machine = Machine("m-1", 0.0)
@@ -27,14 +27,14 @@
         isSilent: Boolean = false,
     ) = load(machine, isSilent, now)
 
-    /** Guards the two thresholds: one that hovers between them keeps the mark it has. */
+    /** Guards the hysteresis: a machine whose slowdown is between the two thresholds stays as it is. */
     @Test
-    fun `a machine becomes hot above one threshold and stays so until below another`() {
+    fun `a machine becomes hot above one threshold and stays hot until below the other`() {
         val loadTracker = LoadTracker(settings, halfLifeSeconds = 20.0)
         val job = job()
         assertEquals(LoadLevel.UNKNOWN, loadTracker.at(0.0))
         repeat(2) { loadTracker.recordCompleted("m-1", job, 20.0, 1.0) }
-        assertEquals(LoadLevel.UNKNOWN, loadTracker.at(1.0), "two samples say nothing")
+        assertEquals(LoadLevel.UNKNOWN, loadTracker.at(1.0), "two samples are too few")
         loadTracker.recordCompleted("m-1", job, 20.0, 2.0)
         assertEquals(LoadLevel.HOT, loadTracker.at(2.0))
         assertEquals(LoadLevel.UNKNOWN, loadTracker.at(2.0, isSilent = true), "a silent machine is neither idle nor hot")
@@ -46,9 +46,9 @@
         assertEquals(LoadLevel.NORMAL, loadTracker.at(5.0))
     }
 
-    /** Guards the end of a mark: nothing new may be learned of a machine that gets nothing new. */
+    /** Guards the decay of the hot mark: a machine that receives no new tasks may yield no new samples. */
     @Test
-    fun `a mark fades within the time after which a job must get what room there is`() {
+    fun `the hot mark decays within the time in which a job must be given existing capacity`() {
         val loadTracker = LoadTracker(settings, halfLifeSeconds = 20.0)
         repeat(50) { loadTracker.recordCompleted("m-1", job(), 1000.0, 1.0) }
         assertEquals(LoadLevel.HOT, loadTracker.at(2.0))
@@ -56,7 +56,7 @@
     }
 
     @Test
-    fun `absurd times teach nothing, and what is kept is bounded`() {
+    fun `implausible run times are ignored, and memory is bounded`() {
         val loadTracker = LoadTracker(settings, halfLifeSeconds = 20.0)
         listOf(Double.NaN, -5.0, 0.0, Double.POSITIVE_INFINITY, 1e9).forEach { wrong ->
             loadTracker.recordCompleted("m-1", job(), wrong, 1.0)
@@ -70,7 +70,7 @@
     }
 
     @Test
-    fun `a move must gain more than it surely costs`() {
+    fun `the net gain of a move is the counted part of the gross gain minus all costs`() {
         val gains =
             MoveGain(
                 remainingSeconds = 60.0,
@@ -87,7 +87,10 @@
         )
     }
 
-    /** Short tasks by which the pace is learned beside long ones; [hot] of the machines that run both are slow from then on. */
+    /**
+     * Runs short tasks, from which the run time of the job class is learned, beside long ones. From then on [slowCount] of the machines
+     * that run both are slow. Returns these machines and all jobs.
+     */
     private fun SimulatedCluster.startWithSlowMachines(
         slowness: Double,
         slowCount: Int,
@@ -119,7 +122,7 @@
         }
 
     @Test
-    fun `a hot machine gets nothing new and is relieved, whoever leads`() {
+    fun `tasks are moved off hot machines to others, also when the leader changes`() {
         for (seed in 1..4) {
             val small = mapOf("small" to MachineTypeSpec(4.0, 16.0, 6))
             val cluster = clusterWithBalance(seed, BalanceSettings(), if (seed % 2 == 0) 5 else 3, failover = seed % 2 == 0, types = small)
@@ -149,9 +152,9 @@
         }
     }
 
-    /** Guards the two bounds of the picture: a fleet that is slow throughout, and half of it unheard, tells nothing of any machine. */
+    /** Guards the two limits of the measurement: it is unreliable if the whole fleet is slow, or if half of it is silent. */
     @Test
-    fun `where much of the fleet looks hot, or a zone is cut off, nothing is moved for it`() {
+    fun `no task is moved if much of the fleet looks hot, and none to a partitioned zone`() {
         val cluster = clusterWithBalance(5, BalanceSettings())
         val (_, jobs) = cluster.startWithSlowMachines(slowness = 1.5, slowCount = 1)
         cluster.cloud.names().forEach { cluster.cloud.worker(it)?.slowness = 1.5 }
@@ -177,18 +180,18 @@
         partitionedCluster.assertNoViolations(others, BalanceSettings())
     }
 
-    /** Guards the room that is left for those who have nothing else: a mark must never keep a job waiting. */
+    /** Guards the use of hot machines as a last resort: a hot mark must never keep a job waiting. */
     @Test
-    fun `a job that fits nowhere else gets the hot machine in time`() {
+    fun `a job that fits nowhere else is placed on the hot machine in time`() {
         val cluster = clusterWithBalance(7, BalanceSettings(relieveHot = false))
         val (slowMachines, jobs) = cluster.startWithSlowMachines(slowness = 1.5, slowCount = 1)
         val other = cluster.cloud.names().filter { it !in slowMachines }
-        // All others are full for long.
+        // All other machines are full for a long time.
         val full = cluster.submitAll((200 until 230).map { cluster.checkpointingJob(it, 12, runSeconds = 200.0) }, 37.0, everySeconds = 0.1)
         cluster.run(320.0)
         assertTrue(other.isNotEmpty())
         assertEquals(emptyList<String>(), cluster.invariants.broken, cluster.recentLog())
-        assertTrue(cluster.history.starts.any { it.machine in slowMachines && it.at > 60.0 }, "it was never used again")
+        assertTrue(cluster.history.starts.any { it.machine in slowMachines && it.at > 60.0 }, "the hot machine was never used again")
         cluster.run(700.0)
         cluster.assertNoViolations(jobs + full, BalanceSettings())
     }
--- a/src/test/kotlin/burlridge/balance/MoveTest.kt
+++ b/src/test/kotlin/burlridge/balance/MoveTest.kt
@@ -11,9 +11,9 @@
 import org.junit.jupiter.api.Assertions.assertTrue
 import org.junit.jupiter.api.Test
 
-/** Moves of running tasks in the whole service, in virtual time, with leaders that fail at each step of them. */
+/** Tests moves of running tasks in a simulated cluster, in virtual time, with leaders that fail at each step of a move. */
 internal class MoveTest {
-    /** Steps of a move as they can be told from outside: what leaves the leader, or comes back to it. */
+    /** Steps of a move, each identified by the HTTP call that the leader makes for it. */
     private enum class Step(
         val matches: (Effect.HttpCall) -> Boolean,
     ) {
@@ -39,7 +39,10 @@
         }
     }
 
-    /** Strikes the leader at the first [step] after the drain, and its successor at the same step. */
+    /**
+     * Injects [fault] into the leader at its first [step] after the drain, and into its successor at the same step. Returns a function that
+     * counts the affected members.
+     */
     private fun injectFaultAt(
         cluster: SimulatedCluster,
         step: Step,
@@ -73,7 +76,7 @@
             }.map { it.path(3).asText() to it.path(0).asInt() }
 
     @Test
-    fun `each task is moved once, whatever befalls the leader and its successor at whichever step`() {
+    fun `each task is moved once if the leader and its successor fail at any step of the move`() {
         for (step in Step.entries) {
             for (fault in Fault.entries) {
                 val seed = step.ordinal * 10 + fault.ordinal
@@ -96,9 +99,9 @@
         }
     }
 
-    /** Guards the room that is kept: the tasks of a crowd that waits would take it. */
+    /** Guards the reserved capacity: without the reservation the many waiting tasks would take it. */
     @Test
-    fun `a moved task starts where room was kept for it, and nothing of its run is lost`() {
+    fun `a moved task starts on the machine with its reservation, and its progress is kept`() {
         val cluster = clusterWithBalance(1)
         val moved = cluster.checkpointingJob(1, 12, runSeconds = 60.0, cpus = 2.0)
         val waitingJobs =
@@ -125,11 +128,11 @@
             cluster.history.ran
                 .filter { it.task.startsWith(moved.id) }
                 .maxOf { it.until }
-        assertTrue(longest < 20.0 + 60.0 + 20.0, "a task was over only at $longest: its progress was lost")
+        assertTrue(longest < 20.0 + 60.0 + 20.0, "a task ended only at $longest: its progress was lost")
     }
 
     @Test
-    fun `a save that fails, or whose stop's answer is lost, costs work and nothing else`() {
+    fun `failed checkpoints and lost responses to stops cost repeated work and nothing else`() {
         val cluster = clusterWithBalance(2)
         cluster.savesFail = true
         val jobs = cluster.submitAll((0 until 6).map { cluster.checkpointingJob(it, 4) }, 20.0)
@@ -152,7 +155,7 @@
     }
 
     @Test
-    fun `the target is drained, and source and target are lost, in the middle of a move`() {
+    fun `tasks survive if targets are drained and sources and targets are lost in the middle of a move`() {
         for (seed in 1..6) {
             val cluster = clusterWithBalance(seed, members = 5)
             val jobs = cluster.submitAll((0 until 8).map { cluster.checkpointingJob(it, 4) }, 20.0)
@@ -181,9 +184,9 @@
         }
     }
 
-    /** A late copy of a report that still shows the task must neither start it twice nor stop it twice. */
+    /** Guards against a late copy of a heartbeat that still lists the task: it must neither start nor stop the task a second time. */
     @Test
-    fun `reports of the source that come a lease late change nothing`() {
+    fun `heartbeats of the source that arrive a lease late change nothing`() {
         val cluster = clusterWithBalance(3)
         cluster.copyAfter = { if (cluster.clock.now in 38.0..60.0) 2.0 + cluster.random.nextDouble() * 30 else null }
         val jobs = cluster.submitAll((0 until 8).map { cluster.checkpointingJob(it, 4) }, 20.0)
@@ -199,9 +202,9 @@
         )
     }
 
-    /** Guards the counting of rows of earlier leaders: a new one begins with what is left of the minute. */
+    /** Guards the charging of moves in the rows of earlier leaders: a new leader may use only what is left of the budget. */
     @Test
-    fun `budgets hold over all leaders together, and classes keep what is permitted`() {
+    fun `move budgets hold across leaders, and the permission of a job class is respected`() {
         val settings = EAGER_MOVES.copy(movesPerMinute = 6, movesPerTask = 1, classMoves = mapOf("urgent" to MovePermission.SAVED))
         val cluster = clusterWithBalance(4, settings)
         val jobs = cluster.submitAll((0 until 10).map { cluster.checkpointingJob(it, 4, runSeconds = 100.0) }, 20.0)
@@ -217,13 +220,13 @@
         assertTrue(cluster.history.stops.size >= 6, cluster.history.stops.toString())
         assertTrue(
             cluster.history.stops.none { it.task.startsWith(jobsWithoutCheckpoints.first().id) },
-            "what does not save runs to its end",
+            "a task without checkpoints must run to its end",
         )
         assertEquals("drained", cluster.drainStateOf("zone/a"), cluster.recentLog())
     }
 
     @Test
-    fun `a cancelled task's move ends with the cancellation`() {
+    fun `the move of a cancelled task ends with the cancellation`() {
         val cluster = clusterWithBalance(5)
         val jobs = cluster.submitAll((0 until 8).map { cluster.checkpointingJob(it, 4) }, 20.0)
         cluster.clock.after(40.0) { cluster.drainZone("a") }
@@ -236,7 +239,7 @@
     }
 
     @Test
-    fun `a gang is moved whole, or not`() {
+    fun `a gang is moved as a whole`() {
         for (seed in 1..4) {
             val cluster = clusterWithBalance(seed)
             val gangs = cluster.submitAll((0 until 4).map { cluster.gang(it, 3, runSeconds = 60.0) }, 20.0, everySeconds = 2.0)
@@ -246,18 +249,18 @@
             cluster.assertNoViolations(gangs)
             assertEquals("drained", cluster.drainStateOf("zone/a"), cluster.recentLog())
             val stops = cluster.history.stops.groupBy { it.task.substringBefore('/') }
-            assertTrue(stops.values.all { it.size == 3 }, "stopped in part: $stops")
+            assertTrue(stops.values.all { it.size == 3 }, "gang stopped only in part: $stops")
         }
     }
 
-    /** Guards the zones in which room is kept: tasks that wait must not take the places of those that move. */
+    /** Guards the zones of reservations: waiting tasks must not take the zone slots of tasks that are being moved. */
     @Test
-    fun `a spread job never crowds a zone while some of its tasks move there and others wait`() {
+    fun `a spread job never exceeds its share of a zone while some of its tasks move there and others wait`() {
         for (seed in 1..12) {
             val cluster = clusterWithBalance(seed, EAGER_MOVES.copy(finishReports = 0.0))
             val jobs = cluster.submitAll((0 until 10).map { cluster.checkpointingJob(it, 4).copy(spread = true) }, 20.0, everySeconds = 0.3)
             cluster.clock.after(40.0) { cluster.drainZone("a") }
-            // Its tasks in the other zone are lost while those in the drained one are told to stop.
+            // Tasks in the other zone are lost while those in the drained zone are being stopped.
             repeat(8) { turn ->
                 cluster.clock.after(40.0 + turn * 0.2) {
                     cluster.cloud
@@ -273,9 +276,9 @@
         }
     }
 
-    /** Guards the limit while a task counts in both places: room is kept only as far as its team may use it. */
+    /** Guards the quota while a task counts on both machines: capacity is reserved only within the quota of its team. */
     @Test
-    fun `a team at its limit is moved without room kept, and never exceeds it`() {
+    fun `tasks of a team at its quota are moved without a reservation, and the quota is never exceeded`() {
         val cluster = clusterWithBalance(6, EAGER_MOVES.copy(roomLeases = 0.2))
         val jobs = cluster.submitAll((0 until 14).map { cluster.checkpointingJob(it, 4, runSeconds = 50.0).copy(team = "crew-x") }, 20.0)
         cluster.clock.after(45.0) { cluster.drainZone("a") }
@@ -287,7 +290,7 @@
     }
 
     @Test
-    fun `damaged rows stop nothing but themselves and are shown`() {
+    fun `damaged rows affect only their own drain or move and are reported`() {
         val cluster = clusterWithBalance(7)
         val jobs = cluster.submitAll((0 until 6).map { cluster.checkpointingJob(it, 4) }, 20.0)
         listOf("drain/zone/b", "drain/machine/x", "move/9-9", "move/9-8").forEachIndexed { i, key ->
--- a/src/test/kotlin/burlridge/balance/OperatorActions.kt
+++ b/src/test/kotlin/burlridge/balance/OperatorActions.kt
@@ -13,9 +13,9 @@
 import com.fasterxml.jackson.databind.JsonNode
 import org.junit.jupiter.api.Assertions.assertEquals
 
-// What operators do in a simulated world, and what is expected of it in the end.
+// Operator requests in a simulated cluster, and the invariants that are checked at the end of a test.
 
-/** Tasks do not finish on drained machines but for what is about to end, so that there is something to move. */
+/** Settings with which almost all tasks on drained machines are moved: only those that end within half a heartbeat interval finish. */
 internal val EAGER_MOVES = BalanceSettings(finishReports = 0.5)
 
 internal fun operatorSettingsWithBalance(
@@ -23,7 +23,7 @@
     failover: Boolean = false,
 ) = OperatorSettings(balance = settings, failover = if (failover) FailoverSettings() else null)
 
-/** A fleet that does not shrink: no team is guaranteed anything, so all that the cloud gives is kept. */
+/** A cluster whose fleet does not shrink: no team has a guaranteed share, so all rented machines are kept. */
 internal fun clusterWithBalance(
     seed: Int,
     settings: BalanceSettings = EAGER_MOVES,
@@ -33,7 +33,7 @@
     operatorOf: (String) -> OperatorSettings = { operatorSettingsWithBalance(settings, failover) },
 ) = SimulatedCluster(seed, members = (0 until members).map { "drover-$it" }, types = types, guaranteed = 0.0, operatorOf = operatorOf)
 
-/** A job whose tasks save their progress when they are stopped. */
+/** Creates a job whose tasks save their progress when they are stopped. */
 internal fun SimulatedCluster.checkpointingJob(
     number: Int,
     tasks: Int,
@@ -55,7 +55,7 @@
     onResult: (status: Int, answer: JsonNode) -> Unit,
 ) = request("operator", member, method, path, body, 5.0) { status, text -> onResult(status, Json.parseOrNull(text) ?: Json.obj {}) }
 
-/** Asks until it is accepted, as an operator would, and holds the service to it from then on. */
+/** Requests a drain of [zone], repeats the request until it is accepted, and expects the drain to be honoured from then on. */
 internal fun SimulatedCluster.drainZone(
     zone: String,
     member: () -> String = ::anyMember,
@@ -70,7 +70,7 @@
     }
 }
 
-/** The service is held to the drain of [machine] from now on. */
+/** Expects from now on that nothing starts on [machine]. */
 internal fun SimulatedCluster.expectDrained(machine: String) {
     history.drained += ExecutionHistory.Drained({ it == machine }, clock.now)
 }
@@ -80,14 +80,14 @@
     member: () -> String = ::anyMember,
     onAccepted: () -> Unit = {},
 ) {
-    // From when it is asked on it may be carried out.
+    // The cancellation may take effect at any time after the request was sent.
     history.drained.forEach { it.until = minOf(it.until, clock.now) }
     sendRequest(member(), "POST", MachineRequests.UNDRAIN, """{"zone":"$zone","asked_ms":${nowMillis()}}""") { status, _ ->
         if (status == 200) onAccepted() else clock.after(1.0) { undrainZone(zone, member, onAccepted) }
     }
 }
 
-/** Asks [member] now and runs on until it answers. */
+/** Sends a request to [member] and runs the simulation until it responds. */
 internal fun SimulatedCluster.requestAndWait(
     member: String,
     method: String,
@@ -119,5 +119,5 @@
     assertEquals(emptyList<String>(), history.moveBreaches(settings.movesPerMinute, settings.movesPerTask), recentLog())
 }
 
-/** A start that has left begins once its image is there: two seconds at the most, and the news of the answer. */
+/** A start command sent before the drain takes effect after its image is fetched, at most two seconds, plus the time of the response. */
 private const val SLACK_SECONDS = 2.5
--- a/src/test/kotlin/burlridge/balance/SlowStartTest.kt
+++ b/src/test/kotlin/burlridge/balance/SlowStartTest.kt
@@ -10,11 +10,11 @@
 import org.junit.jupiter.api.Assertions.assertTrue
 import org.junit.jupiter.api.Test
 
-/** Machines that join in a burst, or come back with nothing on them, while leaders change. */
+/** Tests the slow start of machines that join during a burst, or restart empty, while leaders change. */
 internal class SlowStartTest {
     private val large = mapOf("big" to MachineTypeSpec(16.0, 64.0, 2))
 
-    /** A burst of tasks of a class without an aim for starting, there before the machines are. */
+    /** Creates a cluster with a burst of tasks before its machines join; by default of a class without an objective for start times. */
     private fun burst(
         seed: Int,
         isEnabled: Boolean,
@@ -27,7 +27,7 @@
         return cluster
     }
 
-    /** The most tasks that began on any machine within [seconds] of the first one there. */
+    /** Returns the largest number of tasks that started on one machine within [seconds] of its first start. */
     private fun SimulatedCluster.maxStartsOnOneMachine(seconds: Double): Int =
         history.starts
             .groupBy { it.machine }
@@ -35,14 +35,14 @@
             .maxOf { starts -> starts.count { it.at <= starts.first().at + seconds } }
 
     @Test
-    fun `machines that join share a burst, and one that has proved itself is not limited for long`() {
+    fun `a burst is spread over the machines that join, and their start limit soon ends`() {
         val unlimitedCluster = burst(1, isEnabled = false).also { it.run(40.0) }
-        assertEquals(16, unlimitedCluster.maxStartsOnOneMachine(2.0), "without it the first machines are filled at once")
+        assertEquals(16, unlimitedCluster.maxStartsOnOneMachine(2.0), "without slow start the first machines are filled immediately")
         for (seed in 1..4) {
             val cluster = burst(seed, isEnabled = true)
             cluster.run(40.0)
             assertTrue(cluster.maxStartsOnOneMachine(0.5) <= 8, "seed $seed: ${cluster.maxStartsOnOneMachine(0.5)}")
-            assertEquals(60, cluster.history.starts.size, "seed $seed: a part of the burst still waits\n${cluster.recentLog()}")
+            assertEquals(60, cluster.history.starts.size, "seed $seed: a part of the burst is still waiting\n${cluster.recentLog()}")
             val startsWith =
                 cluster.history.starts
                     .groupingBy { it.machine }
@@ -55,9 +55,9 @@
         }
     }
 
-    /** Guards the exemption: what is to start at once is never held back. */
+    /** Guards the exemption: tasks with an objective for start times are never delayed. */
     @Test
-    fun `a class with an aim for starting is not delayed`() {
+    fun `a job class with an objective for start times is not delayed`() {
         for (seed in 1..4) {
             val starts = { isEnabled: Boolean ->
                 burst(seed, isEnabled, "urgent")
@@ -72,7 +72,7 @@
     }
 
     @Test
-    fun `the next leader limits the same machines, and those that come back or die in their first fetch lose nothing`() {
+    fun `no task is lost if leaders change while new machines restart or are lost during their first fetch`() {
         for (seed in 1..8) {
             val cluster = burst(seed, isEnabled = true)
             val jobs =
@@ -95,9 +95,9 @@
         }
     }
 
-    /** Guards the cloud's age of a machine: to a new leader all machines are new. */
+    /** Guards the use of the rental time from the cloud's list: to a new leader all machines look new. */
     @Test
-    fun `a new leader does not take an old fleet for a cold one`() {
+    fun `a new leader does not limit starts on machines that have been up for long`() {
         val cluster = clusterWithBalance(9, BalanceSettings(), types = large)
         cluster.run(70.0)
         cluster.crash(cluster.leader() ?: error("no leader"), 20.0)
--- a/src/test/kotlin/burlridge/loopback/BalanceLoopbackTest.kt
+++ b/src/test/kotlin/burlridge/loopback/BalanceLoopbackTest.kt
@@ -9,12 +9,12 @@
 import java.io.File
 
 /**
- * Three real controllers, a third of whose machines is drained under load while the leader is killed and the next one frozen for longer
- * than a lease. What is asserted is what users were told and what ran where; the waits are bounds, never figures.
+ * Three real controllers: a third of the machines is drained under load while the leader is killed and the next one is frozen for longer
+ * than a lease. Asserts the responses to users and where tasks ran; the timeouts of waits are upper bounds, not measurements.
  */
 internal class BalanceLoopbackTest {
     @Test
-    fun `a drain of a third of the machines outlives a leader that is killed and one that is frozen`(
+    fun `a drain of a third of the machines survives a killed and a frozen leader`(
         @TempDir directory: File,
     ) {
         val config =
@@ -31,11 +31,11 @@
             cluster.onLoop {
                 repeat(JOB_COUNT) { i -> cluster.clock.after(i * 0.4) { cluster.submit(checkpointingJob(cluster, i)) } }
             }
-            await("jobs run") { cluster.onLoop { recentlyUsedMachines(cluster).size == DRAINED_MACHINE_COUNT }.takeIf { it } }
+            await("jobs are running") { cluster.onLoop { recentlyUsedMachines(cluster).size == DRAINED_MACHINE_COUNT }.takeIf { it } }
             val drainedMachines = cluster.onLoop { recentlyUsedMachines(cluster) }
             cluster.onLoop { drainedMachines.forEach { drain(cluster, it) } }
             await("the drains are accepted") { cluster.onLoop { cluster.history.drained.size == drainedMachines.size }.takeIf { it } }
-            // However slow this machine is, the tasks run for long enough that some are still there to be moved.
+            // The tasks run for long enough that some are left to be moved even if the test host is slow.
             await("the first move") { cluster.onLoop { cluster.history.stops.isNotEmpty() }.takeIf { it } }
             val firstLeader = leaderOf(cluster)
             cluster.process(firstLeader).kill()
@@ -43,9 +43,11 @@
             cluster.process(firstLeader).start()
             cluster.process(secondLeader).freeze()
             await("a leader after the freeze") { leaderOrNull(cluster)?.takeIf { it != secondLeader } }
-            await("the drained machines are gone") { cluster.onLoop { cluster.cloud.names().none { it in drainedMachines } }.takeIf { it } }
+            await(
+                "the drained machines are returned",
+            ) { cluster.onLoop { cluster.cloud.names().none { it in drainedMachines } }.takeIf { it } }
             cluster.process(secondLeader).resume()
-            await("all jobs are over") { cluster.onLoop { cluster.unfinished.isEmpty() && cluster.jobs.size == JOB_COUNT }.takeIf { it } }
+            await("all jobs have ended") { cluster.onLoop { cluster.unfinished.isEmpty() && cluster.jobs.size == JOB_COUNT }.takeIf { it } }
             await("all controllers answer") { cluster.controllers.all { it.isUp }.takeIf { it } }
             cluster.onLoop { cluster.queryAllControllers() }
             val breaches =
@@ -57,7 +59,7 @@
         }
     }
 
-    /** The machines on which something started last. */
+    /** Returns the machines on which tasks started most recently. */
     private fun recentlyUsedMachines(cluster: LoopbackCluster): List<String> =
         cluster.history.starts
             .reversed()
@@ -70,7 +72,7 @@
         number: Int,
     ) = cluster.job(number, 1 + number % 3, runSeconds = 20.0 + number % 5).copy(checkpointIntervalSeconds = 1.0, saveSeconds = 0.3)
 
-    /** Asks until it is accepted, as an operator would. */
+    /** Requests the drain of [machine], and repeats the request until it is accepted. */
     private fun drain(
         cluster: LoopbackCluster,
         machine: String,
@@ -102,7 +104,7 @@
         const val RESPONSE_TIMEOUT_SECONDS = 5.0
         const val OK = 200
 
-        /** Commands and answers of a busy machine take their time, and a fetch two seconds. */
+        /** Allows for slow commands and responses on a busy host, and two seconds for a fetch. */
         const val SLACK_SECONDS = 6.0
     }
 }
