--- a/src/main/kotlin/burlridge/allocation/AllocationBatchCleaner.kt
+++ b/src/main/kotlin/burlridge/allocation/AllocationBatchCleaner.kt
@@ -25,7 +25,7 @@
             it.obsoleteSince = context.now
             batches.reusable.addLast(it)
         }
-        val unused = batches.reusable.takeWhile { isDueForRemoval(it) }.take(context.settings.store.changesPerTransaction)
+        val unused = batches.reusable.takeWhile { isDueForRemoval(it) }.take(context.settings.storeLimits.changesPerTransaction)
         if (unused.isNotEmpty()) remove(unused)
         batches.all
             .filter { it.isStale && it.modRevision > 0 && !it.isWriting && it.obsoleteSince == null }
--- a/src/main/kotlin/burlridge/allocation/AllocationBatchWriter.kt
+++ b/src/main/kotlin/burlridge/allocation/AllocationBatchWriter.kt
@@ -38,7 +38,7 @@
     fun clear() {
         nextSequenceNumber = 0
         pendingBatches = 0
-        val limits = context.settings.store
+        val limits = context.settings.storeLimits
         val maxJobConditions = limits.changesPerTransaction * TransactionLimits.CONDITIONS_PER_CHANGE - OWN_CONDITIONS
         maxAllocationsPerBatch = (limits.valueBytes / BYTES_PER_ALLOCATION).coerceAtLeast(1)
         maxJobsPerBatch = minOf(maxJobConditions, limits.valueBytes / BYTES_PER_JOB).coerceAtLeast(1)
--- a/src/main/kotlin/burlridge/allocation/JobFinisher.kt
+++ b/src/main/kotlin/burlridge/allocation/JobFinisher.kt
@@ -29,7 +29,10 @@
         val id = job.spec.id
         val row = finishedRow(job, jobState)
         // Progress rows beyond the transaction's limit on changes are removed afterwards, or by a later leader that finds them.
-        val removedKeys = job.progressRevisions.keys.take((context.settings.store.changesPerTransaction - OWN_CHANGES).coerceAtLeast(0))
+        val removedKeys =
+            job.progressRevisions.keys.take(
+                (context.settings.storeLimits.changesPerTransaction - OWN_CHANGES).coerceAtLeast(0),
+            )
         val ownChanges =
             listOf(Change.Delete(ActiveJobRow.key(id)), Change.Put(FinishedJobRow.key(id), JobRowCodec.encodeFinished(row)))
         fenced.commit(
--- a/src/main/kotlin/burlridge/allocation/ProgressWriter.kt
+++ b/src/main/kotlin/burlridge/allocation/ProgressWriter.kt
@@ -21,7 +21,7 @@
     private val leadership: Leadership,
 ) {
     private val fenced = FencedStore(store, leadership)
-    private val codec = ProgressCodec(context.settings.store.valueBytes)
+    private val codec = ProgressCodec(context.settings.storeLimits.valueBytes)
 
     /** Keys of the progress rows of ended jobs that are still to be removed. */
     private val orphanedKeys = LinkedHashSet<String>()
@@ -57,7 +57,7 @@
     /** Removes as many progress rows of ended jobs as fit into one transaction. */
     fun removeOrphanedRows() {
         if (orphanedKeys.isEmpty()) return
-        val removed = orphanedKeys.take(context.settings.store.changesPerTransaction)
+        val removed = orphanedKeys.take(context.settings.storeLimits.changesPerTransaction)
         orphanedKeys -= removed.toSet()
         fenced.commit(emptyList(), removed.map { Change.Delete(it) }, RequestPriority.CLEANUP) { result ->
             if (result !is TransactionResult.Committed) fenced.stepDown()
--- a/src/main/kotlin/burlridge/api/GangAdmission.kt
+++ b/src/main/kotlin/burlridge/api/GangAdmission.kt
@@ -28,15 +28,15 @@
     ) {
         val id = body.jobId
         when {
-            context.settings.workers.gang == null -> refuse(id, HttpResponse.error(HttpStatus.BAD_REQUEST, NO_GANGS), respond)
+            context.settings.workers.gang == null -> refuse(id, HttpResponse.error(HttpStatus.BAD_REQUEST, GANGS_NOT_ENABLED), respond)
             gangGate.allMembersSupportGangs || isKnown(id) -> onAdmitted()
-            else -> gangGate.check { onSupport(it, id, respond, onAdmitted) }
+            else -> gangGate.check { onSupportChecked(it, id, respond, onAdmitted) }
         }
     }
 
     private fun isKnown(id: String?): Boolean = id != null && (registry.finishedJob(id) != null || registry.jobs.containsKey(id))
 
-    private fun onSupport(
+    private fun onSupportChecked(
         support: GangSupport,
         id: String?,
         respond: (HttpResponse) -> Unit,
@@ -44,7 +44,7 @@
     ) {
         when (support) {
             GangSupport.ALL_MEMBERS -> onAdmitted()
-            GangSupport.NOT_ALL_MEMBERS -> refuse(id, HttpResponse.unavailable(NOT_ALL_MEMBERS, retryAfterSeconds), respond)
+            GangSupport.NOT_ALL_MEMBERS -> refuse(id, HttpResponse.unavailable(NOT_ALL_MEMBERS_SUPPORT_GANGS, retryAfterSeconds), respond)
             GangSupport.UNKNOWN -> respond(responses.storeUnavailable())
         }
     }
@@ -58,7 +58,7 @@
     }
 
     private companion object {
-        const val NO_GANGS = "this deployment serves no gangs: params.workers sets no gang times"
-        const val NOT_ALL_MEMBERS = "not every member knows gangs yet"
+        const val GANGS_NOT_ENABLED = "this deployment serves no gangs: params.workers sets no gang times"
+        const val NOT_ALL_MEMBERS_SUPPORT_GANGS = "not every member knows gangs yet"
     }
 }
--- a/src/main/kotlin/burlridge/api/JobCancellation.kt
+++ b/src/main/kotlin/burlridge/api/JobCancellation.kt
@@ -35,8 +35,8 @@
         registry.finishedJob(id)?.let { return respond(responses.state(id, it.jobState)) }
         val leader = leadership.knownLeader
         when {
-            lookup.isDeciding -> {
-                cancelHere(id, respond)
+            lookup.mayDecide -> {
+                cancelLocally(id, respond)
             }
 
             isForwarded || leadership.isLeader || leader == null || leader == context.settings.member -> {
@@ -54,13 +54,13 @@
         id: String,
         respond: (HttpResponse) -> Unit,
     ) {
-        peers.forward(leader, "POST", "${JobApi.PATH}/$id/abort", "", TIMEOUT_SECONDS) { response ->
+        peers.forward(leader, "POST", "${JobApi.PATH}/$id/abort", "", FORWARD_TIMEOUT_SECONDS) { response ->
             response?.let { lookup.recordEnd(id, it) }
             respond(response ?: HttpResponse.unavailable("the leader does not answer"))
         }
     }
 
-    private fun cancelHere(
+    private fun cancelLocally(
         id: String,
         respond: (HttpResponse) -> Unit,
     ) {
@@ -83,7 +83,7 @@
         row: Row,
         respond: (HttpResponse) -> Unit,
     ) {
-        val job = if (leadership.term == term && lookup.isDeciding) registry.admit(row) else null
+        val job = if (leadership.term == term && lookup.mayDecide) registry.admit(row) else null
         if (job != null) return cancel(job, respond)
         respond(registry.finishedJob(id)?.let { responses.state(id, it.jobState) } ?: HttpResponse.unavailable("try again"))
     }
@@ -107,9 +107,9 @@
 
     private companion object {
         /** How long a member waits for the leader. */
-        const val TIMEOUT_SECONDS = 1.5
+        const val FORWARD_TIMEOUT_SECONDS = 1.5
 
         /** How long the leader waits for the end to be durable, so that its answer comes in time. */
-        const val END_WAIT_SECONDS = TIMEOUT_SECONDS * 0.8
+        const val END_WAIT_SECONDS = FORWARD_TIMEOUT_SECONDS * 0.8
     }
 }
--- a/src/main/kotlin/burlridge/api/JobLookup.kt
+++ b/src/main/kotlin/burlridge/api/JobLookup.kt
@@ -16,7 +16,7 @@
     var isLoaded: Boolean = false
 
     /** Whether this member decides on jobs: it leads, and has read all rows. */
-    val isDeciding: Boolean get() = isLoaded && leadership.holdsLease
+    val mayDecide: Boolean get() = isLoaded && leadership.holdsLease
 
     /**
      * Whether the end of [id] may be durable without this leader knowing. Other members may read it and report it, so until it is
@@ -32,21 +32,21 @@
             ) {
                 responses.state(spec.id, it.jobState)
             } else {
-                taken(spec)
+                idTaken(spec)
             }
         }
-        if (!isDeciding || isEndUncertain(spec.id)) return null
+        if (!mayDecide || isEndUncertain(spec.id)) return null
         val job = registry.jobs[spec.id] ?: return null
-        return if (job.spec.fingerprint == spec.fingerprint) responses.state(spec.id, job.jobState) else taken(spec)
+        return if (job.spec.fingerprint == spec.fingerprint) responses.state(spec.id, job.jobState) else idTaken(spec)
     }
 
-    private fun taken(spec: JobSpec): HttpResponse = responses.idTaken(spec.id)
+    private fun idTaken(spec: JobSpec): HttpResponse = responses.idTaken(spec.id)
 
     /** The answer to a query of [id] that this member can give by itself; null where it cannot. */
     fun responseToQuery(id: String): HttpResponse? {
         registry.finishedJob(id)?.let { return responses.finished(id, it) }
         val job = registry.jobs[id] ?: return null
-        return if (isDeciding && !job.isEndUncertain) responses.progress(job) else null
+        return if (mayDecide && !job.isEndUncertain) responses.progress(job) else null
     }
 
     /** Remembers that [id] has ended, where the [response] of another member says so. */
--- a/src/main/kotlin/burlridge/api/JobQuery.kt
+++ b/src/main/kotlin/burlridge/api/JobQuery.kt
@@ -28,7 +28,7 @@
         if (!JobSpec.isValidId(id)) return respond(responses.notFound())
         lookup.responseToQuery(id)?.let { return respond(it) }
         val target = if (leadership.isLeader) peers.memberReachingStore() else leadership.knownLeader ?: peers.memberReachingStore()
-        val mustReadRows = isForwarded || (lookup.isDeciding && lookup.isEndUncertain(id))
+        val mustReadRows = isForwarded || (lookup.mayDecide && lookup.isEndUncertain(id))
         if (mustReadRows || target == null || target == context.settings.member) return queryRows(id, respond)
         peers.forward(target, "GET", "${JobApi.PATH}/$id", "", FORWARD_TIMEOUT_SECONDS) { response ->
             if (response == null || response.status == HttpStatus.SERVICE_UNAVAILABLE) {
--- a/src/main/kotlin/burlridge/api/JobSubmission.kt
+++ b/src/main/kotlin/burlridge/api/JobSubmission.kt
@@ -57,7 +57,7 @@
         val peer = if (isForwarded) null else peers.memberReachingStore()
         when {
             peer == null -> {
-                submitHere(body, isForwarded, respond)
+                submitLocally(body, isForwarded, respond)
             }
 
             !store.isServing -> {
@@ -67,7 +67,7 @@
             }
 
             else -> {
-                submitHere(body, isForwarded = false) { first ->
+                submitLocally(body, isForwarded = false) { first ->
                     if (first.status == HttpStatus.SERVICE_UNAVAILABLE) {
                         forward(peer, body, FORWARD_TIMEOUT_SECONDS) { respond(it ?: first) }
                     } else {
@@ -85,7 +85,7 @@
         onResponse: (HttpResponse?) -> Unit,
     ) = peers.forward(member, "POST", JobApi.PATH, body, timeoutSeconds, onResult = onResponse)
 
-    private fun submitHere(
+    private fun submitLocally(
         body: String,
         isForwarded: Boolean,
         respond: (HttpResponse) -> Unit,
@@ -99,7 +99,7 @@
                 return refuseInvalid(parsed.jobId, e, respond)
             }
         val known = lookup.responseToSubmission(spec)
-        val refusal = if (known == null) refusalOf(spec) else null
+        val refusal = if (known == null) refusalFor(spec) else null
         when {
             known != null -> respond(known)
             refusal != null -> lookup.refuseUnlessStored(spec.id, spec.fingerprint, refusal, respond)
@@ -118,12 +118,12 @@
     }
 
     /** The answer to a new job that cannot be accepted, now or ever; null where it can. */
-    private fun refusalOf(spec: JobSpec): HttpResponse? {
+    private fun refusalFor(spec: JobSpec): HttpResponse? {
         if (lookup.isEndUncertain(spec.id)) return HttpResponse.unavailable("its end is being written")
         val catalog = fleet.catalog ?: return HttpResponse.unavailable("the machine types are not known yet")
-        return when (val verdict = validation.validate(spec, catalog)) {
-            JobVerdict.Runnable -> null
-            is JobVerdict.NeverRuns -> HttpResponse.error(HttpStatus.UNPROCESSABLE, verdict.reason)
+        return when (val feasibility = validation.validate(spec, catalog)) {
+            JobFeasibility.Feasible -> null
+            is JobFeasibility.Infeasible -> HttpResponse.error(HttpStatus.UNPROCESSABLE, feasibility.reason)
         }
     }
 
--- a/src/main/kotlin/burlridge/api/JobValidation.kt
+++ b/src/main/kotlin/burlridge/api/JobValidation.kt
@@ -10,14 +10,14 @@
 import com.fasterxml.jackson.databind.JsonNode
 
 /** Whether a job could ever run. */
-internal sealed interface JobVerdict {
+internal sealed interface JobFeasibility {
     /** Some machine type can run it, and its team may. */
-    data object Runnable : JobVerdict
+    data object Feasible : JobFeasibility
 
     /** No state of the cluster would let it run; [reason] is for its owner. */
-    data class NeverRuns(
+    data class Infeasible(
         val reason: String,
-    ) : JobVerdict
+    ) : JobFeasibility
 }
 
 /** Checks whether a job could ever run; the verdict is the same for every repetition of its submission. */
@@ -29,12 +29,12 @@
     fun validate(
         spec: JobSpec,
         catalog: Catalog,
-    ): JobVerdict {
-        val reason = reasonAgainst(spec, catalog)
-        return if (reason == null) JobVerdict.Runnable else JobVerdict.NeverRuns(reason)
+    ): JobFeasibility {
+        val reason = infeasibilityReason(spec, catalog)
+        return if (reason == null) JobFeasibility.Feasible else JobFeasibility.Infeasible(reason)
     }
 
-    private fun reasonAgainst(
+    private fun infeasibilityReason(
         spec: JobSpec,
         catalog: Catalog,
     ): String? {
@@ -44,12 +44,12 @@
             team.gpusMax > 0 && spec.taskResources.gpus > team.gpusMax -> "a task needs more GPUs than the limit of ${team.name}"
             catalog.eligibleTypes(spec).isEmpty() -> "a task fits no allowed machine type"
             !store.fitsValueLimit(activeRow(spec)) -> "the description is longer than the state service takes"
-            spec.gang -> reasonAgainstGang(spec, team, catalog)
+            spec.gang -> gangInfeasibilityReason(spec, team, catalog)
             else -> null
         }
     }
 
-    private fun reasonAgainstGang(
+    private fun gangInfeasibilityReason(
         spec: JobSpec,
         team: Team,
         catalog: Catalog,
--- a/src/main/kotlin/burlridge/app/Main.kt
+++ b/src/main/kotlin/burlridge/app/Main.kt
@@ -15,8 +15,8 @@
 
 private fun reportValidSettings(settings: Settings) {
     val gangs = if (settings.workers.gang == null) "no gangs are served" else "gangs are served once all members know them"
-    val value = settings.store.valueBytes
-    println("settings of ${settings.member} are fine: ${settings.controllers} members; $gangs; at most $value bytes a value")
+    val value = settings.storeLimits.valueBytes
+    println("settings of ${settings.member} are fine: ${settings.controllerCount} members; $gangs; at most $value bytes a value")
 }
 
 private fun administer(
--- a/src/main/kotlin/burlridge/app/Service.kt
+++ b/src/main/kotlin/burlridge/app/Service.kt
@@ -31,8 +31,9 @@
     private val loop = EventLoop()
     private val scope =
         CoroutineScope(loop + SupervisorJob() + CoroutineExceptionHandler { _, unexpected -> log.error("coroutine failed", unexpected) })
-    private val budget = ConnectionBudget(settings.limits.maxConnections)
-    private val client = HttpClient(loop, scope, budget.commands, budget.kept, setOf(settings.state, settings.cloud), settings.state)
+    private val budget = ConnectionBudget(settings.processLimits.maxConnections)
+    private val client =
+        HttpClient(loop, scope, budget.commands, budget.kept, setOf(settings.stateEndpoint, settings.cloudEndpoint), settings.stateEndpoint)
     private val server = HttpServer(loop, budget, settings.workers.reportSeconds * IDLE_REPORTS) { step(it) }
     private val metrics = Metrics()
     private val peers = PeerTransport(settings, loop, metrics::unknownPeerMessage) { step(Input.MessageReceived(it)) }
@@ -40,7 +41,7 @@
     private var metricsLoggedAt = 0L
     private val failover = settings.operator.failover
     private val tracer = failover?.traceFile?.let { LeaderChangeTracer(File(it), settings.member) }
-    private val shutdown = if (failover == null) null else OrderlyShutdown(failover.drainPatienceSeconds(settings))
+    private val shutdown = if (failover == null) null else OrderlyShutdown(failover.drainTimeoutSeconds(settings))
 
     /** Runs the controller until the process is killed. */
     fun run() {
@@ -119,7 +120,7 @@
             }
 
             is Effect.HttpCall -> {
-                val context = if (effect.target == settings.state) loop.urgent else EmptyCoroutineContext
+                val context = if (effect.target == settings.stateEndpoint) loop.urgent else EmptyCoroutineContext
                 scope.launch(context) { step(Input.CallCompleted(effect.callId, client.call(effect))) }
             }
 
--- a/src/main/kotlin/burlridge/app/SettingsFiles.kt
+++ b/src/main/kotlin/burlridge/app/SettingsFiles.kt
@@ -20,7 +20,7 @@
     private fun operatorSettings(
         text: String,
         platform: Settings,
-    ): OperatorSettings = OperatorSettings.parse(text).also { it.balance?.check(platform) }
+    ): OperatorSettings = OperatorSettings.parse(text).also { it.balance?.validate(platform) }
 
     private fun <T> load(
         file: String,
--- a/src/main/kotlin/burlridge/balance/Balance.kt
+++ b/src/main/kotlin/burlridge/balance/Balance.kt
@@ -24,7 +24,7 @@
     private val workers = dependencies.workers
     private val index = DrainIndex()
     private val drains: DrainRegistry = DrainRegistry(context, dependencies.store, dependencies.leadership, ::rebuildIndex)
-    private val decisions = DecisionLog(context, settings.decisions)
+    private val decisions = DecisionLog(context, settings.maxDecisions)
     private val moves =
         MoveExecutor(context, settings, dependencies.store, dependencies.leadership, dependencies.registry, workers, decisions)
     private val eviction =
--- a/src/main/kotlin/burlridge/balance/GracefulEviction.kt
+++ b/src/main/kotlin/burlridge/balance/GracefulEviction.kt
@@ -26,7 +26,7 @@
     private val targets: () -> MoveTargetFinder,
 ) {
     private val finishSeconds = settings.finishReports * context.settings.workers.reportSeconds
-    private val capacityWaitSeconds = settings.roomLeases * context.settings.workers.leaseSeconds
+    private val capacityWaitSeconds = settings.capacityWaitLeases * context.settings.workers.leaseSeconds
 
     /** Since when each task has found no capacity elsewhere, by task name. */
     private var withoutTargetSince = HashMap<String, Double>()
--- a/src/main/kotlin/burlridge/balance/MoveBatchWriter.kt
+++ b/src/main/kotlin/burlridge/balance/MoveBatchWriter.kt
@@ -70,7 +70,7 @@
 
     /** Removes the rows of batches that nobody needs any more. */
     fun removeUnused(isNeeded: (MoveBatch) -> Boolean) {
-        val unused = moves.allBatches.filterNot(isNeeded).take(context.settings.store.changesPerTransaction)
+        val unused = moves.allBatches.filterNot(isNeeded).take(context.settings.storeLimits.changesPerTransaction)
         if (unused.isEmpty()) return
         unused.forEach { it.removing = true }
         val transaction = Transaction(listOf(leadership.fenceCondition()), unused.map { Change.Delete(it.key) })
--- a/src/main/kotlin/burlridge/balance/MoveExecutor.kt
+++ b/src/main/kotlin/burlridge/balance/MoveExecutor.kt
@@ -30,7 +30,7 @@
 ) {
     private val moves = MoveRegistry(context, settings)
     private val writer = MoveBatchWriter(context, store, leadership, moves, ::onDurable)
-    private val reservationMillis = (settings.keepLeases * context.settings.workers.leaseSeconds * MILLIS_PER_SECOND).toLong()
+    private val reservationMillis = (settings.reservationLeases * context.settings.workers.leaseSeconds * MILLIS_PER_SECOND).toLong()
 
     /** Keys of rows that cannot be read; they are left as they are. */
     val damaged: Set<String> get() = moves.damaged
@@ -45,7 +45,7 @@
     val spentLately: Int get() = moves.spentLately
 
     /** How many moves one row holds. */
-    val maxMovesPerRow: Int = (context.settings.store.valueBytes / MoveBatch.BYTES_PER_MOVE).coerceAtLeast(1)
+    val maxMovesPerRow: Int = (context.settings.storeLimits.valueBytes / MoveBatch.BYTES_PER_MOVE).coerceAtLeast(1)
 
     /** Forgets everything: a new term begins, or this one has ended. */
     fun clear() {
--- a/src/main/kotlin/burlridge/core/LogRateLimiter.kt
+++ b/src/main/kotlin/burlridge/core/LogRateLimiter.kt
@@ -8,7 +8,7 @@
     private var windowEndsAt = 0.0
 
     /** Whether one more line of [kind] may be logged at [now]; lines that may not are counted. */
-    fun admits(
+    fun tryAcquire(
         kind: String,
         now: Double,
     ): Boolean {
--- a/src/main/kotlin/burlridge/core/ScheduledActions.kt
+++ b/src/main/kotlin/burlridge/core/ScheduledActions.kt
@@ -5,28 +5,29 @@
 /** Actions that wait for their time; those due at the same time run in the order in which they were scheduled. */
 internal class ScheduledActions {
     private class ScheduledAction(
-        val at: Double,
-        val order: Long,
+        val dueAt: Double,
+        val sequenceNumber: Long,
         val action: () -> Unit,
     ) : Comparable<ScheduledAction> {
-        override fun compareTo(other: ScheduledAction): Int = compareValuesBy(this, other, ScheduledAction::at, ScheduledAction::order)
+        override fun compareTo(other: ScheduledAction): Int =
+            compareValuesBy(this, other, ScheduledAction::dueAt, ScheduledAction::sequenceNumber)
     }
 
     private val queue = PriorityQueue<ScheduledAction>()
-    private var nextOrder = 0L
+    private var nextSequenceNumber = 0L
 
-    /** Schedules [action] for the time [at], in seconds of the steady clock. */
+    /** Schedules [action] for the time [dueAt], in seconds of the steady clock. */
     fun add(
-        at: Double,
+        dueAt: Double,
         action: () -> Unit,
     ) {
-        queue.add(ScheduledAction(at, nextOrder++, action))
+        queue.add(ScheduledAction(dueAt, nextSequenceNumber++, action))
     }
 
     /** Runs all actions that are due at [now], including those that they schedule for [now] themselves. */
     fun runDue(now: Double) {
         while (true) {
-            val due = queue.peek()?.takeIf { it.at <= now } ?: return
+            val due = queue.peek()?.takeIf { it.dueAt <= now } ?: return
             queue.poll()
             due.action()
         }
--- a/src/main/kotlin/burlridge/core/StepContext.kt
+++ b/src/main/kotlin/burlridge/core/StepContext.kt
@@ -133,7 +133,7 @@
         event: String,
         vararg details: Pair<String, Any?>,
     ) {
-        if (logRateLimiter.admits(event, now)) info(event, *details)
+        if (logRateLimiter.tryAcquire(event, now)) info(event, *details)
     }
 
     /** Logs [event], a fixed phrase, with its [details] as `key=value`. */
--- a/src/main/kotlin/burlridge/failover/Failover.kt
+++ b/src/main/kotlin/burlridge/failover/Failover.kt
@@ -44,7 +44,7 @@
             context,
             store,
             prefixes,
-            (context.settings.limits.memoryMb * BYTES_PER_MB * settings.replicaPart).toLong(),
+            (context.settings.processLimits.memoryMb * BYTES_PER_MB * settings.replicaMemoryShare).toLong(),
             context.settings.workers.reportSeconds * settings.refreshReports,
         )
     private val handovers = HandoverCoordinator(context, settings, store, leadership, cluster, controller, ::trace)
--- a/src/main/kotlin/burlridge/fleet/CloudApi.kt
+++ b/src/main/kotlin/burlridge/fleet/CloudApi.kt
@@ -38,14 +38,14 @@
     ) {
         val from = if (afterId == null) "" else "from=$afterId&"
         val path = "$RENTALS_PATH?${from}limit=$limit"
-        context.call(context.settings.cloud, "GET", path, null, TIMEOUT_SECONDS) { outcome ->
+        context.call(context.settings.cloudEndpoint, "GET", path, null, TIMEOUT_SECONDS) { outcome ->
             onResult(bodyOfOk(outcome)?.let { MachinePage.decode(it) })
         }
     }
 
     /** Reads the catalog of machine types; [onResult] receives null if there is no answer or no valid catalog. */
     fun readCatalog(onResult: (CatalogRow?) -> Unit) {
-        context.call(context.settings.cloud, "GET", CATALOG_PATH, null, TIMEOUT_SECONDS) { outcome ->
+        context.call(context.settings.cloudEndpoint, "GET", CATALOG_PATH, null, TIMEOUT_SECONDS) { outcome ->
             onResult(bodyOfOk(outcome)?.let { CatalogRow.decode(it) })
         }
     }
@@ -56,7 +56,7 @@
         onResult: (RentResult) -> Unit,
     ) {
         val body = CloudApiCodec.rentRequest(rental)
-        context.call(context.settings.cloud, "POST", RENTALS_PATH, body, TIMEOUT_SECONDS, leadership.commandDeadline) { outcome ->
+        context.call(context.settings.cloudEndpoint, "POST", RENTALS_PATH, body, TIMEOUT_SECONDS, leadership.commandDeadline) { outcome ->
             onResult(rentResultOf(outcome))
         }
     }
@@ -81,7 +81,7 @@
     ) {
         val body = CloudApiCodec.returnRequest(ids)
         context.call(
-            context.settings.cloud,
+            context.settings.cloudEndpoint,
             "POST",
             RETURN_PATH,
             body,
--- a/src/main/kotlin/burlridge/json/Json.kt
+++ b/src/main/kotlin/burlridge/json/Json.kt
@@ -111,25 +111,25 @@
     private class TreeReader(
         private val parser: JsonParser,
     ) {
-        private val open = ArrayDeque<ContainerNode<*>>()
-        private var name = ""
+        private val openContainers = ArrayDeque<ContainerNode<*>>()
+        private var fieldName = ""
 
         fun read(): JsonNode {
             while (true) {
-                val done = take(parser.currentToken())
-                if (done != null && open.isEmpty()) return done
+                val completed = consume(parser.currentToken())
+                if (completed != null && openContainers.isEmpty()) return completed
                 // The parser itself refuses an end of the text within a value.
                 parser.nextToken()
             }
         }
 
         /** Takes one token; the node that it completes, if any. */
-        private fun take(token: JsonToken): JsonNode? {
+        private fun consume(token: JsonToken): JsonNode? {
             when (token) {
-                JsonToken.FIELD_NAME -> name = parser.currentName()
-                JsonToken.START_OBJECT -> open.addLast(attach(nodes.objectNode()))
-                JsonToken.START_ARRAY -> open.addLast(attach(nodes.arrayNode()))
-                JsonToken.END_OBJECT, JsonToken.END_ARRAY -> return open.removeLast()
+                JsonToken.FIELD_NAME -> fieldName = parser.currentName()
+                JsonToken.START_OBJECT -> openContainers.addLast(attach(nodes.objectNode()))
+                JsonToken.START_ARRAY -> openContainers.addLast(attach(nodes.arrayNode()))
+                JsonToken.END_OBJECT, JsonToken.END_ARRAY -> return openContainers.removeLast()
                 else -> return attach(scalar(token))
             }
             return null
@@ -137,8 +137,8 @@
 
         /** Puts [node] into the container that is being read; of a field that stands twice the last one counts. */
         private fun <T : JsonNode> attach(node: T): T {
-            when (val parent = open.lastOrNull()) {
-                is ObjectNode -> parent.replace(name, node)
+            when (val parent = openContainers.lastOrNull()) {
+                is ObjectNode -> parent.replace(fieldName, node)
                 is ArrayNode -> parent.add(node)
                 else -> Unit
             }
@@ -148,7 +148,7 @@
         private fun scalar(token: JsonToken): JsonNode =
             when (token) {
                 JsonToken.VALUE_STRING -> nodes.textNode(parser.text)
-                JsonToken.VALUE_NUMBER_INT -> whole()
+                JsonToken.VALUE_NUMBER_INT -> integer()
                 JsonToken.VALUE_NUMBER_FLOAT -> nodes.numberNode(parser.doubleValue)
                 JsonToken.VALUE_TRUE -> nodes.booleanNode(true)
                 JsonToken.VALUE_FALSE -> nodes.booleanNode(false)
@@ -156,7 +156,7 @@
                 else -> throw IOException("unexpected $token")
             }
 
-        private fun whole(): JsonNode =
+        private fun integer(): JsonNode =
             when (parser.numberType) {
                 JsonParser.NumberType.INT -> nodes.numberNode(parser.intValue)
                 JsonParser.NumberType.LONG -> nodes.numberNode(parser.longValue)
--- a/src/main/kotlin/burlridge/peer/PeerTransport.kt
+++ b/src/main/kotlin/burlridge/peer/PeerTransport.kt
@@ -36,7 +36,7 @@
     )
 
     /** If a zone is partitioned from the leader, another member relays all of its heartbeats, so the queue grows with the fleet. */
-    private val queueCapacity = maxOf(MIN_QUEUE_CAPACITY, (settings.limits.maxConnections * QUEUE_SLOTS_PER_CONNECTION).toInt())
+    private val queueCapacity = maxOf(MIN_QUEUE_CAPACITY, (settings.processLimits.maxConnections * QUEUE_SLOTS_PER_CONNECTION).toInt())
     private val queues = settings.others.associate { it.member to Channel<QueuedMessage>(queueCapacity, BufferOverflow.DROP_OLDEST) }
 
     /** Queues [message], which is dropped after [sendDeadline] (monotonic, in seconds). Ignored if [member] is no other member. */
--- a/src/main/kotlin/burlridge/placement/BestFitSelector.kt
+++ b/src/main/kotlin/burlridge/placement/BestFitSelector.kt
@@ -10,7 +10,7 @@
     private val context: StepContext,
     private val fleet: Fleet,
 ) {
-    private val sampleSize = context.settings.operator.sample
+    private val sampleSize = context.settings.operator.sampleSize
 
     /** Null if load balancing is not enabled. */
     var policy: PlacementPolicy? = null
--- a/src/main/kotlin/burlridge/settings/BalanceSettings.kt
+++ b/src/main/kotlin/burlridge/settings/BalanceSettings.kt
@@ -27,12 +27,12 @@
     /** A task that surely ends within so many report intervals is left to finish on a machine that is drained. */
     val finishReports: Double = 20.0,
     /** Worker leases for which a task waits for room elsewhere before it is stopped without any. */
-    val roomLeases: Double = 1.0,
+    val capacityWaitLeases: Double = 1.0,
     /** Worker leases for which room is kept for a task that was stopped. */
-    val keepLeases: Double = 1.0,
-    /** What is permitted for classes that [classMoves] does not name. */
-    val moves: MovePermission = MovePermission.SAVED,
-    val classMoves: Map<String, MovePermission> = emptyMap(),
+    val reservationLeases: Double = 1.0,
+    /** What is permitted for classes that [classMovePermissions] does not name. */
+    val defaultMovePermission: MovePermission = MovePermission.SAVED,
+    val classMovePermissions: Map<String, MovePermission> = emptyMap(),
     /** Tasks moved within any minute, by all leaders together: in all, of a class, of a team. */
     val movesPerMinute: Int = 600,
     val classMovesPerMinute: Int = 300,
@@ -52,15 +52,15 @@
     /** Starts that such a machine may get before any is seen to run; later twice as many as run. */
     val coldStarts: Int = 4,
     /** Decisions of which the reasons are kept. */
-    val decisions: Int = 2000,
+    val maxDecisions: Int = 2000,
 ) {
     /** What may be done to running tasks of [jobClass]. */
-    fun permission(jobClass: String): MovePermission = classMoves[jobClass] ?: moves
+    fun permission(jobClass: String): MovePermission = classMovePermissions[jobClass] ?: defaultMovePermission
 
     /** Ends with a [InvalidSettingsException] where this names a class that the platform does not know. */
-    fun check(platform: Settings) {
+    fun validate(platform: Settings) {
         val known = platform.objectives.mapNotNullTo(sortedSetOf()) { it.jobClass }
-        classMoves.keys.firstOrNull { it !in known }?.let {
+        classMovePermissions.keys.firstOrNull { it !in known }?.let {
             throw InvalidSettingsException("class_moves in [$SECTION] names the unknown class $it; known are $known")
         }
     }
@@ -86,27 +86,27 @@
                 "cold_starts",
                 "decisions",
             )
-        private val BUDGETS = 0..1_000_000
+        private val BUDGET_RANGE = 0..1_000_000
 
         fun read(section: IniSection): BalanceSettings {
             val default = BalanceSettings()
             return BalanceSettings(
                 finishReports = section.number("finish_reports", default.finishReports, 0.0..10_000.0),
-                roomLeases = section.number("room_leases", default.roomLeases, 0.0..1000.0),
-                keepLeases = section.number("keep_leases", default.keepLeases, 0.1..100.0),
-                moves = section.text("moves")?.let { permission("moves", it) } ?: default.moves,
-                classMoves = section.text("class_moves")?.let(::classMoves).orEmpty(),
-                movesPerMinute = section.whole("moves_per_minute", default.movesPerMinute, BUDGETS),
-                classMovesPerMinute = section.whole("class_moves_per_minute", default.classMovesPerMinute, BUDGETS),
-                teamMovesPerMinute = section.whole("team_moves_per_minute", default.teamMovesPerMinute, BUDGETS),
-                movesPerTask = section.whole("moves_per_task", default.movesPerTask, 0..1000),
+                capacityWaitLeases = section.number("room_leases", default.capacityWaitLeases, 0.0..1000.0),
+                reservationLeases = section.number("keep_leases", default.reservationLeases, 0.1..100.0),
+                defaultMovePermission = section.text("moves")?.let { parsePermission("moves", it) } ?: default.defaultMovePermission,
+                classMovePermissions = section.text("class_moves")?.let(::parseClassMoves).orEmpty(),
+                movesPerMinute = section.integer("moves_per_minute", default.movesPerMinute, BUDGET_RANGE),
+                classMovesPerMinute = section.integer("class_moves_per_minute", default.classMovesPerMinute, BUDGET_RANGE),
+                teamMovesPerMinute = section.integer("team_moves_per_minute", default.teamMovesPerMinute, BUDGET_RANGE),
+                movesPerTask = section.integer("moves_per_task", default.movesPerTask, 0..1000),
                 hotFactor = section.number("hot_factor", default.hotFactor, 0.0..100.0),
                 coolFactor = section.number("cool_factor", default.coolFactor, 1.0..100.0),
                 relieveHot = section.flag("relieve_hot", default.relieveHot),
                 gainReports = section.number("gain_reports", default.gainReports, 0.0..1000.0),
                 coldReports = section.number("cold_reports", default.coldReports, 0.0..1000.0),
-                coldStarts = section.whole("cold_starts", default.coldStarts, 1..10_000),
-                decisions = section.whole("decisions", default.decisions, 0..100_000),
+                coldStarts = section.integer("cold_starts", default.coldStarts, 1..10_000),
+                maxDecisions = section.integer("decisions", default.maxDecisions, 0..100_000),
             ).also { read ->
                 if (read.hotFactor > 0 && read.hotFactor <= read.coolFactor) {
                     throw InvalidSettingsException("hot_factor in [$SECTION] must be 0 or above cool_factor, not ${read.hotFactor}")
@@ -115,16 +115,16 @@
         }
 
         /** `alarm-triage:never, poster-sweep:repeat` */
-        private fun classMoves(text: String): Map<String, MovePermission> {
+        private fun parseClassMoves(text: String): Map<String, MovePermission> {
             val pairs = text.split(',').map { it.trim() }
             return pairs.associate { pair ->
                 val jobClass = pair.substringBeforeLast(':', "").trim()
                 if (jobClass.isEmpty()) throw InvalidSettingsException("class_moves in [$SECTION] must be like class:saved, not \"$pair\"")
-                jobClass to permission("class_moves", pair.substringAfterLast(':').trim())
+                jobClass to parsePermission("class_moves", pair.substringAfterLast(':').trim())
             }
         }
 
-        private fun permission(
+        private fun parsePermission(
             key: String,
             text: String,
         ): MovePermission =
--- a/src/main/kotlin/burlridge/settings/FailoverSettings.kt
+++ b/src/main/kotlin/burlridge/settings/FailoverSettings.kt
@@ -12,14 +12,15 @@
     /** Report intervals between two refreshes of the standby replica. */
     val refreshReports: Double = 0.5,
     /** Part of the process's memory limit that the standby replica may take. */
-    val replicaPart: Double = 0.06,
+    val replicaMemoryShare: Double = 0.06,
     /** Stalls within [STALL_WINDOW_LEASES] leases after which a leader hands over by itself; 0 for never. */
     val slowStalls: Int = 0,
     /** File to which traces of leader changes are appended, one JSON object a line; null for no traces. */
     val traceFile: String? = null,
 ) {
     /** How long a process that is asked to stop waits for a successor, in seconds. */
-    fun drainPatienceSeconds(settings: Settings): Double = settings.workers.reportSeconds * settings.operator.leaseReports * DRAIN_LEASES
+    fun drainTimeoutSeconds(settings: Settings): Double =
+        settings.workers.reportSeconds * settings.operator.leaseReports * DRAIN_TIMEOUT_LEASES
 
     internal companion object {
         val KEYS: Set<String> = setOf("suspect_level", "standbys", "refresh_reports", "replica_part", "slow_stalls", "trace_file")
@@ -28,16 +29,16 @@
             val default = FailoverSettings()
             return FailoverSettings(
                 suspectLevel = section.number("suspect_level", default.suspectLevel, 1.0..20.0),
-                standbys = section.whole("standbys", default.standbys, 0..10),
+                standbys = section.integer("standbys", default.standbys, 0..10),
                 refreshReports = section.number("refresh_reports", default.refreshReports, 0.1..10.0),
-                replicaPart = section.number("replica_part", default.replicaPart, 0.001..0.5),
-                slowStalls = section.whole("slow_stalls", default.slowStalls, 0..100),
+                replicaMemoryShare = section.number("replica_part", default.replicaMemoryShare, 0.001..0.5),
+                slowStalls = section.integer("slow_stalls", default.slowStalls, 0..100),
                 traceFile = section.text("trace_file"),
             )
         }
 
         /** How far back a leader's stalls count, in leases. */
         const val STALL_WINDOW_LEASES: Double = 8.0
-        private const val DRAIN_LEASES = 4.0
+        private const val DRAIN_TIMEOUT_LEASES = 4.0
     }
 }
--- a/src/main/kotlin/burlridge/settings/IniSection.kt
+++ b/src/main/kotlin/burlridge/settings/IniSection.kt
@@ -25,7 +25,7 @@
     }
 
     /** An integer within [range]; [default] where the key is absent. */
-    fun whole(
+    fun integer(
         key: String,
         default: Int,
         range: IntRange,
--- a/src/main/kotlin/burlridge/settings/OperatorSettings.kt
+++ b/src/main/kotlin/burlridge/settings/OperatorSettings.kt
@@ -6,7 +6,7 @@
  */
 internal data class OperatorSettings(
     /** Machines sampled for the best fit of a task. */
-    val sample: Int = 5,
+    val sampleSize: Int = 5,
     /** Report intervals that a machine stays idle before it is returned. */
     val idleReports: Double = 20.0,
     /** Capacity kept free for job classes with a `wait` objective, in jobs of their usual size. */
@@ -42,7 +42,7 @@
             val fleet = sections[FLEET] ?: IniSection(FLEET, emptyMap())
             val leadership = sections[LEADERSHIP] ?: IniSection(LEADERSHIP, emptyMap())
             return OperatorSettings(
-                sample = placement.whole("sample", default.sample, 1..1000),
+                sampleSize = placement.integer("sample", default.sampleSize, 1..1000),
                 idleReports = fleet.number("idle_reports", default.idleReports, 1.0..1000.0),
                 headroom = fleet.number("headroom", default.headroom, 0.0..10.0),
                 gangDeviations = fleet.number("gang_deviations", default.gangDeviations, 0.0..10.0),
--- a/src/main/kotlin/burlridge/settings/Settings.kt
+++ b/src/main/kotlin/burlridge/settings/Settings.kt
@@ -82,18 +82,18 @@
     val serveOn: Endpoint,
     val peerBind: Endpoint,
     val others: List<PeerMember>,
-    val cloud: Endpoint,
-    val state: Endpoint,
+    val cloudEndpoint: Endpoint,
+    val stateEndpoint: Endpoint,
     val teams: Map<String, Team>,
     val objectives: List<ServiceLevelObjective>,
     val workers: WorkerTimings,
-    val store: StoreLimits,
+    val storeLimits: StoreLimits,
     val cloudLimits: CloudLimits,
-    val limits: ProcessLimits,
+    val processLimits: ProcessLimits,
     val operator: OperatorSettings = OperatorSettings(),
 ) {
     /** Number of controllers in the deployment, this one included. */
-    val controllers: Int get() = others.size + 1
+    val controllerCount: Int get() = others.size + 1
 
     internal companion object {
         /** Parses and validates the platform's settings file. Throws [InvalidSettingsException]. */
--- a/src/main/kotlin/burlridge/settings/SettingsParser.kt
+++ b/src/main/kotlin/burlridge/settings/SettingsParser.kt
@@ -8,11 +8,11 @@
 /** Reads and validates the platform's settings file; the names of its fields stand here and nowhere else. */
 internal object SettingsParser {
     /** A limit beyond these ranges is a mistake in the file. */
-    private val CPU_SHARES = 0.001..100.0
-    private val MEMORY_MB = 32.0..1_000_000.0
+    private val CPU_SHARE_RANGE = 0.001..100.0
+    private val MEMORY_MB_RANGE = 32.0..1_000_000.0
 
     /** Fewer connections cannot be divided among users, workers, controllers and outside services. */
-    private val CONNECTIONS = 40.0..1_000_000.0
+    private val MAX_CONNECTIONS_RANGE = 40.0..1_000_000.0
     private const val BYTES_PER_KB = 1024
 
     /** Throws [InvalidSettingsException] with a line that names the field. */
@@ -27,55 +27,58 @@
 
     private fun read(root: JsonNode): Settings {
         if (!root.isObject) throw InvalidSettingsException("the settings are not a JSON object")
-        val params = root.need("params", "")
-        val workers = params.need("workers", "params.")
-        val state = params.need("state", "params.")
-        val cloud = params.need("cloud", "params.")
-        val services = root.need("services", "")
+        val params = root.required("params", "")
+        val workers = params.required("workers", "params.")
+        val state = params.required("state", "params.")
+        val cloud = params.required("cloud", "params.")
+        val services = root.required("services", "")
         return Settings(
             member = root.text("member", ""),
             zone = root.text("zone", ""),
             serveOn = root.endpoint("serve_on", ""),
             peerBind = root.endpoint("peer_bind", ""),
             others =
-                root.items("others").map {
+                root.elements("others").map {
                     PeerMember(it.text("member", "others."), it.text("zone", "others."), it.endpoint("endpoint", "others."))
                 },
-            cloud = services.endpoint("cloud", "services."),
-            state = services.endpoint("state", "services."),
-            teams = params.items("teams").map { team(it) }.associateBy { it.name },
-            objectives = params.items("objectives").map { objective(it) },
+            cloudEndpoint = services.endpoint("cloud", "services."),
+            stateEndpoint = services.endpoint("state", "services."),
+            teams = params.elements("teams").map { team(it) }.associateBy { it.name },
+            objectives = params.elements("objectives").map { objective(it) },
             workers =
                 WorkerTimings(
-                    workers.positive("report_s", "params.workers."),
-                    workers.positive("lease_s", "params.workers."),
-                    workers.positive("cancel_s", "params.workers."),
-                    gangTimes(workers),
+                    workers.positiveNumber("report_s", "params.workers."),
+                    workers.positiveNumber("lease_s", "params.workers."),
+                    workers.positiveNumber("cancel_s", "params.workers."),
+                    gangTimings(workers),
                 ),
-            store = storeLimits(state),
-            cloudLimits = CloudLimits(cloud.positive("rps", "params.cloud."), cloud.positive("list_lag_s", "params.cloud.")),
-            limits = limits(params.need("limits", "params.")),
+            storeLimits = storeLimits(state),
+            cloudLimits = CloudLimits(cloud.positiveNumber("rps", "params.cloud."), cloud.positiveNumber("list_lag_s", "params.cloud.")),
+            processLimits = processLimits(params.required("limits", "params.")),
         )
     }
 
-    private fun limits(node: JsonNode): ProcessLimits {
+    private fun processLimits(node: JsonNode): ProcessLimits {
         if (!node.isObject) throw InvalidSettingsException("params.limits must be an object")
-        val connections = node.within("max_connections", "params.limits.", CONNECTIONS)
+        val connections = node.numberInRange("max_connections", "params.limits.", MAX_CONNECTIONS_RANGE)
         if (connections !=
             Math.rint(connections)
         ) {
             throw InvalidSettingsException("params.limits.max_connections must be a whole number")
         }
         return ProcessLimits(
-            node.within("cpu_share", "params.limits.", CPU_SHARES),
-            node.within("memory_mb", "params.limits.", MEMORY_MB),
+            node.numberInRange("cpu_share", "params.limits.", CPU_SHARE_RANGE),
+            node.numberInRange("memory_mb", "params.limits.", MEMORY_MB_RANGE),
             connections.toInt(),
         )
     }
 
-    private fun gangTimes(workers: JsonNode): GangTimings? {
+    private fun gangTimings(workers: JsonNode): GangTimings? {
         if (!workers.hasNonNull("gang_wait_s") && !workers.hasNonNull("gang_peer_s")) return null
-        return GangTimings(workers.positive("gang_wait_s", "params.workers."), workers.positive("gang_peer_s", "params.workers."))
+        return GangTimings(
+            workers.positiveNumber("gang_wait_s", "params.workers."),
+            workers.positiveNumber("gang_peer_s", "params.workers."),
+        )
     }
 
     private fun storeLimits(state: JsonNode): StoreLimits {
@@ -83,8 +86,8 @@
         if (!next.isMissingNode && !next.isNull && !next.isObject) throw InvalidSettingsException("params.state.next must be an object")
 
         fun lowerOf(name: String): Double {
-            val now = state.positive(name, "params.state.")
-            return if (next.hasNonNull(name)) minOf(now, next.positive(name, "params.state.next.")) else now
+            val now = state.positiveNumber(name, "params.state.")
+            return if (next.hasNonNull(name)) minOf(now, next.positiveNumber(name, "params.state.next.")) else now
         }
         return StoreLimits(
             lowerOf("rps"),
@@ -112,37 +115,37 @@
         )
 }
 
-private fun JsonNode.need(
+private fun JsonNode.required(
     name: String,
-    at: String,
-): JsonNode = get(name)?.takeIf { !it.isNull } ?: throw InvalidSettingsException("$at$name is missing")
+    prefix: String,
+): JsonNode = get(name)?.takeIf { !it.isNull } ?: throw InvalidSettingsException("$prefix$name is missing")
 
 private fun JsonNode.text(
     name: String,
-    at: String,
+    prefix: String,
 ): String =
-    need(name, at)
+    required(name, prefix)
         .takeIf {
             it.isTextual &&
                 it.asText().isNotEmpty()
-        }?.asText() ?: throw InvalidSettingsException("$at$name must be a non-empty text")
+        }?.asText() ?: throw InvalidSettingsException("$prefix$name must be a non-empty text")
 
-private fun JsonNode.positive(
+private fun JsonNode.positiveNumber(
     name: String,
-    at: String,
+    prefix: String,
 ): Double =
-    need(name, at).takeIf { it.isNumber && it.asDouble().isFinite() && it.asDouble() > 0 }?.asDouble()
-        ?: throw InvalidSettingsException("$at$name must be a number above 0")
+    required(name, prefix).takeIf { it.isNumber && it.asDouble().isFinite() && it.asDouble() > 0 }?.asDouble()
+        ?: throw InvalidSettingsException("$prefix$name must be a number above 0")
 
-private fun JsonNode.within(
+private fun JsonNode.numberInRange(
     name: String,
-    at: String,
+    prefix: String,
     range: ClosedFloatingPointRange<Double>,
 ): Double =
-    need(name, at).takeIf { it.isNumber && it.asDouble() in range }?.asDouble()
-        ?: throw InvalidSettingsException("$at$name must be a number from ${range.start} to ${range.endInclusive}")
+    required(name, prefix).takeIf { it.isNumber && it.asDouble() in range }?.asDouble()
+        ?: throw InvalidSettingsException("$prefix$name must be a number from ${range.start} to ${range.endInclusive}")
 
-private fun JsonNode.items(name: String): List<JsonNode> {
+private fun JsonNode.elements(name: String): List<JsonNode> {
     val node = get(name) ?: return emptyList()
     if (node.isNull) return emptyList()
     if (!node.isArray) throw InvalidSettingsException("$name must be a list")
@@ -151,15 +154,15 @@
 
 private fun JsonNode.endpoint(
     name: String,
-    at: String,
+    prefix: String,
 ): Endpoint {
-    val text = text(name, at)
+    val text = text(name, prefix)
     val port = text.substringAfterLast(':', "").toIntOrNull()
     val host = text.substringBeforeLast(':')
     if (port == null || port !in 1..65535 ||
         host.isEmpty()
     ) {
-        throw InvalidSettingsException("$at$name must be an address and a port, not \"$text\"")
+        throw InvalidSettingsException("$prefix$name must be an address and a port, not \"$text\"")
     }
     return Endpoint(host, port)
 }
--- a/src/main/kotlin/burlridge/store/RequestQueue.kt
+++ b/src/main/kotlin/burlridge/store/RequestQueue.kt
@@ -24,8 +24,8 @@
     private val settings = context.settings
 
     // User requests come in bursts, and rarely to all members in the same second: each member may briefly exceed its share.
-    private val changeTokens = TokenBucket(settings.store.writeRps / BURST_DIVISOR)
-    private val requestTokens = TokenBucket(settings.store.rps / BURST_DIVISOR)
+    private val changeTokens = TokenBucket(settings.storeLimits.writeRps / BURST_DIVISOR)
+    private val requestTokens = TokenBucket(settings.storeLimits.rps / BURST_DIVISOR)
     private val writes = RequestPriority.entries.associateWith { ArrayDeque<QueuedRequest>() }
     private val reads = RequestPriority.entries.associateWith { ArrayDeque<QueuedRequest>() }
     private val allQueues = writes.values + reads.values
@@ -65,9 +65,9 @@
     }
 
     private fun refill() {
-        val share = if (isLeader) LEADER_SHARE else (1 - LEADER_SHARE) / (settings.controllers - 1).coerceAtLeast(1)
-        changeTokens.refill(context.now, settings.store.writeRps * share)
-        requestTokens.refill(context.now, settings.store.rps * share)
+        val share = if (isLeader) LEADER_SHARE else (1 - LEADER_SHARE) / (settings.controllerCount - 1).coerceAtLeast(1)
+        changeTokens.refill(context.now, settings.storeLimits.writeRps * share)
+        requestTokens.refill(context.now, settings.storeLimits.rps * share)
     }
 
     private fun dropExpired() {
--- a/src/main/kotlin/burlridge/store/StoreClient.kt
+++ b/src/main/kotlin/burlridge/store/StoreClient.kt
@@ -13,8 +13,8 @@
 internal class StoreClient(
     private val context: StepContext,
 ) {
-    private val endpoint = context.settings.state
-    private val limits = TransactionLimits(context.settings.store)
+    private val endpoint = context.settings.stateEndpoint
+    private val limits = TransactionLimits(context.settings.storeLimits)
     private val queue = RequestQueue(context)
     private var lastServedAt = 0.0
     private var lastFailedAt = -1.0
--- a/src/test/kotlin/burlridge/balance/BalanceInputTest.kt
+++ b/src/test/kotlin/burlridge/balance/BalanceInputTest.kt
@@ -32,7 +32,7 @@
                     "[balance]\nmoves = repeat\nclass_moves = alarm-triage:never, x:saved\nmoves_per_task = 2\n",
                 ).balance
         val classes = mapOf("alarm-triage" to MovePermission.NEVER, "x" to MovePermission.SAVED)
-        assertEquals(BalanceSettings(moves = MovePermission.REPEAT, classMoves = classes, movesPerTask = 2), read)
+        assertEquals(BalanceSettings(defaultMovePermission = MovePermission.REPEAT, classMovePermissions = classes, movesPerTask = 2), read)
         assertEquals(null, OperatorSettings.parse("[fleet]\n").balance)
         // The file in deploy/ has every key, each with its default.
         assertEquals(BalanceSettings(), OperatorSettings.parse(File("deploy/balance.ini").readText()).balance)
@@ -60,9 +60,9 @@
     @Test
     fun `a class that the platform does not know is refused by name`() {
         val platform = SimulatedCluster(0).settings("drover-0")
-        BalanceSettings(classMoves = mapOf("urgent" to MovePermission.NEVER)).check(platform)
-        val wrong = BalanceSettings(classMoves = mapOf("urgnet" to MovePermission.NEVER))
-        val message = assertThrows(InvalidSettingsException::class.java) { wrong.check(platform) }.message.orEmpty()
+        BalanceSettings(classMovePermissions = mapOf("urgent" to MovePermission.NEVER)).validate(platform)
+        val wrong = BalanceSettings(classMovePermissions = mapOf("urgnet" to MovePermission.NEVER))
+        val message = assertThrows(InvalidSettingsException::class.java) { wrong.validate(platform) }.message.orEmpty()
         assertTrue("urgnet" in message && "urgent" in message, message)
     }
 
--- a/src/test/kotlin/burlridge/balance/BalanceMeasurement.kt
+++ b/src/test/kotlin/burlridge/balance/BalanceMeasurement.kt
@@ -20,7 +20,7 @@
 ) {
     OFF("off", null),
     ON("on", BalanceSettings()),
-    WITHOUT_MOVES("on, no moves", BalanceSettings(moves = MovePermission.NEVER)),
+    WITHOUT_MOVES("on, no moves", BalanceSettings(defaultMovePermission = MovePermission.NEVER)),
     WITHOUT_PICTURE("on, no picture of load", BalanceSettings(hotFactor = 0.0)),
     WITHOUT_SLOW_START("on, no slow start", BalanceSettings(coldReports = 0.0)),
 }
--- a/src/test/kotlin/burlridge/balance/BalanceScheduleTest.kt
+++ b/src/test/kotlin/burlridge/balance/BalanceScheduleTest.kt
@@ -27,8 +27,8 @@
     private fun draw(seededRandom: Random): BalanceSettings =
         BalanceSettings(
             finishReports = if (seededRandom.nextBoolean()) 0.5 else 5.0,
-            roomLeases = seededRandom.nextDouble(),
-            moves = if (seededRandom.nextInt(3) == 0) MovePermission.REPEAT else MovePermission.SAVED,
+            capacityWaitLeases = seededRandom.nextDouble(),
+            defaultMovePermission = if (seededRandom.nextInt(3) == 0) MovePermission.REPEAT else MovePermission.SAVED,
             movesPerMinute = listOf(5, 20, 600).random(seededRandom),
             movesPerTask = 1 + seededRandom.nextInt(3),
         )
--- a/src/test/kotlin/burlridge/balance/DrainTest.kt
+++ b/src/test/kotlin/burlridge/balance/DrainTest.kt
@@ -208,7 +208,7 @@
     @Test
     fun `a new leader does not call a zone drained while tasks run there`() {
         for (seed in 1..8) {
-            val cluster = balancedCluster(seed, BalanceSettings(moves = MovePermission.NEVER), members = 5)
+            val cluster = balancedCluster(seed, BalanceSettings(defaultMovePermission = MovePermission.NEVER), members = 5)
             val jobs = cluster.submitAll((0 until 10).map { cluster.savingJob(it, 4, runSeconds = 50.0) }, 20.0)
             cluster.clock.after(35.0) { cluster.drainZone("a") }
             for (turn in 0 until 6) cluster.clock.after(36.0 + turn * 5.5) { cluster.leader()?.let { cluster.crash(it, 4.0) } }
--- a/src/test/kotlin/burlridge/balance/MoveTest.kt
+++ b/src/test/kotlin/burlridge/balance/MoveTest.kt
@@ -197,7 +197,7 @@
     /** Guards the counting of rows of earlier leaders: a new one begins with what is left of the minute. */
     @Test
     fun `budgets hold over all leaders together, and classes keep what is permitted`() {
-        val settings = EAGER.copy(movesPerMinute = 6, movesPerTask = 1, classMoves = mapOf("urgent" to MovePermission.SAVED))
+        val settings = EAGER.copy(movesPerMinute = 6, movesPerTask = 1, classMovePermissions = mapOf("urgent" to MovePermission.SAVED))
         val cluster = balancedCluster(4, settings)
         val jobs = cluster.submitAll((0 until 10).map { cluster.savingJob(it, 4, runSeconds = 100.0) }, 20.0)
         val kept =
@@ -268,7 +268,7 @@
     /** Guards the limit while a task counts in both places: room is kept only as far as its team may use it. */
     @Test
     fun `a team at its limit is moved without room kept, and never exceeds it`() {
-        val cluster = balancedCluster(6, EAGER.copy(roomLeases = 0.2))
+        val cluster = balancedCluster(6, EAGER.copy(capacityWaitLeases = 0.2))
         val jobs = cluster.submitAll((0 until 14).map { cluster.savingJob(it, 4, runSeconds = 50.0).copy(team = "crew-x") }, 20.0)
         cluster.clock.after(45.0) { cluster.drainZone("a") }
         listOf(46.0, 52.0, 61.0).forEach { at -> cluster.clock.after(at) { cluster.leader()?.let { cluster.crash(it, 3.0) } } }
--- a/src/test/kotlin/burlridge/settings/SettingsTest.kt
+++ b/src/test/kotlin/burlridge/settings/SettingsTest.kt
@@ -6,74 +6,81 @@
 import org.junit.jupiter.api.Test
 
 internal class SettingsTest {
-    private val good = ClassArchiveTraining.settings()
+    private val validSettings = ClassArchiveTraining.settings()
 
-    private fun complaint(text: String): String =
+    private fun errorMessage(text: String): String =
         assertThrows(InvalidSettingsException::class.java) { Settings.parse(text) }.message.orEmpty()
 
     @Test
     fun `the platform's settings are read, and unknown fields ignored`() {
-        val settings = Settings.parse(good.replaceFirst("{", "{\"later\":1,"))
+        val settings = Settings.parse(validSettings.replaceFirst("{", "{\"later\":1,"))
         assertEquals("drover-0", settings.member)
         assertEquals(24.0, settings.workers.leaseSeconds)
     }
 
     @Test
     fun `what is wrong is said in one line`() {
-        assertEquals("member must be a non-empty text", complaint(good.replace("\"member\":\"drover-0\"", "\"member\":7")))
-        assertEquals("params.workers.lease_s must be a number above 0", complaint(good.replace("\"lease_s\":24.0", "\"lease_s\":-1")))
-        assertEquals("params is missing", complaint(good.replace("\"params\"", "\"param\"")))
-        assertEquals("the settings are not a JSON object", complaint("[]"))
+        assertEquals("member must be a non-empty text", errorMessage(validSettings.replace("\"member\":\"drover-0\"", "\"member\":7")))
+        assertEquals(
+            "params.workers.lease_s must be a number above 0",
+            errorMessage(validSettings.replace("\"lease_s\":24.0", "\"lease_s\":-1")),
+        )
+        assertEquals("params is missing", errorMessage(validSettings.replace("\"params\"", "\"param\"")))
+        assertEquals("the settings are not a JSON object", errorMessage("[]"))
     }
 
     @Test
     fun `of the state service's present limits and those to come the smaller bind`() {
-        val next = good.replace("\"txn_ops\":8", "\"txn_ops\":8,\"next\":{\"value_kb\":2.0,\"txn_ops\":4,\"write_rps\":99.0}")
-        assertEquals(StoreLimits(100.0, 25.0, 2048, 4), Settings.parse(next).store)
-        assertEquals(StoreLimits(100.0, 25.0, 8192, 8), Settings.parse(good).store)
-        assertEquals("params.state.next must be an object", complaint(next.replace(Regex("\\{\"value_kb[^}]*}"), "7")))
-        assertEquals("params.state.next.txn_ops must be a number above 0", complaint(next.replace("\"txn_ops\":4", "\"txn_ops\":\"4\"")))
+        val next = validSettings.replace("\"txn_ops\":8", "\"txn_ops\":8,\"next\":{\"value_kb\":2.0,\"txn_ops\":4,\"write_rps\":99.0}")
+        assertEquals(StoreLimits(100.0, 25.0, 2048, 4), Settings.parse(next).storeLimits)
+        assertEquals(StoreLimits(100.0, 25.0, 8192, 8), Settings.parse(validSettings).storeLimits)
+        assertEquals("params.state.next must be an object", errorMessage(next.replace(Regex("\\{\"value_kb[^}]*}"), "7")))
+        assertEquals("params.state.next.txn_ops must be a number above 0", errorMessage(next.replace("\"txn_ops\":4", "\"txn_ops\":\"4\"")))
     }
 
     @Test
     fun `gang times come together or not at all`() {
-        val both = good.replace("\"lease_s\":24.0", "\"lease_s\":24.0,\"gang_wait_s\":50.0,\"gang_peer_s\":5.0")
+        val both = validSettings.replace("\"lease_s\":24.0", "\"lease_s\":24.0,\"gang_wait_s\":50.0,\"gang_peer_s\":5.0")
         assertEquals(GangTimings(50.0, 5.0), Settings.parse(both).workers.gang)
-        assertEquals(null, Settings.parse(good).workers.gang)
-        assertEquals("params.workers.gang_peer_s is missing", complaint(both.replace(",\"gang_peer_s\":5.0", "")))
-        assertEquals("params.workers.gang_wait_s must be a number above 0", complaint(both.replace("50.0", "0")))
+        assertEquals(null, Settings.parse(validSettings).workers.gang)
+        assertEquals("params.workers.gang_peer_s is missing", errorMessage(both.replace(",\"gang_peer_s\":5.0", "")))
+        assertEquals("params.workers.gang_wait_s must be a number above 0", errorMessage(both.replace("50.0", "0")))
     }
 
     @Test
     fun `limits of the process that are absent, zero, negative, no number or absurd are named`() {
-        val limits = Settings.parse(good).limits
-        assertEquals(ProcessLimits(0.2, 200.0, 1000), limits)
+        val processLimits = Settings.parse(validSettings).processLimits
+        assertEquals(ProcessLimits(0.2, 200.0, 1000), processLimits)
         val ranges =
             mapOf(
                 "cpu_share" to ("0.2" to "a number from 0.001 to 100.0"),
                 "memory_mb" to ("200.0" to "a number from 32.0 to 1000000.0"),
                 "max_connections" to ("1000" to "a number from 40.0 to 1000000.0"),
             )
-        for ((field, usual) in ranges) {
-            val (value, range) = usual
-            val whole = "\"$field\":$value"
-            assertEquals("params.limits.$field is missing", complaint(good.replace(whole, "\"other\":1")))
-            assertEquals("params.limits.$field is missing", complaint(good.replace(whole, "\"$field\":null")))
-            for (wrong in listOf("0", "-1", "\"7\"", "true", "[]", "{}", "1e99")) {
-                assertEquals("params.limits.$field must be $range", complaint(good.replace(whole, "\"$field\":$wrong")), wrong)
+        for ((field, valueAndRange) in ranges) {
+            val (value, range) = valueAndRange
+            val entry = "\"$field\":$value"
+            assertEquals("params.limits.$field is missing", errorMessage(validSettings.replace(entry, "\"other\":1")))
+            assertEquals("params.limits.$field is missing", errorMessage(validSettings.replace(entry, "\"$field\":null")))
+            for (invalid in listOf("0", "-1", "\"7\"", "true", "[]", "{}", "1e99")) {
+                assertEquals(
+                    "params.limits.$field must be $range",
+                    errorMessage(validSettings.replace(entry, "\"$field\":$invalid")),
+                    invalid,
+                )
             }
         }
         assertEquals(
             "params.limits.max_connections must be a whole number",
-            complaint(good.replace("\"max_connections\":1000", "\"max_connections\":1000.5")),
+            errorMessage(validSettings.replace("\"max_connections\":1000", "\"max_connections\":1000.5")),
         )
-        assertEquals("params.limits is missing", complaint(good.replace("\"limits\"", "\"limit\"")))
-        assertEquals("params.limits must be an object", complaint(good.replace(Regex("\"limits\":\\{[^}]*}"), "\"limits\":7")))
+        assertEquals("params.limits is missing", errorMessage(validSettings.replace("\"limits\"", "\"limit\"")))
+        assertEquals("params.limits must be an object", errorMessage(validSettings.replace(Regex("\"limits\":\\{[^}]*}"), "\"limits\":7")))
     }
 
     @Test
     fun `operators' settings refuse unknown keys and figures out of range`() {
-        assertEquals(7, OperatorSettings.parse("[placement]\nsample = 7\n").sample)
+        assertEquals(7, OperatorSettings.parse("[placement]\nsample = 7\n").sampleSize)
         assertThrows(InvalidSettingsException::class.java) { OperatorSettings.parse("[placement]\nsampel = 7\n") }
         assertThrows(InvalidSettingsException::class.java) { OperatorSettings.parse("[fleets]\n") }
         assertThrows(InvalidSettingsException::class.java) { OperatorSettings.parse("[leadership]\nlease_reports = 0\n") }
