--- a/src/main/kotlin/burlridge/api/GangAdmission.kt
+++ b/src/main/kotlin/burlridge/api/GangAdmission.kt
@@ -8,8 +8,9 @@
 import burlridge.leadership.GangSupport
 
 /**
- * Whether gangs can be submitted. They are accepted once every member supports them, and never forwarded to one that may not. Until then a
- * gang is refused at once; for one that has been accepted its state is given all the same.
+ * Decides whether gangs can be submitted. They are accepted only once every member supports them, so that none is forwarded to a member
+ * that may not. Until then the submission of a gang is refused at once, unless the gang has been accepted already: then the response is
+ * its state.
  */
 internal class GangAdmission(
     private val context: StepContext,
@@ -20,7 +21,7 @@
 ) {
     private val retryAfterSeconds = Math.ceil(context.settings.workers.reportSeconds).toInt()
 
-    /** Calls [onAdmitted] where the gang may be submitted, and responds where not. */
+    /** Calls [onAdmitted] if the gang in [body] may be submitted; responds otherwise. */
     fun check(
         body: SubmissionBody,
         respond: (HttpResponse) -> Unit,
--- a/src/main/kotlin/burlridge/api/JobApi.kt
+++ b/src/main/kotlin/burlridge/api/JobApi.kt
@@ -10,7 +10,7 @@
 import burlridge.peer.PeerRequests
 import burlridge.store.StoreClient
 
-/** The users' requests: submit, query, cancel. None is queued; what cannot be done now is refused at once. */
+/** Serves the users' requests: submit, query and cancel. A request that cannot be served now is refused at once instead of queued. */
 internal class JobApi(
     context: StepContext,
     store: StoreClient,
@@ -21,7 +21,7 @@
     gangGate: GangFeatureGate,
     /** Called when this member, as leader, has admitted a new job. */
     onAdmitted: () -> Unit,
-    /** Called when this member, as leader, begins to end a job that was cancelled. */
+    /** Called when this member, as leader, starts to end a job that was cancelled. */
     onCancelled: (Job) -> Unit,
 ) {
     private val responses = JobResponses(registry)
@@ -36,37 +36,37 @@
     private val query = JobQuery(context, leadership, registry, peers, lookup, rows, responses)
     private val cancellation = JobCancellation(context, store, leadership, registry, peers, lookup, responses, onCancelled)
 
-    /** Set once a new leader has read all rows; it decides on no job before. */
+    /** Set once a new leader has read all rows; before that it makes no decisions about jobs. */
     var isLoaded: Boolean by lookup::isLoaded
 
-    /** Accepts the job that [body] describes. */
+    /** Submits the job that [body] describes; a request that [isForwarded] is not forwarded again. */
     fun submit(
         body: String,
         isForwarded: Boolean,
         respond: (HttpResponse) -> Unit,
     ) = submission.submit(body, isForwarded, respond)
 
-    /** Responds with the state of the job [id]. */
+    /** Responds with the state of the job [id]; a request that [isForwarded] is not forwarded again. */
     fun query(
         id: String,
         isForwarded: Boolean,
         respond: (HttpResponse) -> Unit,
     ) = query.query(id, isForwarded, respond)
 
-    /** Ends the job [id] before it is done. */
+    /** Cancels the job [id]; a request that [isForwarded] is not forwarded again. */
     fun cancel(
         id: String,
         isForwarded: Boolean,
         respond: (HttpResponse) -> Unit,
     ) = cancellation.cancel(id, isForwarded, respond)
 
-    /** Any member has accepted [job]. */
+    /** Records that this or another member has accepted [job]. */
     fun onAccepted(job: String) {
         submission.onAccepted(job)
     }
 
     internal companion object {
-        /** Where jobs are submitted; below it each job has a path of its own. */
+        /** The path to which jobs are submitted; each job has a path below it. */
         const val PATH: String = "/api/jobs"
     }
 }
--- a/src/main/kotlin/burlridge/api/JobCancellation.kt
+++ b/src/main/kotlin/burlridge/api/JobCancellation.kt
@@ -14,7 +14,7 @@
 import burlridge.store.Row
 import burlridge.store.StoreClient
 
-/** Serves cancellations. Only the leader cancels; a cancellation is confirmed once the job's end is durable. */
+/** Serves cancellations. Only the leader cancels jobs; a cancellation is confirmed once the job's final state is durable. */
 internal class JobCancellation(
     private val context: StepContext,
     private val store: StoreClient,
@@ -25,7 +25,7 @@
     private val responses: JobResponses,
     private val onCancelled: (Job) -> Unit,
 ) {
-    /** Cancels [id] unless it has ended, and responds with its state; a request that [isForwarded] is not forwarded again. */
+    /** Cancels the job [id] unless it has ended, and responds with its state; a request that [isForwarded] is not forwarded again. */
     fun cancel(
         id: String,
         isForwarded: Boolean,
@@ -76,7 +76,7 @@
         }
     }
 
-    /** The row of a job that this leader did not know yet. */
+    /** Cancels the job stored in [row], which this leader had not admitted yet. */
     private fun admitAndCancel(
         id: String,
         term: Long,
@@ -106,10 +106,10 @@
     }
 
     private companion object {
-        /** How long a member waits for the leader. */
+        /** How long a member waits for the leader's response. */
         const val FORWARD_TIMEOUT_SECONDS = 1.5
 
-        /** How long the leader waits for the end to be durable, so that its answer comes in time. */
+        /** How long the leader waits for the final state to be durable, so that it responds before the forwarding member times out. */
         const val END_WAIT_SECONDS = FORWARD_TIMEOUT_SECONDS * 0.8
     }
 }
--- a/src/main/kotlin/burlridge/api/JobCreator.kt
+++ b/src/main/kotlin/burlridge/api/JobCreator.kt
@@ -16,7 +16,7 @@
 import burlridge.store.TransactionResult
 import com.fasterxml.jackson.databind.JsonNode
 
-/** Accepts a job by writing its row, on the condition that it has none yet. */
+/** Accepts a job by writing its row, on the condition that neither an active nor a finished row of the job exists. */
 internal class JobCreator(
     private val store: StoreClient,
     private val leadership: Leadership,
@@ -28,7 +28,7 @@
     private val onStored: (String) -> Unit,
     private val onAdmitted: () -> Unit,
 ) {
-    /** Writes the row of a new job, and answers once that is durable or known to fail. */
+    /** Writes the row of a new job, and responds once the write is durable, has failed or has timed out. */
     fun create(
         spec: JobSpec,
         respond: (HttpResponse) -> Unit,
--- a/src/main/kotlin/burlridge/api/JobLookup.kt
+++ b/src/main/kotlin/burlridge/api/JobLookup.kt
@@ -5,7 +5,7 @@
 import burlridge.job.JobSpec
 import burlridge.leadership.Leadership
 
-/** What this member knows of a job: by itself, where it leads or the job has ended, and from the job's rows otherwise. */
+/** Looks up the state of jobs: in memory if this member is the leader or knows that the job has ended, otherwise in the job's rows. */
 internal class JobLookup(
     private val leadership: Leadership,
     private val registry: JobRegistry,
@@ -15,16 +15,16 @@
     /** Set once a new leader has read all rows. */
     var isLoaded: Boolean = false
 
-    /** Whether this member decides on jobs: it leads, and has read all rows. */
+    /** Whether this member may make decisions about jobs: it is the leader, holds its lease and has read all rows. */
     val mayDecide: Boolean get() = isLoaded && leadership.holdsLease
 
     /**
-     * Whether the end of [id] may be durable without this leader knowing. Other members may read it and report it, so until it is
-     * settled this one goes by the rows as well.
+     * Whether the end of [id] may be durable without this leader knowing the result of the write. Other members may read that row and
+     * report the end, so until the result is known, this member relies on the rows as well.
      */
     fun isEndUncertain(id: String): Boolean = registry.jobs[id]?.isEndUncertain == true
 
-    /** The answer to a submission of [spec] that this member can give by itself; null where it cannot. */
+    /** Returns the response to a repeated submission of [spec] if this member can tell it from memory, otherwise null. */
     fun responseToSubmission(spec: JobSpec): HttpResponse? {
         registry.finishedJob(spec.id)?.let {
             return if (it.fingerprint ==
@@ -42,14 +42,14 @@
 
     private fun idTaken(spec: JobSpec): HttpResponse = responses.idTaken(spec.id)
 
-    /** The answer to a query of [id] that this member can give by itself; null where it cannot. */
+    /** Returns the response to a query of [id] if this member can tell it from memory, otherwise null. */
     fun responseToQuery(id: String): HttpResponse? {
         registry.finishedJob(id)?.let { return responses.finished(id, it) }
         val job = registry.jobs[id] ?: return null
         return if (mayDecide && !job.isEndUncertain) responses.progress(job) else null
     }
 
-    /** Remembers that [id] has ended, where the [response] of another member says so. */
+    /** Records that [id] has ended if the [response] of another member says so. */
     fun recordEnd(
         id: String,
         response: HttpResponse,
@@ -58,8 +58,8 @@
     }
 
     /**
-     * Responds with the state of [id] where it has been accepted, and calls [onMissing] where not. A [fingerprint] other than the
-     * stored one is a conflict; null matches any.
+     * Reads the rows of [id] and responds with its state if it has been accepted; calls [onMissing] if it has not. A [fingerprint] that
+     * differs from the stored one is a conflict; null matches any.
      */
     fun respondFromRows(
         id: String,
@@ -85,7 +85,7 @@
         return if (isSame) responses.state(id, stored.jobState) else responses.idTaken(id)
     }
 
-    /** A repetition of an accepted submission is never refused, so the rows are read before [refusal] is given. */
+    /** Responds with [refusal] only if the job has no rows: a repetition of an accepted submission must not be refused. */
     fun refuseUnlessStored(
         id: String,
         fingerprint: String?,
--- a/src/main/kotlin/burlridge/api/JobQuery.kt
+++ b/src/main/kotlin/burlridge/api/JobQuery.kt
@@ -9,7 +9,7 @@
 import burlridge.leadership.Leadership
 import burlridge.peer.PeerRequests
 
-/** Serves queries: from memory, by the leader, or from the job's rows. */
+/** Serves queries: from memory if possible, otherwise by forwarding to another member, usually the leader, or from the job's rows. */
 internal class JobQuery(
     private val context: StepContext,
     private val leadership: Leadership,
@@ -19,7 +19,7 @@
     private val rows: StoredJobReader,
     private val responses: JobResponses,
 ) {
-    /** Responds with the state of [id]; a request that [isForwarded] is not forwarded again. */
+    /** Responds with the state of the job [id]; a request that [isForwarded] is not forwarded again. */
     fun query(
         id: String,
         isForwarded: Boolean,
--- a/src/main/kotlin/burlridge/api/JobResponses.kt
+++ b/src/main/kotlin/burlridge/api/JobResponses.kt
@@ -8,38 +8,38 @@
 import burlridge.core.HttpStatus
 import burlridge.json.Json
 
-/** The answers to users, and the JSON of their bodies. */
+/** The responses to users, with the JSON of their bodies. */
 internal class JobResponses(
     private val registry: JobRegistry,
 ) {
-    /** The job is accepted by this request. */
+    /** 201: this request created the job. */
     fun accepted(id: String): HttpResponse = HttpResponse(HttpStatus.CREATED, encodeState(id, JobState.QUEUED))
 
-    /** The state of a job that was accepted before. */
+    /** 200 with the state of a job that had been accepted before. */
     fun state(
         id: String,
         jobState: JobState,
     ): HttpResponse = HttpResponse(HttpStatus.OK, encodeState(id, jobState))
 
-    /** How far a job is that has not ended. */
+    /** 200 with the progress of a job that has not ended. */
     fun progress(job: Job): HttpResponse = HttpResponse(HttpStatus.OK, encodeProgress(job))
 
-    /** How a job has ended. */
+    /** 200 with the final state of a job that has ended. */
     fun finished(
         id: String,
         row: FinishedJobRow,
     ): HttpResponse = HttpResponse(HttpStatus.OK, encodeFinished(id, row))
 
-    /** The id is taken by a job with another specification. */
+    /** 409: the id belongs to a job with another specification. */
     fun idTaken(id: String): HttpResponse = HttpResponse.error(HttpStatus.CONFLICT, "$id has been submitted with another description")
 
-    /** No job of that id was ever accepted. */
+    /** 404: no job with that id was ever accepted, or the id is invalid. */
     fun notFound(): HttpResponse = HttpResponse.error(HttpStatus.NOT_FOUND, "no such job")
 
-    /** The rows cannot be read. */
+    /** 503: the rows cannot be read. */
     fun storeUnavailable(): HttpResponse = HttpResponse.unavailable("the state service does not answer")
 
-    /** The outcome of a write is not known. */
+    /** 503: the outcome of a write is unknown. */
     fun outcomeUnknown(): HttpResponse = HttpResponse.unavailable("the state service has not answered")
 
     private fun encodeState(
@@ -79,10 +79,10 @@
         )
 
     internal companion object {
-        /** The states in which a job has ended. */
+        /** The final states of a job. */
         private val END_STATES = listOf(JobState.DONE, JobState.CANCELLED)
 
-        /** How a job has ended, as another member's answer says; null where it does not say so. */
+        /** Decodes the end of a job from another member's [response]; null if the response does not say that the job has ended. */
         fun decodeFinished(response: HttpResponse): FinishedJobRow? {
             val body = Json.parseOrNull(response.body) ?: return null
             val jobState = END_STATES.firstOrNull { it.wireName == body.path("standing").asText() } ?: return null
--- a/src/main/kotlin/burlridge/api/JobSubmission.kt
+++ b/src/main/kotlin/burlridge/api/JobSubmission.kt
@@ -11,7 +11,7 @@
 import burlridge.peer.PeerRequests
 import burlridge.store.StoreClient
 
-/** Serves submissions. A repeated submission is recognized by the job's id and fingerprint, so a user can always retry. */
+/** Serves submissions. They are idempotent: a repetition is recognized by the job's id and fingerprint, so a user can always retry. */
 internal class JobSubmission(
     private val context: StepContext,
     private val store: StoreClient,
@@ -23,10 +23,10 @@
     private val gangAdmission: GangAdmission,
     private val createJob: (JobSpec, (HttpResponse) -> Unit) -> Unit,
 ) {
-    /** Jobs accepted lately by any member: a repetition costs no write, and writes are what all members share least of. */
+    /** Jobs recently accepted by any member. A repetition costs no write, and writes are the scarcest resource that the members share. */
     private val recentlyAccepted = BoundedMap<String, Unit>(MAX_RECENTLY_ACCEPTED)
 
-    /** Any member has accepted [job]. */
+    /** Records that this or another member has accepted [job]. */
     fun onAccepted(job: String) {
         recentlyAccepted[job] = Unit
     }
@@ -46,8 +46,8 @@
     }
 
     /**
-     * Submits here, or through a peer where the key-value store refuses this member alone. The row's key makes it safe to try there what
-     * has an unknown outcome here.
+     * Submits at this member, or through a peer if the key-value store rejects only this member's requests. The row is written only if its
+     * key does not exist, so it is safe to submit through a peer after an attempt with unknown outcome at this member.
      */
     private fun route(
         body: String,
@@ -90,7 +90,7 @@
         isForwarded: Boolean,
         respond: (HttpResponse) -> Unit,
     ) {
-        // Parsed anew rather than kept from before: hundreds of submissions may wait at once, and trees take memory.
+        // Parsed again instead of keeping the tree from [submit]: hundreds of submissions may wait at once, and trees take memory.
         val parsed = SubmissionBody(body)
         val spec =
             try {
@@ -117,7 +117,7 @@
         if (id == null) respond(refusal) else lookup.refuseUnlessStored(id, null, refusal, respond)
     }
 
-    /** The answer to a new job that cannot be accepted, now or ever; null where it can. */
+    /** The refusal of a new job that cannot be accepted now or can never run; null if it can be accepted. */
     private fun refusalFor(spec: JobSpec): HttpResponse? {
         if (lookup.isEndUncertain(spec.id)) return HttpResponse.unavailable("its end is being written")
         val catalog = fleet.catalog ?: return HttpResponse.unavailable("the machine types are not known yet")
@@ -127,7 +127,7 @@
         }
     }
 
-    /** The leader can respond without a read; [body] is null where the request must not be forwarded. */
+    /** Forwards a repetition to the leader, which can respond without a read; [body] is null if the request must not be forwarded. */
     private fun submitRepeated(
         spec: JobSpec,
         body: String?,
--- a/src/main/kotlin/burlridge/api/JobValidation.kt
+++ b/src/main/kotlin/burlridge/api/JobValidation.kt
@@ -9,18 +9,18 @@
 import burlridge.store.StoreClient
 import com.fasterxml.jackson.databind.JsonNode
 
-/** Whether a job could ever run. */
+/** The result of the check whether a job could ever run. */
 internal sealed interface JobFeasibility {
-    /** Some machine type can run it, and its team may. */
+    /** Some machine type can run the job's tasks, and the team's quota allows them. */
     data object Feasible : JobFeasibility
 
-    /** No state of the cluster would let it run; [reason] is for its owner. */
+    /** The job cannot run in any state of the cluster; [reason] is reported to its owner. */
     data class Infeasible(
         val reason: String,
     ) : JobFeasibility
 }
 
-/** Checks whether a job could ever run; the verdict is the same for every repetition of its submission. */
+/** Checks whether a job could ever run; the result is the same for every repetition of its submission. */
 internal class JobValidation(
     private val context: StepContext,
     private val store: StoreClient,
@@ -71,6 +71,6 @@
         return !spec.oneZone && zones.size > 1
     }
 
-    /** The row of an accepted job. */
+    /** The row of a job that is accepted now. */
     fun activeRow(spec: JobSpec): JsonNode = JobRowCodec.encodeActive(ActiveJobRow(spec, context.wallMillis))
 }
--- a/src/main/kotlin/burlridge/api/StoredJob.kt
+++ b/src/main/kotlin/burlridge/api/StoredJob.kt
@@ -3,21 +3,21 @@
 import burlridge.allocation.FinishedJobRow
 import burlridge.allocation.JobState
 
-/** What the rows of a job say. */
+/** The state of a job according to its rows. */
 internal sealed interface StoredJob {
-    /** A row could not be read, or means nothing to this version. */
+    /** A row could not be read from the store, or this version cannot decode it. */
     data object Unreadable : StoredJob
 
-    /** There is no row: no such job was ever accepted. */
+    /** There is no row: the job was never accepted. */
     data object Missing : StoredJob
 
-    /** The job was accepted, with the specification of this [fingerprint]. */
+    /** The job was accepted, with the specification that has this [fingerprint]. */
     sealed interface Present : StoredJob {
         val fingerprint: String
         val jobState: JobState
     }
 
-    /** The job has not ended. The row does not say whether it runs. */
+    /** The job has not ended. The row does not say whether it is running, so [jobState] is queued. */
     data class Active(
         override val fingerprint: String,
     ) : Present {
--- a/src/main/kotlin/burlridge/api/StoredJobReader.kt
+++ b/src/main/kotlin/burlridge/api/StoredJobReader.kt
@@ -9,12 +9,12 @@
 import burlridge.store.Row
 import burlridge.store.StoreClient
 
-/** Reads a job's rows, and lets the registry remember the ends that it finds. */
+/** Reads a job's rows, and records jobs that have ended in the registry. */
 internal class StoredJobReader(
     private val store: StoreClient,
     private val registry: JobRegistry,
 ) {
-    /** Reads the active row first: a job moves from there to its finished row, so one that is missed there is found here. */
+    /** Reads the active row first: a job moves from it to its finished row, so a job that ends between the two reads is not missed. */
     fun read(
         id: String,
         onResult: (StoredJob) -> Unit,
--- a/src/main/kotlin/burlridge/api/SubmissionBody.kt
+++ b/src/main/kotlin/burlridge/api/SubmissionBody.kt
@@ -11,10 +11,10 @@
 ) {
     private val json = Json.parseOrNull(text)
 
-    /** Whether it describes a gang. */
+    /** Whether the body describes a gang. */
     val isGang: Boolean get() = json?.path("shape")?.asText() == JobSpecCodec.GANG
 
-    /** The job's id; null where there is no valid one. */
+    /** The job's id; null if there is no valid one. */
     val jobId: String? get() =
         json
             ?.path("id")
@@ -22,6 +22,6 @@
             ?.asText()
             ?.takeIf(JobSpec::isValidId)
 
-    /** The job; throws [InvalidJobException] where the body does not describe one. */
+    /** Returns the job; throws [InvalidJobException] if the body does not describe a valid one. */
     fun parse(): JobSpec = JobSpecCodec.decode(json)
 }
--- a/src/main/kotlin/burlridge/core/BoundedMap.kt
+++ b/src/main/kotlin/burlridge/core/BoundedMap.kt
@@ -1,6 +1,6 @@
 package burlridge.core
 
-/** A map with at most [capacity] entries, of which the least recently used is dropped first. */
+/** A map with at most [capacity] entries; the least recently used entry is evicted first. */
 internal class BoundedMap<K, V>(
     private val capacity: Int,
 ) {
--- a/src/main/kotlin/burlridge/core/Effect.kt
+++ b/src/main/kotlin/burlridge/core/Effect.kt
@@ -3,11 +3,11 @@
 import burlridge.message.PeerMessage
 import burlridge.settings.Endpoint
 
-/** What the core wants done outside; whoever steps the core carries effects out in their order. */
+/** An action that the core requests from its caller, which carries out the effects of a step in their order. */
 internal sealed interface Effect {
     /**
-     * Time of the steady clock, in seconds, after which this must not leave any more: the process may have been paused since it was
-     * decided, and another member elected. [NO_DEADLINE] for what a fence makes safe at any time.
+     * Monotonic time, in seconds, after which this effect must not be sent: the process may have been paused since the decision, and
+     * another member may have been elected. [NO_DEADLINE] for effects that are safe at any time, such as writes guarded by a fencing token.
      */
     val sendDeadline: Double get() = NO_DEADLINE
 
@@ -16,7 +16,7 @@
         val id: Long,
         val status: Int,
         val body: String,
-        /** Value of the `Retry-After` header; null for no such header. */
+        /** Value of the `Retry-After` header; null to omit the header. */
         val retryAfterSeconds: Int?,
         override val sendDeadline: Double = NO_DEADLINE,
     ) : Effect
@@ -33,14 +33,14 @@
         override val sendDeadline: Double = NO_DEADLINE,
     ) : Effect
 
-    /** A message to another controller; nobody is told whether it arrives. */
+    /** A message to another controller; its delivery is not confirmed. */
     data class SendToPeer(
         val member: String,
         val message: PeerMessage,
         override val sendDeadline: Double = NO_DEADLINE,
     ) : Effect
 
-    /** Something for the trace file; emitted only where an operator has set one. */
+    /** An event for the trace file; emitted only if the operators' settings name one. */
     data class Trace(
         val event: TraceEvent,
         val wallMillis: Long,
@@ -53,13 +53,13 @@
     ) : Effect
 
     companion object {
-        /** Stands for no deadline. */
+        /** The [sendDeadline] of effects without one. */
         const val NO_DEADLINE: Double = Double.MAX_VALUE
     }
 }
 
-/** Levels of log lines; `LOG_LEVEL` names the lowest one that is written. */
+/** Levels of log lines; the environment variable `LOG_LEVEL` names the least severe one that is written. */
 internal enum class LogLevel { ERROR, INFO, DEBUG }
 
-/** Something that a trace can record; each package declares its own kinds. */
+/** An event that a trace can record; each package declares its own types of events. */
 internal interface TraceEvent
--- a/src/main/kotlin/burlridge/core/HttpStatus.kt
+++ b/src/main/kotlin/burlridge/core/HttpStatus.kt
@@ -1,6 +1,6 @@
 package burlridge.core
 
-/** The HTTP statuses that the protocol uses. */
+/** The HTTP status codes that the protocols use. */
 internal object HttpStatus {
     const val OK: Int = 200
     const val CREATED: Int = 201
--- a/src/main/kotlin/burlridge/core/Input.kt
+++ b/src/main/kotlin/burlridge/core/Input.kt
@@ -2,12 +2,12 @@
 
 import burlridge.message.PeerMessage
 
-/** What happens outside and the core is told of, one at a time. */
+/** An event outside the core; each step of the core processes one. */
 internal sealed interface Input {
-    /** Time has passed; comes about every tenth of a second. */
+    /** A timer tick, about every tenth of a second. */
     data object Tick : Input
 
-    /** The process is asked to stop; it may hand leadership over first. */
+    /** A request to stop the process, which may hand over the leadership first. */
     data object DrainRequested : Input
 
     /** A request of a user, a worker or an operator; answered by an [Effect.Respond] with the same [id]. */
@@ -33,15 +33,15 @@
 
 /** How a call to an outside system ended. */
 internal sealed interface CallOutcome {
-    /** An HTTP response came, whatever its status. */
+    /** An HTTP response arrived, whatever its status. */
     data class Responded(
         val status: Int,
         val body: String,
     ) : CallOutcome
 
-    /** No connection was made, so nothing was executed and nothing will be. */
+    /** No connection was made, so the request has not been executed and will not be. */
     data object NotSent : CallOutcome
 
-    /** The request left and no response came: it may have been executed, or may still be. */
+    /** The request was sent but no response arrived: it may have been executed, or may still be. */
     data object Unknown : CallOutcome
 }
--- a/src/main/kotlin/burlridge/core/LogLine.kt
+++ b/src/main/kotlin/burlridge/core/LogLine.kt
@@ -1,8 +1,8 @@
 package burlridge.core
 
 /**
- * A log line that can be searched: [event] is a fixed phrase, and each of [details] follows it as `key=value`. Values with spaces or quotes
- * are quoted; a detail whose value is null is left out.
+ * Formats a structured log line: [event] is a fixed phrase to search for, and each of [details] follows it as `key=value`. Values that are
+ * empty or contain a space, a quote, an equals sign or a control character are quoted; details whose value is null are omitted.
  */
 internal fun logLine(
     event: String,
--- a/src/main/kotlin/burlridge/core/LogRateLimiter.kt
+++ b/src/main/kotlin/burlridge/core/LogRateLimiter.kt
@@ -2,12 +2,12 @@
 
 import it.unimi.dsi.fastutil.objects.Object2IntOpenHashMap
 
-/** Limits log lines of one kind within a second: when a zone is lost, a thousand machines are one event. */
+/** Limits the log lines of each kind per second: the loss of a zone would otherwise log a line for each of a thousand machines. */
 internal class LogRateLimiter {
     private val linesByKind = Object2IntOpenHashMap<String>()
     private var windowEndsAt = 0.0
 
-    /** Whether one more line of [kind] may be logged at [now]; lines that may not are counted. */
+    /** Counts a line of [kind] at [now] and returns whether it may be logged. */
     fun tryAcquire(
         kind: String,
         now: Double,
@@ -16,7 +16,7 @@
         return linesByKind.addTo(kind, 1) < MAX_LINES_PER_KIND
     }
 
-    /** Once the window is over, a line for each kind of which some were left out. */
+    /** Ends the window if its time has passed; returns a line for each kind of which lines were suppressed in it. */
     fun summarize(now: Double): List<String> {
         if (linesByKind.isEmpty() || now < windowEndsAt) return emptyList()
         val summaries =
--- a/src/main/kotlin/burlridge/core/ScheduledActions.kt
+++ b/src/main/kotlin/burlridge/core/ScheduledActions.kt
@@ -2,7 +2,7 @@
 
 import java.util.PriorityQueue
 
-/** Actions that wait for their time; those due at the same time run in the order in which they were scheduled. */
+/** Actions scheduled for a later time; those due at the same time run in the order in which they were scheduled. */
 internal class ScheduledActions {
     private class ScheduledAction(
         val dueAt: Double,
@@ -16,7 +16,7 @@
     private val queue = PriorityQueue<ScheduledAction>()
     private var nextSequenceNumber = 0L
 
-    /** Schedules [action] for the time [dueAt], in seconds of the steady clock. */
+    /** Schedules [action] for the monotonic time [dueAt], in seconds. */
     fun add(
         dueAt: Double,
         action: () -> Unit,
@@ -24,7 +24,7 @@
         queue.add(ScheduledAction(dueAt, nextSequenceNumber++, action))
     }
 
-    /** Runs all actions that are due at [now], including those that they schedule for [now] themselves. */
+    /** Runs all actions that are due at [now], including those that they themselves schedule for [now] or earlier. */
     fun runDue(now: Double) {
         while (true) {
             val due = queue.peek()?.takeIf { it.dueAt <= now } ?: return
--- a/src/main/kotlin/burlridge/core/StepContext.kt
+++ b/src/main/kotlin/burlridge/core/StepContext.kt
@@ -8,22 +8,25 @@
 import kotlin.random.Random
 
 /**
- * What all slices share while the core takes one step: the time, the random source, the effects so far, the calls whose outcome is open,
- * scheduled actions, counters and log lines. It does no I/O; whoever steps the core carries out the effects.
+ * The state that all packages of the core share during a step: the time, the random source, the effects so far, calls in flight, scheduled
+ * actions, counters and log lines. It does no I/O; the caller of the core carries out the effects.
  */
 internal class StepContext(
     val settings: Settings,
     seed: Long,
 ) {
-    /** Steady clock of this step, in seconds; it never goes back. */
+    /** Monotonic time of this step, in seconds; it never decreases. */
     var now: Double = 0.0
         private set
 
-    /** Time of day in milliseconds, within the bound that the settings give; only for ages that outlive a process. */
+    /**
+     * Wall-clock time of this step, in milliseconds, accurate within the bound that the platform guarantees. It is used only for times and
+     * ages that must outlive a process or be comparable with those of other processes.
+     */
     var wallMillis: Long = 0
         private set
 
-    /** The only source of randomness in the core, so that a seed determines a run. */
+    /** The only source of randomness in the core, so that the seed and the inputs determine a run. */
     val random: Random = Random(seed)
     private var effects = ArrayList<Effect>()
     private val pendingCalls = Long2ObjectOpenHashMap<(CallOutcome) -> Unit>()
@@ -31,7 +34,7 @@
     private val scheduledActions = ScheduledActions()
     private val logRateLimiter = LogRateLimiter()
 
-    /** Totals since the start of the process, by metric name. */
+    /** Counts since the start of the process, by metric name. */
     val counters: Object2LongOpenHashMap<String> = Object2LongOpenHashMap()
 
     /** Adds [amount] to the counter [name]. */
@@ -42,7 +45,7 @@
         counters.addTo(name, amount.toLong())
     }
 
-    /** Sets the time of the step that begins. */
+    /** Begins a step at the given time, and logs the lines that summarize suppressed ones if they are due. */
     fun beginStep(
         now: Double,
         wallMillis: Long,
@@ -52,11 +55,12 @@
         logRateLimiter.summarize(this.now).forEach { info(it) }
     }
 
-    /** The effects of the step that ends, in the order in which they must be carried out. */
+    /** Ends the step and returns its effects, in the order in which they must be carried out. */
     fun finishStep(): List<Effect> = effects.also { effects = ArrayList() }
 
     /**
-     * Calls an outside system. [onResult] runs in a later step; a [body] of null sends none. The call must not leave after [sendDeadline].
+     * Calls an external system over HTTP, without a request body if [body] is null. [onResult] runs in a later step. The call must not be
+     * sent after [sendDeadline].
      */
     fun call(
         target: Endpoint,
@@ -72,12 +76,12 @@
         effects += Effect.HttpCall(id, target, method, path, body, timeoutSeconds, sendDeadline)
     }
 
-    /** Hands the outcome of a call to whoever made it; an outcome that comes twice is ignored. */
+    /** Passes the outcome of a call to the `onResult` of that call; a second outcome of the same call is ignored. */
     fun complete(completed: Input.CallCompleted) {
         pendingCalls.remove(completed.callId)?.invoke(completed.outcome)
     }
 
-    /** Answers the request [requestId]. */
+    /** Responds to the request [requestId]. */
     fun respond(
         requestId: Long,
         response: HttpResponse,
@@ -85,7 +89,7 @@
         effects += Effect.Respond(requestId, response.status, response.body, response.retryAfterSeconds, response.sendDeadline)
     }
 
-    /** Sends [message] to another controller; it may be lost, and must not leave after [sendDeadline]. */
+    /** Sends [message] to another controller. It may be lost, and must not be sent after [sendDeadline]. */
     fun send(
         member: String,
         message: PeerMessage,
@@ -99,7 +103,7 @@
         effects += effect
     }
 
-    /** Runs [action] in the first step that comes at least [delaySeconds] from now. */
+    /** Runs [action] in the first step that is at least [delaySeconds] after this one. */
     fun schedule(
         delaySeconds: Double,
         action: () -> Unit,
@@ -128,7 +132,7 @@
         effects += Effect.Log(LogLevel.INFO, logLine(event, details))
     }
 
-    /** An [info] line of which hundreds may come at once: of each [event] the first of a second are logged, the others counted. */
+    /** Like [info], for events that may occur hundreds at a time: lines of an [event] above the limit per second are counted only. */
     fun infoLimited(
         event: String,
         vararg details: Pair<String, Any?>,
--- a/src/main/kotlin/burlridge/json/Json.kt
+++ b/src/main/kotlin/burlridge/json/Json.kt
@@ -13,14 +13,14 @@
 import java.io.StringWriter
 
 /**
- * Reads and writes JSON as trees. It uses Jackson's parser, generator and nodes but no `ObjectMapper`, whose static set-up (date formats,
- * locales, serializers) took a tenth of a controller's start.
+ * Reads and writes JSON as trees. It uses Jackson's parser, generator and nodes but no `ObjectMapper`, whose static initialization (date
+ * formats, locales, serializers) took a tenth of a controller's startup time.
  */
 internal object Json {
     private val factory = JsonFactory()
     private val nodes = JsonNodeFactory.instance
 
-    /** The one value in [text]. Throws [IOException] for anything else. */
+    /** Parses [text], which must hold exactly one JSON value. Throws [IOException] if it does not. */
     fun parse(text: String): JsonNode =
         factory.createParser(text).use { parser ->
             parser.nextToken() ?: throw IOException("there is nothing")
@@ -29,7 +29,7 @@
             node
         }
 
-    /** The value in [text]; null for anything that is not JSON, since malformed input must never end a controller. */
+    /** Parses [text]; returns null if it is null, blank or not a JSON value, since malformed input must never crash a controller. */
     fun parseOrNull(text: String?): JsonNode? =
         try {
             if (text.isNullOrBlank()) null else parse(text)
@@ -37,14 +37,14 @@
             null
         }
 
-    /** [node] as compact JSON text. */
+    /** Returns [node] as compact JSON text. */
     fun write(node: JsonNode): String {
         val text = StringWriter()
         factory.createGenerator(text).use { write(node, it) }
         return text.toString()
     }
 
-    /** Recursive: only trees of our own are written, and they are a few levels deep. */
+    /** Recursion is safe: only trees that the controller builds are written, and they are a few levels deep. */
     private fun write(
         node: JsonNode,
         to: JsonGenerator,
@@ -107,7 +107,7 @@
     /** A new array, filled by [fill]. */
     fun arr(fill: ArrayNode.() -> Unit = {}): ArrayNode = nodes.arrayNode().apply(fill)
 
-    /** Builds a tree without recursion, so that deep nesting costs no stack. */
+    /** Builds a tree without recursion, so that deeply nested input cannot overflow the stack. */
     private class TreeReader(
         private val parser: JsonParser,
     ) {
@@ -118,12 +118,12 @@
             while (true) {
                 val completed = consume(parser.currentToken())
                 if (completed != null && openContainers.isEmpty()) return completed
-                // The parser itself refuses an end of the text within a value.
+                // If the text ends within a value, the parser throws.
                 parser.nextToken()
             }
         }
 
-        /** Takes one token; the node that it completes, if any. */
+        /** Processes one token; returns the node that it completes, if any. */
         private fun consume(token: JsonToken): JsonNode? {
             when (token) {
                 JsonToken.FIELD_NAME -> fieldName = parser.currentName()
@@ -135,7 +135,7 @@
             return null
         }
 
-        /** Puts [node] into the container that is being read; of a field that stands twice the last one counts. */
+        /** Adds [node] to the innermost open container; a duplicate field replaces the earlier one. */
         private fun <T : JsonNode> attach(node: T): T {
             when (val parent = openContainers.lastOrNull()) {
                 is ObjectNode -> parent.replace(fieldName, node)
--- a/src/main/kotlin/burlridge/json/JsonStream.kt
+++ b/src/main/kotlin/burlridge/json/JsonStream.kt
@@ -6,13 +6,13 @@
 import java.io.IOException
 
 /**
- * Reads JSON objects as they are parsed, without building a tree. It serves the messages that arrive hundreds of times a
- * second; what is rare is read by [Json].
+ * Decodes JSON objects while they are parsed, without building a tree. It is used for messages that arrive hundreds of times per second;
+ * rare ones are read with [Json].
  */
 internal object JsonStream {
     private val factory = JsonFactory()
 
-    /** What [decode] makes of the one object in [body]; null where [body] is anything but one JSON object. */
+    /** Returns the result of [decode] for the object in [body]; null if [body] is anything but one JSON object. */
     fun <T : Any> decodeObject(
         body: String,
         decode: (JsonParser) -> T?,
@@ -29,7 +29,7 @@
         }
 }
 
-/** Calls [read] with the name of each field of the object that the parser stands at; [read] takes or skips the value. */
+/** Calls [read] with the name of each field of the object at the parser's position; [read] must consume or skip the value. */
 internal inline fun JsonParser.forEachField(read: (String) -> Unit) {
     while (nextToken() != JsonToken.END_OBJECT) {
         val name = currentName()
@@ -38,7 +38,7 @@
     }
 }
 
-/** Calls [read] at each object of the array that the parser stands at; anything else in it, or another value, is skipped. */
+/** Calls [read] for each object in the array at the parser's position; other elements are skipped, and so is a value that is no array. */
 internal inline fun JsonParser.forEachObject(read: () -> Unit) {
     if (currentToken() != JsonToken.START_ARRAY) {
         skipChildren()
@@ -49,14 +49,14 @@
     }
 }
 
-/** The text at which the parser stands; null, with the value skipped, for another type. */
+/** Returns the string at the parser's position; skips a value of another type and returns null. */
 internal fun JsonParser.textOrNull(): String? {
     if (currentToken() == JsonToken.VALUE_STRING) return text
     skipChildren()
     return null
 }
 
-/** The boolean at which the parser stands; null, with the value skipped, for another type. */
+/** Returns the boolean at the parser's position; skips a value of another type and returns null. */
 internal fun JsonParser.booleanOrNull(): Boolean? {
     val token = currentToken()
     if (token == JsonToken.VALUE_TRUE || token == JsonToken.VALUE_FALSE) return token == JsonToken.VALUE_TRUE
@@ -64,12 +64,12 @@
     return null
 }
 
-/** The number at which the parser stands; null, with the value skipped, for another type. */
+/** Returns the number at the parser's position; skips a value of another type and returns null. */
 internal fun JsonParser.numberOrNull(): Double? {
     if (currentToken().isNumeric) return doubleValue
     skipChildren()
     return null
 }
 
-/** The number at which the parser stands, without its fraction; null, with the value skipped, for another type. */
+/** Returns the number at the parser's position, truncated to an integer; skips a value of another type and returns null. */
 internal fun JsonParser.integerOrNull(): Long? = if (currentToken() == JsonToken.VALUE_NUMBER_INT) longValue else numberOrNull()?.toLong()
--- a/src/main/kotlin/burlridge/settings/BalanceSettings.kt
+++ b/src/main/kotlin/burlridge/settings/BalanceSettings.kt
@@ -1,16 +1,16 @@
 package burlridge.settings
 
-/** What may be done to a running task of a class so that it goes on elsewhere. */
+/** Whether running tasks of a class may be stopped in order to continue on another machine. */
 internal enum class MovePermission(
     val key: String,
 ) {
-    /** It is left to run to its end. */
+    /** Tasks are not moved. */
     NEVER("never"),
 
-    /** It is moved if it saves its progress when it is stopped. */
+    /** Tasks are moved only if they save their progress when they are stopped. */
     SAVED("saved"),
 
-    /** It is moved in any case; work that was not saved is done again. */
+    /** Tasks are moved even if they do not save their progress; unsaved work is repeated. */
     REPEAT("repeat"),
     ;
 
@@ -20,44 +20,44 @@
 }
 
 /**
- * The operators' settings of `[balance]`; without that section none of this package is loaded. `docs/balance-operating.md` explains
- * each key.
+ * The operators' settings in the section `[balance]`; without that section the package `balance` is not used. Most periods are multiples of
+ * the platform's heartbeat interval or worker lease. `docs/balance-operating.md` explains each key.
  */
 internal data class BalanceSettings(
-    /** A task that surely ends within so many report intervals is left to finish on a machine that is drained. */
+    /** A task that certainly ends within this many heartbeat intervals is not moved off a machine that is being drained. */
     val finishReports: Double = 20.0,
-    /** Worker leases for which a task waits for room elsewhere before it is stopped without any. */
+    /** How long a task waits for capacity on another machine before it is stopped without a reservation, in worker leases. */
     val capacityWaitLeases: Double = 1.0,
-    /** Worker leases for which room is kept for a task that was stopped. */
+    /** How long capacity stays reserved for a task that was stopped to be moved, in worker leases. */
     val reservationLeases: Double = 1.0,
-    /** What is permitted for classes that [classMovePermissions] does not name. */
+    /** The permission for classes that are not in [classMovePermissions]. */
     val defaultMovePermission: MovePermission = MovePermission.SAVED,
     val classMovePermissions: Map<String, MovePermission> = emptyMap(),
-    /** Tasks moved within any minute, by all leaders together: in all, of a class, of a team. */
+    /** Limits on the tasks moved within any minute, by successive leaders together: of all tasks, of each class, of each team. */
     val movesPerMinute: Int = 600,
     val classMovesPerMinute: Int = 300,
     val teamMovesPerMinute: Int = 300,
-    /** How often a task may be moved at the most. */
+    /** Limit on how often a single task may be moved. */
     val movesPerTask: Int = 3,
-    /** A machine is hot from this slowdown on, against the same jobs and classes elsewhere; 0 for never. */
+    /** A machine is hot if its slowdown, relative to tasks of the same jobs and classes elsewhere, is above this; 0 to disable. */
     val hotFactor: Double = 1.3,
-    /** It stays hot until its slowdown is below this. */
+    /** A hot machine stays hot until its slowdown is below this. */
     val coolFactor: Double = 1.15,
     /** Whether running tasks are moved off hot machines. */
     val relieveHot: Boolean = true,
-    /** Report intervals that such a move must gain beyond its cost. */
+    /** The run time that a move off a hot machine must save beyond its cost, in heartbeat intervals. */
     val gainReports: Double = 2.0,
-    /** Report intervals for which a machine that has joined, or whose worker began anew, is limited; 0 for never. */
+    /** How long starts on a machine are limited after it joined or its worker restarted, in heartbeat intervals; 0 to disable. */
     val coldReports: Double = 5.0,
-    /** Starts that such a machine may get before any is seen to run; later twice as many as run. */
+    /** Number of tasks that may be starting at once on such a machine; twice the number of its running tasks if that is more. */
     val coldStarts: Int = 4,
-    /** Decisions of which the reasons are kept. */
+    /** Number of recent decisions that are kept with their reasons. */
     val maxDecisions: Int = 2000,
 ) {
-    /** What may be done to running tasks of [jobClass]. */
+    /** The move permission of [jobClass]. */
     fun permission(jobClass: String): MovePermission = classMovePermissions[jobClass] ?: defaultMovePermission
 
-    /** Ends with a [InvalidSettingsException] where this names a class that the platform does not know. */
+    /** Throws [InvalidSettingsException] if [classMovePermissions] names a class for which the platform sets no objective. */
     fun validate(platform: Settings) {
         val known = platform.objectives.mapNotNullTo(sortedSetOf()) { it.jobClass }
         classMovePermissions.keys.firstOrNull { it !in known }?.let {
@@ -114,7 +114,7 @@
             }
         }
 
-        /** `alarm-triage:never, poster-sweep:repeat` */
+        /** Parses a list such as `alarm-triage:never, poster-sweep:repeat`. */
         private fun parseClassMoves(text: String): Map<String, MovePermission> {
             val pairs = text.split(',').map { it.trim() }
             return pairs.associate { pair ->
--- a/src/main/kotlin/burlridge/settings/FailoverSettings.kt
+++ b/src/main/kotlin/burlridge/settings/FailoverSettings.kt
@@ -1,24 +1,24 @@
 package burlridge.settings
 
 /**
- * The operators' settings of `[failover]`; without that section none of this package is loaded. Each figure is a ratio to one of
- * the platform's settings or a plain number; `docs/failover-operating.md` explains each key.
+ * The operators' settings in the section `[failover]`; without that section the package `failover` is not used. Each number is a multiple
+ * of one of the platform's settings or a plain number. `docs/failover-operating.md` explains each key.
  */
 internal data class FailoverSettings(
-    /** Suspicion level from which on a member counts as suspected: minus the decimal logarithm of the chance that it is alive. */
+    /** Suspicion level at or above which a member is suspected: the negative decimal logarithm of the probability that it is alive. */
     val suspectLevel: Double = 4.0,
-    /** Members that keep a standby replica of the leader's rows; 0 for none. */
+    /** Number of members that keep a standby replica of the leader's rows; 0 for none. */
     val standbys: Int = 1,
-    /** Report intervals between two refreshes of the standby replica. */
+    /** Interval between two refreshes of the standby replica, in heartbeat intervals. */
     val refreshReports: Double = 0.5,
-    /** Part of the process's memory limit that the standby replica may take. */
+    /** Share of the process's memory limit that the standby replica may use. */
     val replicaMemoryShare: Double = 0.06,
-    /** Stalls within [STALL_WINDOW_LEASES] leases after which a leader hands over by itself; 0 for never. */
+    /** Number of stalls within [STALL_WINDOW_LEASES] leases after which a leader hands over on its own initiative; 0 to disable. */
     val slowStalls: Int = 0,
-    /** File to which traces of leader changes are appended, one JSON object a line; null for no traces. */
+    /** File to which traces of leader changes are appended, one JSON object per line; null to disable traces. */
     val traceFile: String? = null,
 ) {
-    /** How long a process that is asked to stop waits for a successor, in seconds. */
+    /** How long a process that was requested to stop waits for a successor, in seconds. */
     fun drainTimeoutSeconds(settings: Settings): Double =
         settings.workers.reportSeconds * settings.operator.leaseReports * DRAIN_TIMEOUT_LEASES
 
@@ -37,7 +37,7 @@
             )
         }
 
-        /** How far back a leader's stalls count, in leases. */
+        /** Length of the window in which a leader's stalls are counted, in leader leases. */
         const val STALL_WINDOW_LEASES: Double = 8.0
         private const val DRAIN_TIMEOUT_LEASES = 4.0
     }
--- a/src/main/kotlin/burlridge/settings/IniSection.kt
+++ b/src/main/kotlin/burlridge/settings/IniSection.kt
@@ -4,18 +4,18 @@
 import org.ini4j.InvalidFileFormatException
 import java.io.StringReader
 
-/** One section of the operators' settings. Its readers throw [InvalidSettingsException], naming the key, for a value that cannot be used. */
+/** One section of the operators' settings. Its getters throw [InvalidSettingsException], which names the key, for an invalid value. */
 internal class IniSection(
     private val name: String,
     private val values: Map<String, String>,
 ) {
-    /** A non-empty text; null where the key is absent. */
+    /** A non-empty text; null if the key is absent. */
     fun text(key: String): String? =
         values[key]?.trim()?.also {
             if (it.isEmpty()) throw InvalidSettingsException("$key in [$name] is empty")
         }
 
-    /** `true` or `false`; [default] where the key is absent. */
+    /** `true` or `false`; [default] if the key is absent. */
     fun flag(
         key: String,
         default: Boolean,
@@ -24,7 +24,7 @@
         return text.toBooleanStrictOrNull() ?: throw InvalidSettingsException("$key in [$name] must be true or false, not \"$text\"")
     }
 
-    /** An integer within [range]; [default] where the key is absent. */
+    /** An integer within [range]; [default] if the key is absent. */
     fun integer(
         key: String,
         default: Int,
@@ -35,7 +35,7 @@
         return value.toInt()
     }
 
-    /** A number within [range]; [default] where the key is absent. */
+    /** A number within [range]; [default] if the key is absent. */
     fun number(
         key: String,
         default: Double,
@@ -50,7 +50,7 @@
     }
 
     internal companion object {
-        /** The sections of [text], of which only those of [keys] may be there, each with no other than its keys. */
+        /** Parses [text]; throws [InvalidSettingsException] if a section or one of its keys is not in [keys]. */
         fun parse(
             text: String,
             keys: Map<String, Set<String>>,
--- a/src/main/kotlin/burlridge/settings/OperatorSettings.kt
+++ b/src/main/kotlin/burlridge/settings/OperatorSettings.kt
@@ -1,23 +1,23 @@
 package burlridge.settings
 
 /**
- * The operators' own settings, an INI file beside the platform's. Most figures are ratios to one of the platform's, so that the defaults
- * suit any deployment; `docs/operating.md` explains each key.
+ * The operators' settings, read from an INI file that is separate from the platform's settings. Most numbers are multiples of one of the
+ * platform's settings, so that the defaults suit any deployment. `docs/operating.md` explains each key.
  */
 internal data class OperatorSettings(
-    /** Machines sampled for the best fit of a task. */
+    /** Number of machines that are sampled at random to find the best fit for a task. */
     val sampleSize: Int = 5,
-    /** Report intervals that a machine stays idle before it is returned. */
+    /** How long a machine stays idle before it is returned, in heartbeat intervals. */
     val idleReports: Double = 20.0,
-    /** Capacity kept free for job classes with a `wait` objective, in jobs of their usual size. */
+    /** Capacity kept free for each job class with a `wait` objective, in jobs of the class's average size. */
     val headroom: Double = 1.5,
-    /** Capacity kept free for gangs that are likely to arrive, in standard deviations above their mean rate. */
+    /** Capacity kept free for gangs that are likely to arrive, in standard deviations above the mean number of arrivals. */
     val gangDeviations: Double = 2.0,
-    /** The leader's lease, in report intervals. */
+    /** Time to live of the leader's lease, in heartbeat intervals. */
     val leaseReports: Double = 0.75,
-    /** Section `[failover]`; null where failover is off. */
+    /** Section `[failover]`; null if failover is disabled. */
     val failover: FailoverSettings? = null,
-    /** Section `[balance]`; null where drains and moves are off. */
+    /** Section `[balance]`; null if drains and moves are disabled. */
     val balance: BalanceSettings? = null,
 ) {
     internal companion object {
--- a/src/main/kotlin/burlridge/settings/Settings.kt
+++ b/src/main/kotlin/burlridge/settings/Settings.kt
@@ -7,7 +7,7 @@
     val endpoint: Endpoint,
 )
 
-/** A team with its guarantee and its limit (quota); 0 means none. */
+/** A team with its guaranteed resources ([cpus], [gpus]) and its quota ([cpusMax], [gpusMax]); 0 means no guarantee or no limit. */
 internal data class Team(
     val name: String,
     val cpus: Double,
@@ -16,39 +16,39 @@
     val gpusMax: Double,
 )
 
-/** A service-level objective of the deployment; fields that its [kind] does not have are null. */
+/** A service-level objective of the deployment; fields that its [kind] does not use are null. */
 internal data class ServiceLevelObjective(
-    /** `wait`, `finished`, `deadline` and others, in the words of the settings file. */
+    /** `wait`, `finished`, `deadline` or another kind, as named in the settings file. */
     val kind: String,
     val jobClass: String?,
     val withinSeconds: Double?,
-    /** Share of jobs or tasks that should meet it, from 0 to 1. */
+    /** Share of jobs or tasks that should meet the objective, from 0 to 1. */
     val share: Double?,
 )
 
-/** Intervals that the platform sets for workers. */
+/** Intervals and timeouts that the platform sets for workers. */
 internal data class WorkerTimings(
     /** Interval between two heartbeats. */
     val reportSeconds: Double,
-    /** A worker kills its tasks when no heartbeat was answered for so long. */
+    /** The worker lease: a worker kills its tasks if none of its heartbeats has been answered for this time. */
     val leaseSeconds: Double,
-    /** Within this time after a confirmed cancellation all tasks of the job must be gone. */
+    /** Time after a confirmed cancellation within which all tasks of the job must have ended. */
     val cancelSeconds: Double,
-    /** Null where the platform knows no gangs. */
+    /** Null if the platform does not support gangs. */
     val gang: GangTimings? = null,
 )
 
-/** Intervals that the platform sets for gangs. */
+/** Timeouts that the platform sets for gangs. */
 internal data class GangTimings(
-    /** How long a task waits for the others of its attempt. */
+    /** How long a started task waits for the other tasks of its attempt. */
     val waitSeconds: Double,
-    /** Within which the tasks of a gang notice a loss, and must all be told of a stop. */
+    /** Time within which the tasks of a gang detect the loss of one, and within which a stop must reach all of them. */
     val peerSeconds: Double,
 )
 
 /**
- * Limits of the key-value store, shared by all controllers. It may lower them at any moment, without notice, to those announced in
- * `state.next`; the lower of both binds from the first write.
+ * Limits of the key-value store, shared by all controllers. The store may lower them at any time, without notice, to those announced in
+ * `state.next`; therefore the lower value of each applies from the first write.
  */
 internal data class StoreLimits(
     /** Requests per second. */
@@ -63,19 +63,19 @@
 internal data class CloudLimits(
     /** Requests per second. */
     val rps: Double,
-    /** Age of what its machine list shows, in the usual case. */
+    /** Usual lag of the cloud's machine list behind the actual state, in seconds. */
     val listLagSeconds: Double,
 )
 
-/** Resources of a controller's process. */
+/** Resource limits of a controller's process. */
 internal data class ProcessLimits(
-    /** Share of one core. */
+    /** CPU time that the process may use, as a share of one core. */
     val cpuShare: Double,
     val memoryMb: Double,
     val maxConnections: Int,
 )
 
-/** The platform's settings file of one controller, validated, with the operators' own settings. */
+/** The validated settings of one controller: those of the platform's file and, in [operator], the operators' own. */
 internal data class Settings(
     val member: String,
     val zone: String,
--- a/src/main/kotlin/burlridge/settings/SettingsParser.kt
+++ b/src/main/kotlin/burlridge/settings/SettingsParser.kt
@@ -5,17 +5,17 @@
 import com.fasterxml.jackson.databind.JsonNode
 import java.io.IOException
 
-/** Reads and validates the platform's settings file; the names of its fields stand here and nowhere else. */
+/** Parses and validates the platform's settings file; no other code uses the names of its fields. */
 internal object SettingsParser {
-    /** A limit beyond these ranges is a mistake in the file. */
+    /** Values outside these ranges are assumed to be mistakes in the file. */
     private val CPU_SHARE_RANGE = 0.001..100.0
     private val MEMORY_MB_RANGE = 32.0..1_000_000.0
 
-    /** Fewer connections cannot be divided among users, workers, controllers and outside services. */
+    /** Fewer than 40 connections cannot be divided among users, workers, controllers and external services. */
     private val MAX_CONNECTIONS_RANGE = 40.0..1_000_000.0
     private const val BYTES_PER_KB = 1024
 
-    /** Throws [InvalidSettingsException] with a line that names the field. */
+    /** Throws [InvalidSettingsException] with a one-line message that names the invalid field. */
     fun parse(text: String): Settings =
         try {
             read(Json.parse(text))
--- a/src/test/kotlin/burlridge/core/LogLineTest.kt
+++ b/src/test/kotlin/burlridge/core/LogLineTest.kt
@@ -5,7 +5,7 @@
 
 internal class LogLineTest {
     @Test
-    fun `details follow the event as key and value, quoted where they must be`() {
+    fun `details follow the event as key=value, quoted if needed, and nulls are omitted`() {
         assertEquals("leader elected", logLine("leader elected", emptyArray()))
         val line =
             logLine(
--- a/src/test/kotlin/burlridge/core/LogRateLimiterTest.kt
+++ b/src/test/kotlin/burlridge/core/LogRateLimiterTest.kt
@@ -4,9 +4,9 @@
 import org.junit.jupiter.api.Test
 
 internal class LogRateLimiterTest {
-    /** Guards the log on the day that hundreds of machines are lost at once. */
+    /** Guards against a flood of log lines when hundreds of machines are lost at once. */
     @Test
-    fun `of hundreds of lines alike the first are logged and the others summed up`() {
+    fun `the first lines of each kind in a second are logged and the others counted`() {
         val rateLimiter = LogRateLimiter()
         assertEquals(20, (1..284).count { rateLimiter.tryAcquire("machines gone", 5.0) })
         assertEquals(3, (1..3).count { rateLimiter.tryAcquire("tasks lost", 5.4) })
--- a/src/test/kotlin/burlridge/settings/SettingsTest.kt
+++ b/src/test/kotlin/burlridge/settings/SettingsTest.kt
@@ -19,7 +19,7 @@
     }
 
     @Test
-    fun `what is wrong is said in one line`() {
+    fun `invalid settings are rejected with a one-line message that names the field`() {
         assertEquals("member must be a non-empty text", errorMessage(validSettings.replace("\"member\":\"drover-0\"", "\"member\":7")))
         assertEquals(
             "params.workers.lease_s must be a number above 0",
@@ -30,7 +30,7 @@
     }
 
     @Test
-    fun `of the state service's present limits and those to come the smaller bind`() {
+    fun `the lower of the current and the announced limits of the state service applies`() {
         val next = validSettings.replace("\"txn_ops\":8", "\"txn_ops\":8,\"next\":{\"value_kb\":2.0,\"txn_ops\":4,\"write_rps\":99.0}")
         assertEquals(StoreLimits(100.0, 25.0, 2048, 4), Settings.parse(next).storeLimits)
         assertEquals(StoreLimits(100.0, 25.0, 8192, 8), Settings.parse(validSettings).storeLimits)
@@ -39,7 +39,7 @@
     }
 
     @Test
-    fun `gang times come together or not at all`() {
+    fun `gang timings must be set both or not at all`() {
         val both = validSettings.replace("\"lease_s\":24.0", "\"lease_s\":24.0,\"gang_wait_s\":50.0,\"gang_peer_s\":5.0")
         assertEquals(GangTimings(50.0, 5.0), Settings.parse(both).workers.gang)
         assertEquals(null, Settings.parse(validSettings).workers.gang)
@@ -48,7 +48,7 @@
     }
 
     @Test
-    fun `limits of the process that are absent, zero, negative, no number or absurd are named`() {
+    fun `process limits that are missing, not a number or out of range are rejected by name`() {
         val processLimits = Settings.parse(validSettings).processLimits
         assertEquals(ProcessLimits(0.2, 200.0, 1000), processLimits)
         val ranges =
@@ -79,7 +79,7 @@
     }
 
     @Test
-    fun `operators' settings refuse unknown keys and figures out of range`() {
+    fun `unknown sections, unknown keys and values out of range in the operators' settings are rejected`() {
         assertEquals(7, OperatorSettings.parse("[placement]\nsample = 7\n").sampleSize)
         assertThrows(InvalidSettingsException::class.java) { OperatorSettings.parse("[placement]\nsampel = 7\n") }
         assertThrows(InvalidSettingsException::class.java) { OperatorSettings.parse("[fleets]\n") }
