--- a/src/main/kotlin/burlridge/api/GangAdmission.kt
+++ b/src/main/kotlin/burlridge/api/GangAdmission.kt
@@ -8,8 +8,9 @@
 import burlridge.leadership.GangSupport
 
 /**
- * Whether gangs can be submitted. They are accepted once every member supports them, and never forwarded to one that may not. Until then a
- * gang is refused at once; for one that has been accepted its state is given all the same.
+ * Decides whether gangs can be submitted. They are accepted only once every member supports them, so that none is forwarded to a member
+ * that may not. Until then the submission of a gang is refused at once, unless the gang has been accepted already: then the response is
+ * its state.
  */
 internal class GangAdmission(
     private val context: StepContext,
@@ -20,7 +21,7 @@
 ) {
     private val retryAfterSeconds = Math.ceil(context.settings.workers.reportSeconds).toInt()
 
-    /** Calls [onAdmitted] where the gang may be submitted, and responds where not. */
+    /** Calls [onAdmitted] if the gang in [body] may be submitted; responds otherwise. */
     fun check(
         body: SubmissionBody,
         respond: (HttpResponse) -> Unit,
@@ -28,15 +29,15 @@
     ) {
         val id = body.jobId
         when {
-            context.settings.workers.gang == null -> refuse(id, HttpResponse.error(HttpStatus.BAD_REQUEST, NO_GANGS), respond)
+            context.settings.workers.gang == null -> refuse(id, HttpResponse.error(HttpStatus.BAD_REQUEST, GANGS_NOT_ENABLED), respond)
             gangGate.allMembersSupportGangs || isKnown(id) -> onAdmitted()
-            else -> gangGate.check { onSupport(it, id, respond, onAdmitted) }
+            else -> gangGate.check { onSupportChecked(it, id, respond, onAdmitted) }
         }
     }
 
     private fun isKnown(id: String?): Boolean = id != null && (registry.finishedJob(id) != null || registry.jobs.containsKey(id))
 
-    private fun onSupport(
+    private fun onSupportChecked(
         support: GangSupport,
         id: String?,
         respond: (HttpResponse) -> Unit,
@@ -44,7 +45,7 @@
     ) {
         when (support) {
             GangSupport.ALL_MEMBERS -> onAdmitted()
-            GangSupport.NOT_ALL_MEMBERS -> refuse(id, HttpResponse.unavailable(NOT_ALL_MEMBERS, retryAfterSeconds), respond)
+            GangSupport.NOT_ALL_MEMBERS -> refuse(id, HttpResponse.unavailable(NOT_ALL_MEMBERS_SUPPORT_GANGS, retryAfterSeconds), respond)
             GangSupport.UNKNOWN -> respond(responses.storeUnavailable())
         }
     }
@@ -58,7 +59,7 @@
     }
 
     private companion object {
-        const val NO_GANGS = "this deployment serves no gangs: params.workers sets no gang times"
-        const val NOT_ALL_MEMBERS = "not every member knows gangs yet"
+        const val GANGS_NOT_ENABLED = "this deployment serves no gangs: params.workers sets no gang times"
+        const val NOT_ALL_MEMBERS_SUPPORT_GANGS = "not every member knows gangs yet"
     }
 }
--- a/src/main/kotlin/burlridge/api/JobSubmission.kt
+++ b/src/main/kotlin/burlridge/api/JobSubmission.kt
@@ -11,7 +11,7 @@
 import burlridge.peer.PeerRequests
 import burlridge.store.StoreClient
 
-/** Serves submissions. A repeated submission is recognized by the job's id and fingerprint, so a user can always retry. */
+/** Serves submissions. They are idempotent: a repetition is recognized by the job's id and fingerprint, so a user can always retry. */
 internal class JobSubmission(
     private val context: StepContext,
     private val store: StoreClient,
@@ -23,10 +23,10 @@
     private val gangAdmission: GangAdmission,
     private val createJob: (JobSpec, (HttpResponse) -> Unit) -> Unit,
 ) {
-    /** Jobs accepted lately by any member: a repetition costs no write, and writes are what all members share least of. */
+    /** Jobs recently accepted by any member. A repetition costs no write, and writes are the scarcest resource that the members share. */
     private val recentlyAccepted = BoundedMap<String, Unit>(MAX_RECENTLY_ACCEPTED)
 
-    /** Any member has accepted [job]. */
+    /** Records that this or another member has accepted [job]. */
     fun onAccepted(job: String) {
         recentlyAccepted[job] = Unit
     }
@@ -46,8 +46,8 @@
     }
 
     /**
-     * Submits here, or through a peer where the key-value store refuses this member alone. The row's key makes it safe to try there what
-     * has an unknown outcome here.
+     * Submits at this member, or through a peer if the key-value store rejects only this member's requests. The row is written only if its
+     * key does not exist, so it is safe to submit through a peer after an attempt with unknown outcome at this member.
      */
     private fun route(
         body: String,
@@ -57,7 +57,7 @@
         val peer = if (isForwarded) null else peers.memberReachingStore()
         when {
             peer == null -> {
-                submitHere(body, isForwarded, respond)
+                submitLocally(body, isForwarded, respond)
             }
 
             !store.isServing -> {
@@ -67,7 +67,7 @@
             }
 
             else -> {
-                submitHere(body, isForwarded = false) { first ->
+                submitLocally(body, isForwarded = false) { first ->
                     if (first.status == HttpStatus.SERVICE_UNAVAILABLE) {
                         forward(peer, body, FORWARD_TIMEOUT_SECONDS) { respond(it ?: first) }
                     } else {
@@ -85,12 +85,12 @@
         onResponse: (HttpResponse?) -> Unit,
     ) = peers.forward(member, "POST", JobApi.PATH, body, timeoutSeconds, onResult = onResponse)
 
-    private fun submitHere(
+    private fun submitLocally(
         body: String,
         isForwarded: Boolean,
         respond: (HttpResponse) -> Unit,
     ) {
-        // Parsed anew rather than kept from before: hundreds of submissions may wait at once, and trees take memory.
+        // Parsed again instead of keeping the tree from [submit]: hundreds of submissions may wait at once, and trees take memory.
         val parsed = SubmissionBody(body)
         val spec =
             try {
@@ -99,7 +99,7 @@
                 return refuseInvalid(parsed.jobId, e, respond)
             }
         val known = lookup.responseToSubmission(spec)
-        val refusal = if (known == null) refusalOf(spec) else null
+        val refusal = if (known == null) refusalFor(spec) else null
         when {
             known != null -> respond(known)
             refusal != null -> lookup.refuseUnlessStored(spec.id, spec.fingerprint, refusal, respond)
@@ -117,17 +117,17 @@
         if (id == null) respond(refusal) else lookup.refuseUnlessStored(id, null, refusal, respond)
     }
 
-    /** The answer to a new job that cannot be accepted, now or ever; null where it can. */
-    private fun refusalOf(spec: JobSpec): HttpResponse? {
+    /** The refusal of a new job that cannot be accepted now or can never run; null if it can be accepted. */
+    private fun refusalFor(spec: JobSpec): HttpResponse? {
         if (lookup.isEndUncertain(spec.id)) return HttpResponse.unavailable("its end is being written")
         val catalog = fleet.catalog ?: return HttpResponse.unavailable("the machine types are not known yet")
-        return when (val verdict = validation.validate(spec, catalog)) {
-            JobVerdict.Runnable -> null
-            is JobVerdict.NeverRuns -> HttpResponse.error(HttpStatus.UNPROCESSABLE, verdict.reason)
+        return when (val feasibility = validation.validate(spec, catalog)) {
+            JobFeasibility.Feasible -> null
+            is JobFeasibility.Infeasible -> HttpResponse.error(HttpStatus.UNPROCESSABLE, feasibility.reason)
         }
     }
 
-    /** The leader can respond without a read; [body] is null where the request must not be forwarded. */
+    /** Forwards a repetition to the leader, which can respond without a read; [body] is null if the request must not be forwarded. */
     private fun submitRepeated(
         spec: JobSpec,
         body: String?,
--- a/src/main/kotlin/burlridge/app/Service.kt
+++ b/src/main/kotlin/burlridge/app/Service.kt
@@ -31,8 +31,8 @@
     private val loop = EventLoop()
     private val scope =
         CoroutineScope(loop + SupervisorJob() + CoroutineExceptionHandler { _, unexpected -> log.error("coroutine failed", unexpected) })
-    private val budget = ConnectionBudget(settings.limits.maxConnections)
-    private val client = HttpClient(loop, scope, budget.maxCalls, budget.maxIdle, setOf(settings.state, settings.cloud), settings.state)
+    private val budget = ConnectionBudget(settings.processLimits.maxConnections)
+    private val client = HttpClient(loop, scope, budget.maxCalls, budget.maxIdle, setOf(settings.stateEndpoint, settings.cloudEndpoint), settings.stateEndpoint)
     private val server = HttpServer(loop, budget, settings.workers.reportSeconds * RECLAIM_AFTER_INTERVALS) { step(it) }
     private val metrics = Metrics()
     private val peers = PeerTransport(settings, loop, metrics::onUnknownPeerMessage) { step(Input.MessageReceived(it)) }
@@ -40,7 +40,7 @@
     private var metricsLoggedAtNanos = 0L
     private val failover = settings.operator.failover
     private val tracer = failover?.traceFile?.let { LeaderChangeTracer(File(it), settings.member) }
-    private val shutdown = if (failover == null) null else OrderlyShutdown(failover.drainPatienceSeconds(settings))
+    private val shutdown = if (failover == null) null else OrderlyShutdown(failover.drainTimeoutSeconds(settings))
 
     /** Runs the controller until the process is killed. */
     fun run() {
@@ -119,7 +119,7 @@
             }
 
             is Effect.HttpCall -> {
-                val context = if (effect.target == settings.state) loop.urgentDispatcher else EmptyCoroutineContext
+                val context = if (effect.target == settings.stateEndpoint) loop.urgentDispatcher else EmptyCoroutineContext
                 scope.launch(context) { step(Input.CallCompleted(effect.callId, client.call(effect))) }
             }
 
--- a/src/main/kotlin/burlridge/balance/GracefulEviction.kt
+++ b/src/main/kotlin/burlridge/balance/GracefulEviction.kt
@@ -26,7 +26,7 @@
     private val newTargetFinder: () -> MoveTargetFinder,
 ) {
     private val finishSeconds = settings.finishReports * context.settings.workers.reportSeconds
-    private val capacityWaitSeconds = settings.roomLeases * context.settings.workers.leaseSeconds
+    private val capacityWaitSeconds = settings.capacityWaitLeases * context.settings.workers.leaseSeconds
 
     /** Time since which no capacity elsewhere has been found for a task, by task name. */
     private var withoutTargetSince = HashMap<String, Double>()
--- a/src/main/kotlin/burlridge/balance/MoveBatchWriter.kt
+++ b/src/main/kotlin/burlridge/balance/MoveBatchWriter.kt
@@ -70,7 +70,7 @@
 
     /** Deletes the rows of batches for which [isNeeded] returns false. */
     fun removeUnused(isNeeded: (MoveBatch) -> Boolean) {
-        val unusedBatches = moves.allBatches.filterNot(isNeeded).take(context.settings.store.changesPerTransaction)
+        val unusedBatches = moves.allBatches.filterNot(isNeeded).take(context.settings.storeLimits.changesPerTransaction)
         if (unusedBatches.isEmpty()) return
         unusedBatches.forEach { it.isBeingRemoved = true }
         val transaction = Transaction(listOf(leadership.fenceCondition()), unusedBatches.map { Change.Delete(it.key) })
--- a/src/main/kotlin/burlridge/balance/MoveExecutor.kt
+++ b/src/main/kotlin/burlridge/balance/MoveExecutor.kt
@@ -31,7 +31,7 @@
 ) {
     private val moves = MoveRegistry(context, settings)
     private val writer = MoveBatchWriter(context, store, leadership, moves, ::onDurable)
-    private val reservationMillis = (settings.keepLeases * context.settings.workers.leaseSeconds * MILLIS_PER_SECOND).toLong()
+    private val reservationMillis = (settings.reservationLeases * context.settings.workers.leaseSeconds * MILLIS_PER_SECOND).toLong()
 
     /** Keys of the rows that cannot be decoded; these rows are left unchanged. */
     val damagedRows: Set<String> get() = moves.damagedRows
@@ -46,7 +46,7 @@
     val tasksMovedInWindow: Int get() = moves.tasksMovedInWindow
 
     /** Maximum number of moves in one row. */
-    val maxMovesPerRow: Int = (context.settings.store.valueBytes / MoveBatch.BYTES_PER_MOVE).coerceAtLeast(1)
+    val maxMovesPerRow: Int = (context.settings.storeLimits.valueBytes / MoveBatch.BYTES_PER_MOVE).coerceAtLeast(1)
 
     /** Clears all state; called when a term begins or ends. */
     fun clear() {
--- a/src/main/kotlin/burlridge/json/Json.kt
+++ b/src/main/kotlin/burlridge/json/Json.kt
@@ -13,14 +13,14 @@
 import java.io.StringWriter
 
 /**
- * Reads and writes JSON as trees. It uses Jackson's parser, generator and nodes but no `ObjectMapper`, whose static set-up (date formats,
- * locales, serializers) took a tenth of a controller's start.
+ * Reads and writes JSON as trees. It uses Jackson's parser, generator and nodes but no `ObjectMapper`, whose static initialization (date
+ * formats, locales, serializers) took a tenth of a controller's startup time.
  */
 internal object Json {
     private val factory = JsonFactory()
     private val nodes = JsonNodeFactory.instance
 
-    /** The one value in [text]. Throws [IOException] for anything else. */
+    /** Parses [text], which must hold exactly one JSON value. Throws [IOException] if it does not. */
     fun parse(text: String): JsonNode =
         factory.createParser(text).use { parser ->
             parser.nextToken() ?: throw IOException("there is nothing")
@@ -29,7 +29,7 @@
             node
         }
 
-    /** The value in [text]; null for anything that is not JSON, since malformed input must never end a controller. */
+    /** Parses [text]; returns null if it is null, blank or not a JSON value, since malformed input must never crash a controller. */
     fun parseOrNull(text: String?): JsonNode? =
         try {
             if (text.isNullOrBlank()) null else parse(text)
@@ -37,14 +37,14 @@
             null
         }
 
-    /** [node] as compact JSON text. */
+    /** Returns [node] as compact JSON text. */
     fun write(node: JsonNode): String {
         val text = StringWriter()
         factory.createGenerator(text).use { write(node, it) }
         return text.toString()
     }
 
-    /** Recursive: only trees of our own are written, and they are a few levels deep. */
+    /** Recursion is safe: only trees that the controller builds are written, and they are a few levels deep. */
     private fun write(
         node: JsonNode,
         to: JsonGenerator,
@@ -107,38 +107,38 @@
     /** A new array, filled by [fill]. */
     fun arr(fill: ArrayNode.() -> Unit = {}): ArrayNode = nodes.arrayNode().apply(fill)
 
-    /** Builds a tree without recursion, so that deep nesting costs no stack. */
+    /** Builds a tree without recursion, so that deeply nested input cannot overflow the stack. */
     private class TreeReader(
         private val parser: JsonParser,
     ) {
-        private val open = ArrayDeque<ContainerNode<*>>()
-        private var name = ""
+        private val openContainers = ArrayDeque<ContainerNode<*>>()
+        private var fieldName = ""
 
         fun read(): JsonNode {
             while (true) {
-                val done = take(parser.currentToken())
-                if (done != null && open.isEmpty()) return done
-                // The parser itself refuses an end of the text within a value.
+                val completed = consume(parser.currentToken())
+                if (completed != null && openContainers.isEmpty()) return completed
+                // If the text ends within a value, the parser throws.
                 parser.nextToken()
             }
         }
 
-        /** Takes one token; the node that it completes, if any. */
-        private fun take(token: JsonToken): JsonNode? {
+        /** Processes one token; returns the node that it completes, if any. */
+        private fun consume(token: JsonToken): JsonNode? {
             when (token) {
-                JsonToken.FIELD_NAME -> name = parser.currentName()
-                JsonToken.START_OBJECT -> open.addLast(attach(nodes.objectNode()))
-                JsonToken.START_ARRAY -> open.addLast(attach(nodes.arrayNode()))
-                JsonToken.END_OBJECT, JsonToken.END_ARRAY -> return open.removeLast()
+                JsonToken.FIELD_NAME -> fieldName = parser.currentName()
+                JsonToken.START_OBJECT -> openContainers.addLast(attach(nodes.objectNode()))
+                JsonToken.START_ARRAY -> openContainers.addLast(attach(nodes.arrayNode()))
+                JsonToken.END_OBJECT, JsonToken.END_ARRAY -> return openContainers.removeLast()
                 else -> return attach(scalar(token))
             }
             return null
         }
 
-        /** Puts [node] into the container that is being read; of a field that stands twice the last one counts. */
+        /** Adds [node] to the innermost open container; a duplicate field replaces the earlier one. */
         private fun <T : JsonNode> attach(node: T): T {
-            when (val parent = open.lastOrNull()) {
-                is ObjectNode -> parent.replace(name, node)
+            when (val parent = openContainers.lastOrNull()) {
+                is ObjectNode -> parent.replace(fieldName, node)
                 is ArrayNode -> parent.add(node)
                 else -> Unit
             }
@@ -148,7 +148,7 @@
         private fun scalar(token: JsonToken): JsonNode =
             when (token) {
                 JsonToken.VALUE_STRING -> nodes.textNode(parser.text)
-                JsonToken.VALUE_NUMBER_INT -> whole()
+                JsonToken.VALUE_NUMBER_INT -> integer()
                 JsonToken.VALUE_NUMBER_FLOAT -> nodes.numberNode(parser.doubleValue)
                 JsonToken.VALUE_TRUE -> nodes.booleanNode(true)
                 JsonToken.VALUE_FALSE -> nodes.booleanNode(false)
@@ -156,7 +156,7 @@
                 else -> throw IOException("unexpected $token")
             }
 
-        private fun whole(): JsonNode =
+        private fun integer(): JsonNode =
             when (parser.numberType) {
                 JsonParser.NumberType.INT -> nodes.numberNode(parser.intValue)
                 JsonParser.NumberType.LONG -> nodes.numberNode(parser.longValue)
--- a/src/test/kotlin/burlridge/balance/MoveTest.kt
+++ b/src/test/kotlin/burlridge/balance/MoveTest.kt
@@ -205,7 +205,7 @@
     /** Guards the charging of moves in the rows of earlier leaders: a new leader may use only what is left of the budget. */
     @Test
     fun `move budgets hold across leaders, and the permission of a job class is respected`() {
-        val settings = EAGER_MOVES.copy(movesPerMinute = 6, movesPerTask = 1, classMoves = mapOf("urgent" to MovePermission.SAVED))
+        val settings = EAGER_MOVES.copy(movesPerMinute = 6, movesPerTask = 1, classMovePermissions = mapOf("urgent" to MovePermission.SAVED))
         val cluster = clusterWithBalance(4, settings)
         val jobs = cluster.submitAll((0 until 10).map { cluster.checkpointingJob(it, 4, runSeconds = 100.0) }, 20.0)
         val jobsWithoutCheckpoints =
@@ -279,7 +279,7 @@
     /** Guards the quota while a task counts on both machines: capacity is reserved only within the quota of its team. */
     @Test
     fun `tasks of a team at its quota are moved without a reservation, and the quota is never exceeded`() {
-        val cluster = clusterWithBalance(6, EAGER_MOVES.copy(roomLeases = 0.2))
+        val cluster = clusterWithBalance(6, EAGER_MOVES.copy(capacityWaitLeases = 0.2))
         val jobs = cluster.submitAll((0 until 14).map { cluster.checkpointingJob(it, 4, runSeconds = 50.0).copy(team = "crew-x") }, 20.0)
         cluster.clock.after(45.0) { cluster.drainZone("a") }
         listOf(46.0, 52.0, 61.0).forEach { at -> cluster.clock.after(at) { cluster.leader()?.let { cluster.crash(it, 3.0) } } }
