--- a/src/test/kotlin/burlridge/allocation/LimitsTest.kt
+++ b/src/test/kotlin/burlridge/allocation/LimitsTest.kt
@@ -26,7 +26,7 @@
 /** The largest transactions of each kind, sent to a key-value store that has lowered its limits. */
 internal class LimitsTest {
     private val clock = Clock()
-    private val state = StateService(clock).also { it.lower(valueKb = 2.0, changesPerTransaction = 4) }
+    private val state = StateService(clock).also { it.lowerLimits(valueKb = 2.0, changesPerTransaction = 4) }
     private val settings =
         Settings.parse(
             ClassArchiveTraining.settings().replace(
@@ -110,9 +110,9 @@
         val bits = Base64.getEncoder().encodeToString(BitSet().apply { set(0, ProgressCodec.TASKS_PER_ROW) }.toByteArray())
         repeat(2) { chunk ->
             // Written before the limits were lowered.
-            state.lower(valueKb = 8.0, changesPerTransaction = 8)
+            state.lowerLimits(valueKb = 8.0, changesPerTransaction = 8)
             put("prog/j-1/$chunk", """{"bits":"$bits"}""")
-            state.lower(valueKb = 2.0, changesPerTransaction = 4)
+            state.lowerLimits(valueKb = 2.0, changesPerTransaction = 4)
             registry.loadProgress(Row("prog/j-1/$chunk", Json.parse("""{"bits":"$bits"}"""), 1))
         }
         assertEquals(2 * ProgressCodec.TASKS_PER_ROW, job.persistedDone.cardinality())
@@ -147,9 +147,9 @@
         val job = admit("j-1", 200)
         val allocations = (0 until 150).joinToString { "[$it,1,\"m-00000$it\",1,0,0]" }
         val value = """{"st":"claimed","n":"1-0","tok":1,"until":0,"zones":["a"],"jobs":{"j-1":["crew",0.1,0.0,0.0,[$allocations]]}}"""
-        state.lower(valueKb = 8.0, changesPerTransaction = 8)
+        state.lowerLimits(valueKb = 8.0, changesPerTransaction = 8)
         put("round/1-0", value)
-        state.lower(valueKb = 2.0, changesPerTransaction = 4)
+        state.lowerLimits(valueKb = 2.0, changesPerTransaction = 4)
         registry.allocations.loadBatch(Row("round/1-0", Json.parse(value), modRevisionOf("round/1-0")))
         registry.reconcileLoaded()
 
--- a/src/test/kotlin/burlridge/balance/BalanceMeasurement.kt
+++ b/src/test/kotlin/burlridge/balance/BalanceMeasurement.kt
@@ -74,7 +74,7 @@
             SimulatedCluster(
                 seed,
                 types = types,
-                guaranteed = 0.0,
+                guaranteedCpus = 0.0,
                 times = WorkerTimes(),
                 writeRps = WRITE_RPS,
                 operator = OperatorSettings(balance = settings),
@@ -131,7 +131,7 @@
         val warmUp = cluster.sweepJob(1, machines / TENTH * CPUS.toInt(), runSeconds = 6.0)
         cluster.clock.after(12.0) { cluster.submit(warmUp) }
         cluster.run(14.0)
-        val names = cluster.cloud.names()
+        val names = cluster.cloud.machineIds()
         names.filterIndexed { i, _ -> i % TENTH == 3 }.forEach { cluster.cloud.worker(it)?.slowness = SLOWNESS }
         // Ten jobs of one team, half of what the fleet holds, then previews for a minute and a half.
         val share = (machines * CPUS * SWEEP_PART / SWEEP_JOBS).toInt()
@@ -151,7 +151,7 @@
             fetchedSeconds,
             cluster.history.stops.size,
             cluster.invariants.lostSeconds,
-            cluster.history.ran
+            cluster.history.taskRuns
                 .filter { run -> sweep.any { run.task.startsWith(it.id) } }
                 .maxOf { it.until } - BURST_AT,
             breaches(cluster, all),
@@ -165,11 +165,11 @@
                 .groupingBy { it.machine }
                 .eachCount()
         val over =
-            cluster.history.ran
+            cluster.history.taskRuns
                 .groupingBy { it.machine }
                 .eachCount()
         return cluster.cloud
-            .names()
+            .machineIds()
             .filter { (cluster.cloud.worker(it)?.term ?: 0) > 0 }
             .map { ((on[it] ?: 0) - (over[it] ?: 0)).toDouble() }
     }
@@ -205,7 +205,7 @@
         cluster: SimulatedCluster,
         jobs: List<JobSpec>,
     ): List<String> =
-        cluster.invariants.broken + cluster.history.breaches(jobs.map { it.id }) + cluster.history.drainBreaches(SLACK_SECONDS)
+        cluster.invariants.violations + cluster.history.violations(jobs.map { it.id }) + cluster.history.drainViolations(SLACK_SECONDS)
 
     /** Every third machine is drained by name, under load; the leader is killed two seconds after. */
     fun drain(
@@ -225,10 +225,10 @@
         sweep.forEach { job -> cluster.clock.after(15.0) { cluster.submit(job) } }
         val previews = cluster.previews(30.0, 60, maxOf(1, machines / 100))
         cluster.run(30.0)
-        val leaving = cluster.cloud.names().filterIndexed { i, _ -> i % 3 == 0 }
+        val leaving = cluster.cloud.machineIds().filterIndexed { i, _ -> i % 3 == 0 }
         leaving.forEach { drainMachine(cluster, it) }
         if (killLeader) cluster.clock.after(2.0) { cluster.leader()?.let { cluster.crash(it, 5.0) } }
-        while (cluster.clock.now < 400.0 && cluster.cloud.names().any { it in leaving }) cluster.run(cluster.clock.now + 0.5)
+        while (cluster.clock.now < 400.0 && cluster.cloud.machineIds().any { it in leaving }) cluster.run(cluster.clock.now + 0.5)
         val drainedSeconds = cluster.clock.now - 30.0
         cluster.run(400.0)
         return DrainOutcome(
--- a/src/test/kotlin/burlridge/balance/BalanceScheduleTest.kt
+++ b/src/test/kotlin/burlridge/balance/BalanceScheduleTest.kt
@@ -61,7 +61,7 @@
         cluster.cutsHoldPackets = seededRandom.nextBoolean()
         cluster.savesFail = seededRandom.nextInt(4) == 0
         val leaders = HashSet<String>()
-        cluster.onLeader = { leaders += it }
+        cluster.onLeaderChange = { leaders += it }
         val calledOff = seededRandom.nextInt(3) == 0
         cluster.clock.after(30.0 + seededRandom.nextDouble() * 10) {
             cluster.drainZone("a") { if (calledOff) cluster.clock.after(seededRandom.nextDouble() * 20) { cluster.undrainZone("a") } }
@@ -74,11 +74,11 @@
         }
         cluster.run(300.0)
         val tail = "seed $seed $settings\n${cluster.tail()}"
-        assertEquals(emptyList<String>(), cluster.invariants.broken, tail)
+        assertEquals(emptyList<String>(), cluster.invariants.violations, tail)
         assertEquals(emptyList<String>(), cluster.simultaneousLeaders, tail)
-        assertEquals(emptyList<String>(), cluster.history.breaches(jobs.map { it.id }), tail)
-        assertEquals(emptyList<String>(), cluster.history.drainBreaches(DRAIN_SLACK_SECONDS), tail)
-        assertEquals(emptyList<String>(), cluster.history.moveBreaches(settings.movesPerMinute, settings.movesPerTask), tail)
+        assertEquals(emptyList<String>(), cluster.history.violations(jobs.map { it.id }), tail)
+        assertEquals(emptyList<String>(), cluster.history.drainViolations(DRAIN_SLACK_SECONDS), tail)
+        assertEquals(emptyList<String>(), cluster.history.moveViolations(settings.movesPerMinute, settings.movesPerTask), tail)
         assertEquals(if (calledOff) "cancelled" else "drained", cluster.stateOf("zone/a") ?: "cancelled", tail)
         return Outcome(cluster.history.stops.size, if (calledOff) 0 else 1, leaders.size)
     }
@@ -87,7 +87,7 @@
         cluster: SimulatedCluster,
         seededRandom: Random,
     ) {
-        val machine = cluster.cloud.names().random(seededRandom)
+        val machine = cluster.cloud.machineIds().random(seededRandom)
         cluster.ask(cluster.anyMember(), "POST", MachineRequests.DRAIN, """{"machine":"$machine","force":true}""") { status, _ ->
             if (status == 200) cluster.drained(machine)
         }
@@ -104,12 +104,12 @@
             1 -> cluster.freeze(whom, 0.2 + seededRandom.nextDouble() * 10)
             2 -> cluster.pauseMidStep(whom, 1.0 + seededRandom.nextDouble() * 30)
             3 -> cluster.cut(whom, "state", 1.0 + seededRandom.nextDouble() * 15)
-            4 -> cluster.peersCut(whom, 1.0 + seededRandom.nextDouble() * 15)
-            5 -> cluster.refuse(whom, 1.0 + seededRandom.nextDouble() * 10)
+            4 -> cluster.cutFromPeers(whom, 1.0 + seededRandom.nextDouble() * 15)
+            5 -> cluster.refuseStateRequests(whom, 1.0 + seededRandom.nextDouble() * 10)
             6 -> cluster.state.outage(0.5 + seededRandom.nextDouble() * 10)
             7 -> loseAnswers(cluster, seededRandom)
             8 -> cluster.members.forEach { cluster.crash(it, seededRandom.nextDouble() * 3) }
-            9 -> cluster.cloud.take(cluster.cloud.names().random(seededRandom))
+            9 -> cluster.cloud.reclaim(cluster.cloud.machineIds().random(seededRandom))
             else -> lateReports(cluster, seededRandom)
         }
     }
@@ -119,7 +119,7 @@
         seededRandom: Random,
     ) {
         val until = cluster.clock.now + 10.0
-        cluster.copyAfter = { if (cluster.clock.now < until) 2.0 + seededRandom.nextDouble() * 30 else null }
+        cluster.duplicateReportAfter = { if (cluster.clock.now < until) 2.0 + seededRandom.nextDouble() * 30 else null }
     }
 
     private fun loseAnswers(
@@ -131,12 +131,12 @@
             val unlucky = cluster.clock.now < until && !call.path.startsWith("/follow") && seededRandom.nextBoolean()
             if (unlucky) {
                 listOf(
-                    SimulatedCluster.CallFate.ANSWER_LOST,
-                    SimulatedCluster.CallFate.LATE,
-                    SimulatedCluster.CallFate.REFUSED,
+                    SimulatedCluster.CallFault.ANSWER_LOST,
+                    SimulatedCluster.CallFault.DELAYED,
+                    SimulatedCluster.CallFault.REFUSED,
                 ).random(seededRandom)
             } else {
-                SimulatedCluster.CallFate.FINE
+                SimulatedCluster.CallFault.NONE
             }
         }
     }
--- a/src/test/kotlin/burlridge/balance/DrainTest.kt
+++ b/src/test/kotlin/burlridge/balance/DrainTest.kt
@@ -13,7 +13,7 @@
 
 /** Drains in the whole service, in virtual time, with controllers that fail. */
 internal class DrainTest {
-    private fun SimulatedCluster.zones() = cloud.names().groupingBy { cloud.worker(it)?.zone }.eachCount()
+    private fun SimulatedCluster.zones() = cloud.machineIds().groupingBy { cloud.worker(it)?.zone }.eachCount()
 
     @Test
     fun `a drained zone is emptied, nothing is rented there, and the leader's death changes nothing`() {
@@ -96,7 +96,7 @@
         val leader = cluster.leader() ?: error("no leader")
         val cut = cluster.members.first { it != leader }
         // The message is lost where the links between members are cut; the member hears nobody.
-        cluster.peersCut(cut, 20.0)
+        cluster.cutFromPeers(cut, 20.0)
         val (status, answer) = cluster.answerOf(cut, "POST", MachineRequests.DRAIN, """{"zone":"a"}""")
         assertEquals(503, status)
         assertTrue("does not answer" in answer.path("error").asText(), answer.toString())
@@ -176,9 +176,9 @@
                 if ("\"set\":\"drain/" in
                     call.body.orEmpty()
                 ) {
-                    SimulatedCluster.CallFate.REPEATED
+                    SimulatedCluster.CallFault.DUPLICATED
                 } else {
-                    SimulatedCluster.CallFate.FINE
+                    SimulatedCluster.CallFault.NONE
                 }
             }
         cluster.clock.after(20.0) { cluster.drainZone("a") }
@@ -227,12 +227,12 @@
         val covered = { machine: String -> machine.removePrefix("m-").toInt() in 16..31 }
         val (status, answer) = cluster.answerOf("drover-1", "POST", MachineRequests.DRAIN, """{"network":"10.1.0.18/28"}""")
         assertEquals(200 to "10.1.0.16/28", status to answer.path("network").asText())
-        val before = cluster.cloud.requests.size
+        val before = cluster.cloud.rentalRequests.size
         cluster.clock.after(10.0) { cluster.leader()?.let { cluster.crash(it, 3.0) } }
         cluster.run(140.0)
         cluster.verdict(jobs)
-        assertTrue(cluster.cloud.names().none(covered), cluster.cloud.names().toString())
-        assertTrue(cluster.cloud.requests.size - before < 60, "rentals: ${cluster.cloud.requests.size - before}")
+        assertTrue(cluster.cloud.machineIds().none(covered), cluster.cloud.machineIds().toString())
+        assertTrue(cluster.cloud.rentalRequests.size - before < 60, "rentals: ${cluster.cloud.rentalRequests.size - before}")
     }
 
     /** What the page says: while the version before, or one with balance off, leads, drains are not honoured, and not lost. */
@@ -244,8 +244,8 @@
         for (turn in 0 until 6) cluster.clock.after(45.0 + turn * 15) { cluster.leader()?.let { cluster.crash(it, 6.0) } }
         cluster.run(40.0)
         val leaders = HashSet<String>()
-        cluster.onLeader = { leaders += it }
-        cluster.history.drained.clear()
+        cluster.onLeaderChange = { leaders += it }
+        cluster.history.acceptedDrains.clear()
         cluster.run(220.0)
         cluster.verdict(jobs)
         assertTrue("drover-0" in leaders && leaders.size > 1, leaders.toString())
--- a/src/test/kotlin/burlridge/balance/HotspotMitigationTest.kt
+++ b/src/test/kotlin/burlridge/balance/HotspotMitigationTest.kt
@@ -147,7 +147,7 @@
     fun `where much of the fleet looks hot, or a zone is cut off, nothing is moved for it`() {
         val cluster = balancedCluster(5, BalanceSettings())
         val (_, jobs) = cluster.warm(slowness = 1.5, hot = 1)
-        cluster.cloud.names().forEach { cluster.cloud.worker(it)?.slowness = 1.5 }
+        cluster.cloud.machineIds().forEach { cluster.cloud.worker(it)?.slowness = 1.5 }
         cluster.run(60.0)
         assertEquals(emptyList<Any>(), cluster.movedFor(MoveReason.HOT))
         assertEquals(0, cluster.report().path("hot_machines").size())
@@ -157,7 +157,7 @@
         val cut = balancedCluster(6, BalanceSettings())
         val (_, others) = cut.warm(slowness = 1.55, hot = 2)
         cut.run(36.0)
-        val zone = cut.cloud.names().filter { cut.cloud.worker(it)?.zone == "b" }
+        val zone = cut.cloud.machineIds().filter { cut.cloud.worker(it)?.zone == "b" }
         zone.forEach { machine -> cut.members.forEach { cut.cut(machine, it, 30.0) } }
         cut.run(60.0)
         assertTrue(cut.movedFor(MoveReason.HOT).none { it.second in zone }, cut.movedFor(MoveReason.HOT).toString())
@@ -170,12 +170,12 @@
     fun `a job that fits nowhere else gets the hot machine in time`() {
         val cluster = balancedCluster(7, BalanceSettings(relieveHot = false))
         val (slow, jobs) = cluster.warm(slowness = 1.5, hot = 1)
-        val other = cluster.cloud.names().filter { it !in slow }
+        val other = cluster.cloud.machineIds().filter { it !in slow }
         // All others are full for long.
         val full = cluster.submitAll((200 until 230).map { cluster.savingJob(it, 12, runSeconds = 200.0) }, 37.0, everySeconds = 0.1)
         cluster.run(320.0)
         assertTrue(other.isNotEmpty())
-        assertEquals(emptyList<String>(), cluster.invariants.broken, cluster.tail())
+        assertEquals(emptyList<String>(), cluster.invariants.violations, cluster.tail())
         assertTrue(cluster.history.starts.any { it.machine in slow && it.at > 60.0 }, "it was never used again")
         cluster.run(700.0)
         cluster.verdict(jobs + full, BalanceSettings())
--- a/src/test/kotlin/burlridge/balance/MoveTest.kt
+++ b/src/test/kotlin/burlridge/balance/MoveTest.kt
@@ -34,7 +34,7 @@
             Trouble.KILLED -> crash(name, 4.0)
             Trouble.FROZEN -> freeze(name, 9.0)
             Trouble.CUT_OFF -> listOf("state").plus(members.filter { it != name }).forEach { cut(name, it, 12.0) }
-            Trouble.REFUSED -> refuse(name, 8.0)
+            Trouble.REFUSED -> refuseStateRequests(name, 8.0)
             else -> Unit
         }
     }
@@ -51,9 +51,9 @@
             val hit = cluster.clock.now > 40.0 && step.isIt(call) && struck.size < 2 && struck.add(name)
             if (hit) cluster.clock.after(if (before) 0.0 else 0.004) { cluster.strike(name, trouble) }
             when {
-                hit && trouble == Trouble.ANSWER_LOST -> SimulatedCluster.CallFate.ANSWER_LOST
-                hit && trouble == Trouble.LATE -> SimulatedCluster.CallFate.LATE
-                else -> SimulatedCluster.CallFate.FINE
+                hit && trouble == Trouble.ANSWER_LOST -> SimulatedCluster.CallFault.ANSWER_LOST
+                hit && trouble == Trouble.LATE -> SimulatedCluster.CallFault.DELAYED
+                else -> SimulatedCluster.CallFault.NONE
             }
         }
         return { struck.size }
@@ -122,7 +122,7 @@
         cluster.run(300.0)
         cluster.verdict(crowd + moved)
         val longest =
-            cluster.history.ran
+            cluster.history.taskRuns
                 .filter { it.task.startsWith(moved.id) }
                 .maxOf { it.until }
         assertTrue(longest < 20.0 + 60.0 + 20.0, "a task was over only at $longest: its progress was lost")
@@ -140,9 +140,9 @@
                 if (Step.STOP.isIt(call) &&
                     lost++ % 2 == 0
                 ) {
-                    SimulatedCluster.CallFate.ANSWER_LOST
+                    SimulatedCluster.CallFault.ANSWER_LOST
                 } else {
-                    SimulatedCluster.CallFate.FINE
+                    SimulatedCluster.CallFault.NONE
                 }
             }
         cluster.run(220.0)
@@ -162,12 +162,12 @@
                 targets.take(2).forEach { target ->
                     cluster.ask(cluster.anyMember(), "POST", MachineRequests.DRAIN, """{"machine":"$target","force":true}""") { _, _ -> }
                 }
-                targets.drop(2).take(2).forEach { cluster.cloud.take(it) }
+                targets.drop(2).take(2).forEach { cluster.cloud.reclaim(it) }
                 cluster.cloud
-                    .names()
+                    .machineIds()
                     .filter { cluster.cloud.worker(it)?.zone == "a" }
                     .take(3)
-                    .forEach { cluster.cloud.take(it) }
+                    .forEach { cluster.cloud.reclaim(it) }
                 cluster.leader()?.let { cluster.crash(it, 5.0) }
             }
             cluster.run(240.0)
@@ -180,7 +180,7 @@
     @Test
     fun `reports of the source that come a lease late change nothing`() {
         val cluster = balancedCluster(3)
-        cluster.copyAfter = { if (cluster.clock.now in 38.0..60.0) 2.0 + cluster.random.nextDouble() * 30 else null }
+        cluster.duplicateReportAfter = { if (cluster.clock.now in 38.0..60.0) 2.0 + cluster.random.nextDouble() * 30 else null }
         val jobs = cluster.submitAll((0 until 8).map { cluster.savingJob(it, 4) }, 20.0)
         cluster.clock.after(40.0) { cluster.drainZone("a") }
         cluster.clock.after(44.0) { cluster.leader()?.let { cluster.freeze(it, 10.0) } }
@@ -253,7 +253,7 @@
             repeat(8) { turn ->
                 cluster.clock.after(40.0 + turn * 0.2) {
                     cluster.cloud
-                        .names()
+                        .machineIds()
                         .mapNotNull { cluster.cloud.worker(it) }
                         .filter { it.zone == "b" }
                         .random(cluster.random)
--- a/src/test/kotlin/burlridge/balance/OperatorActions.kt
+++ b/src/test/kotlin/burlridge/balance/OperatorActions.kt
@@ -31,7 +31,7 @@
     failover: Boolean = false,
     types: Map<String, MachineTypeSpec> = mapOf("small" to MachineTypeSpec(4.0, 16.0, 6), "big" to MachineTypeSpec(16.0, 64.0, 3)),
     operatorOf: (String) -> OperatorSettings = { balanced(settings, failover) },
-) = SimulatedCluster(seed, members = (0 until members).map { "drover-$it" }, types = types, guaranteed = 0.0, operatorOf = operatorOf)
+) = SimulatedCluster(seed, members = (0 until members).map { "drover-$it" }, types = types, guaranteedCpus = 0.0, operatorOf = operatorOf)
 
 /** A job whose tasks save their progress when they are stopped. */
 internal fun SimulatedCluster.savingJob(
@@ -59,11 +59,11 @@
 internal fun SimulatedCluster.drainZone(
     zone: String,
     member: () -> String = ::anyMember,
-    onAccepted: (ExecutionHistory.Drained) -> Unit = {},
+    onAccepted: (ExecutionHistory.AcceptedDrain) -> Unit = {},
 ) {
     ask(member(), "POST", MachineRequests.DRAIN, """{"zone":"$zone","force":true,"asked_ms":${nowMillis()}}""") { status, _ ->
         if (status == 200) {
-            history.drained += ExecutionHistory.Drained({ zoneOf[it] == zone }, clock.now).also(onAccepted)
+            history.acceptedDrains += ExecutionHistory.AcceptedDrain({ zoneOf[it] == zone }, clock.now).also(onAccepted)
         } else {
             clock.after(1.0) { drainZone(zone, member, onAccepted) }
         }
@@ -72,7 +72,7 @@
 
 /** The service is held to the drain of [machine] from now on. */
 internal fun SimulatedCluster.drained(machine: String) {
-    history.drained += ExecutionHistory.Drained({ it == machine }, clock.now)
+    history.acceptedDrains += ExecutionHistory.AcceptedDrain({ it == machine }, clock.now)
 }
 
 internal fun SimulatedCluster.undrainZone(
@@ -81,7 +81,7 @@
     onAccepted: () -> Unit = {},
 ) {
     // From when it is asked on it may be carried out.
-    history.drained.forEach { it.until = minOf(it.until, clock.now) }
+    history.acceptedDrains.forEach { it.until = minOf(it.until, clock.now) }
     ask(member(), "POST", MachineRequests.UNDRAIN, """{"zone":"$zone","asked_ms":${nowMillis()}}""") { status, _ ->
         if (status == 200) onAccepted() else clock.after(1.0) { undrainZone(zone, member, onAccepted) }
     }
@@ -112,11 +112,11 @@
     jobs: List<JobSpec>,
     settings: BalanceSettings = EAGER,
 ) {
-    assertEquals(emptyList<String>(), invariants.broken, tail())
+    assertEquals(emptyList<String>(), invariants.violations, tail())
     assertEquals(emptyList<String>(), simultaneousLeaders, tail())
-    assertEquals(emptyList<String>(), history.breaches(jobs.map { it.id }), tail())
-    assertEquals(emptyList<String>(), history.drainBreaches(SLACK_SECONDS), tail())
-    assertEquals(emptyList<String>(), history.moveBreaches(settings.movesPerMinute, settings.movesPerTask), tail())
+    assertEquals(emptyList<String>(), history.violations(jobs.map { it.id }), tail())
+    assertEquals(emptyList<String>(), history.drainViolations(SLACK_SECONDS), tail())
+    assertEquals(emptyList<String>(), history.moveViolations(settings.movesPerMinute, settings.movesPerTask), tail())
 }
 
 /** A start that has left begins once its image is there: two seconds at the most, and the news of the answer. */
--- a/src/test/kotlin/burlridge/balance/SlowStartTest.kt
+++ b/src/test/kotlin/burlridge/balance/SlowStartTest.kt
@@ -83,11 +83,11 @@
                 cluster.clock.after(9.0 + turn * 2.2) {
                     val up =
                         cluster.cloud
-                            .names()
+                            .machineIds()
                             .mapNotNull { cluster.cloud.worker(it) }
                             .filter { it.term > 0 }
                     up.randomOrNull(cluster.random)?.restart()
-                    if (turn == 1) up.randomOrNull(cluster.random)?.let { cluster.cloud.take(it.id) }
+                    if (turn == 1) up.randomOrNull(cluster.random)?.let { cluster.cloud.reclaim(it.id) }
                 }
             }
             cluster.run(240.0)
--- a/src/test/kotlin/burlridge/failover/FailoverInputTest.kt
+++ b/src/test/kotlin/burlridge/failover/FailoverInputTest.kt
@@ -68,12 +68,12 @@
         fun sendHeartbeat(
             from: String,
             failover: FailoverStatus,
-        ) = cluster.tell("drover-0", PeerMessage.Status(from, 0, "", false, false, true, emptyList(), failover))
+        ) = cluster.deliverMessage("drover-0", PeerMessage.Status(from, 0, "", false, false, true, emptyList(), failover))
         repeat(50) { sendHeartbeat("drover-1", status) }
         sendHeartbeat("drover-1", status.copy(incarnation = Long.MAX_VALUE, sequence = 9))
         sendHeartbeat("drover-9", status)
         sendHeartbeat("", status.copy(incarnation = -5, sequence = Long.MIN_VALUE))
-        assertEquals(53, cluster.work("drover-0")["failover.heartbeats_refused"])
+        assertEquals(53, cluster.counters("drover-0")["failover.heartbeats_refused"])
         cluster.run(20.0)
         assertEquals(1, cluster.log.count { "heartbeats refused" in it }, cluster.log.filter { "heartbeat" in it }.toString())
         val reports = cluster.sendRequest("drover-0", "GET", MemberRequests.STATUS).second.path("members")
@@ -98,7 +98,7 @@
                 HandoverMessage.Offer(7, term, "not the leader's"),
             )
         for (member in cluster.members) {
-            for (from in cluster.members + "drover-9") messages.forEach { cluster.tell(member, PeerMessage.Handover(from, it)) }
+            for (from in cluster.members + "drover-9") messages.forEach { cluster.deliverMessage(member, PeerMessage.Handover(from, it)) }
         }
         // An offer that the leader did not make leaves an unused lease.
         cluster.run(60.0)
@@ -111,7 +111,7 @@
                 ?.asLong(),
         )
         // Each member refuses the messages of the unknown member and those that carry its own name.
-        assertEquals(setOf(messages.size * 2L), cluster.members.map { cluster.work(it)["failover.messages_refused"] }.toSet())
+        assertEquals(setOf(messages.size * 2L), cluster.members.map { cluster.counters(it)["failover.messages_refused"] }.toSet())
     }
 
     @Test
--- a/src/test/kotlin/burlridge/failover/FailoverScenario.kt
+++ b/src/test/kotlin/burlridge/failover/FailoverScenario.kt
@@ -22,9 +22,9 @@
 
 /** Asserts that no invariant was broken, no two members led at once, and each of [jobs] has one final state, the same from all members. */
 internal fun SimulatedCluster.assertCorrect(jobs: List<JobSpec>) {
-    assertEquals(emptyList<String>(), invariants.broken, logTail())
+    assertEquals(emptyList<String>(), invariants.violations, logTail())
     assertEquals(emptyList<String>(), simultaneousLeaders, logTail())
-    assertEquals(emptyList<String>(), history.breaches(jobs.map { it.id }), logTail())
+    assertEquals(emptyList<String>(), history.violations(jobs.map { it.id }), logTail())
 }
 
 /** Returns the end of the log, for the message of a failed assertion. */
--- a/src/test/kotlin/burlridge/failover/HandoverScheduleTest.kt
+++ b/src/test/kotlin/burlridge/failover/HandoverScheduleTest.kt
@@ -55,9 +55,9 @@
                     .takeLast(60)
                     .joinToString("\n")
         }
-        assertEquals(emptyList<String>(), cluster.invariants.broken, failureMessage)
+        assertEquals(emptyList<String>(), cluster.invariants.violations, failureMessage)
         assertEquals(emptyList<String>(), cluster.simultaneousLeaders, failureMessage)
-        assertEquals(emptyList<String>(), cluster.history.breaches(jobs.map { it.id }), failureMessage)
+        assertEquals(emptyList<String>(), cluster.history.violations(jobs.map { it.id }), failureMessage)
         return Outcome(cluster.log.count { "handover started" in it }, cluster.log.count { "handed over by" in it })
     }
 
@@ -74,7 +74,7 @@
             2 -> cluster.pauseMidStep(target, 1.0 + seededRandom.nextDouble() * 40)
             3 -> cluster.cut(target, "state", 1.0 + seededRandom.nextDouble() * 15)
             4 -> cluster.cut(leader, successor, 1.0 + seededRandom.nextDouble() * 15)
-            5 -> cluster.refuse(target, 1.0 + seededRandom.nextDouble() * 10)
+            5 -> cluster.refuseStateRequests(target, 1.0 + seededRandom.nextDouble() * 10)
             6 -> cluster.state.outage(0.5 + seededRandom.nextDouble() * 12)
             7 -> loseTransactionResponses(cluster, seededRandom)
             else -> cluster.members.forEach { cluster.crash(it, seededRandom.nextDouble() * 3) }
@@ -90,12 +90,12 @@
             val isAffected = cluster.clock.now < until && call.path.startsWith("/multi") && seededRandom.nextBoolean()
             if (isAffected) {
                 listOf(
-                    SimulatedCluster.CallFate.ANSWER_LOST,
-                    SimulatedCluster.CallFate.LATE,
-                    SimulatedCluster.CallFate.REFUSED,
+                    SimulatedCluster.CallFault.ANSWER_LOST,
+                    SimulatedCluster.CallFault.DELAYED,
+                    SimulatedCluster.CallFault.REFUSED,
                 ).random(seededRandom)
             } else {
-                SimulatedCluster.CallFate.FINE
+                SimulatedCluster.CallFault.NONE
             }
         }
     }
--- a/src/test/kotlin/burlridge/failover/HandoverTest.kt
+++ b/src/test/kotlin/burlridge/failover/HandoverTest.kt
@@ -52,7 +52,7 @@
         val cluster = failoverCluster(3)
         val jobs = cluster.submitJobs(30)
         val leaders = ArrayList<String>()
-        cluster.onLeader = { leaders += it }
+        cluster.onLeaderChange = { leaders += it }
         for (round in 0 until 6) {
             cluster.clock.after(15.0 + round * 12.0) {
                 val leader = cluster.leader() ?: return@after
@@ -94,8 +94,8 @@
             cluster.clock.after(20.0 + seed * 0.13) { cluster.leader()?.let { cluster.pauseMidStep(it, 60.0) } }
             cluster.run(180.0)
             cluster.assertCorrect(jobs)
-            assertEquals(1, cluster.caughtMidStep, "seed $seed")
-            assertEquals(emptyList<String>(), cluster.lateDepartures, "seed $seed")
+            assertEquals(1, cluster.midStepPauses, "seed $seed")
+            assertEquals(emptyList<String>(), cluster.lateSends, "seed $seed")
         }
     }
 
@@ -120,7 +120,7 @@
                             .asText()
                             .also { cluster.freeze(it, 3.0 + seed) }
                 }
-                SimulatedCluster.CallFate.FINE
+                SimulatedCluster.CallFault.NONE
             }
             cluster.clock.after(20.0) { cluster.leader()?.let(cluster::drain) }
             cluster.run(160.0)
@@ -165,7 +165,7 @@
         assertEquals(
             emptySet<String>(),
             cluster.members
-                .flatMap { cluster.work(it).keys }
+                .flatMap { cluster.counters(it).keys }
                 .filter { it.startsWith("failover") }
                 .toSet(),
         )
--- a/src/test/kotlin/burlridge/failover/ReplicaTakeoverTest.kt
+++ b/src/test/kotlin/burlridge/failover/ReplicaTakeoverTest.kt
@@ -16,8 +16,8 @@
         cluster.clock.after(40.0) { cluster.leader()?.let { cluster.crash(it, 5.0) } }
         cluster.run(140.0)
         cluster.assertCorrect(jobs)
-        val fromReplica = cluster.members.sumOf { cluster.work(it)["failover.rows_from_replica"] ?: 0L }
-        assertTrue(fromReplica > 0, cluster.work("drover-0").toString())
+        val fromReplica = cluster.members.sumOf { cluster.counters(it)["failover.rows_from_replica"] ?: 0L }
+        assertTrue(fromReplica > 0, cluster.counters("drover-0").toString())
     }
 
     /** Guards the audit: a feed that omits a change looks complete by its revisions. */
--- a/src/test/kotlin/burlridge/failover/TransferInDoubtTest.kt
+++ b/src/test/kotlin/burlridge/failover/TransferInDoubtTest.kt
@@ -22,7 +22,7 @@
         var lostResponses = 0
         cluster.onCall = { _, call ->
             val isTransfer = call.path == "/multi" && call.body.orEmpty().contains("\"set\":\"leader\"") && cluster.clock.now > 19.0
-            if (isTransfer && lostResponses++ == 0) SimulatedCluster.CallFate.ANSWER_LOST else SimulatedCluster.CallFate.FINE
+            if (isTransfer && lostResponses++ == 0) SimulatedCluster.CallFault.ANSWER_LOST else SimulatedCluster.CallFault.NONE
         }
         cluster.clock.after(20.0) { cluster.leader()?.let(cluster::drain) }
         cluster.run(150.0)
@@ -43,7 +43,7 @@
                 (0 until 60).map { i ->
                     cluster.job(i, 2, runSeconds = 3.0).also { job -> cluster.clock.after(5.0 + i * 0.4) { cluster.submit(job) } }
                 }
-            cluster.closeLooks = true
+            cluster.queryAllMembersOnChange = true
             var leaderInDoubt: String? = null
             cluster.onCall = { from, call ->
                 val isTransfer = leaderInDoubt == null && cluster.clock.now > 19.9 && call.body.orEmpty().contains("\"set\":\"leader\"")
@@ -54,9 +54,9 @@
                 if (from == leaderInDoubt && call.path == "/multi" &&
                     cluster.clock.now < 35.0
                 ) {
-                    SimulatedCluster.CallFate.ANSWER_LOST
+                    SimulatedCluster.CallFault.ANSWER_LOST
                 } else {
-                    SimulatedCluster.CallFate.FINE
+                    SimulatedCluster.CallFault.NONE
                 }
             }
             cluster.clock.after(20.0) { cluster.leader()?.let(cluster::drain) }
@@ -78,24 +78,24 @@
         jobs.forEach { cluster.clock.after(5.0) { cluster.submit(it) } }
         var leaderInDoubt: String? = null
         var confirmedCancellations = 0
-        cluster.onCancelled = { confirmedCancellations++ }
+        cluster.onCancellationConfirmed = { confirmedCancellations++ }
         cluster.onCall = { from, call ->
             val leaderRowUpdate = Json.parseOrNull(call.body)?.path("then")?.firstOrNull { it.path("set").asText() == "leader" }
             if (leaderInDoubt == null && cluster.clock.now > 59.9 && leaderRowUpdate != null) {
                 leaderInDoubt = from
                 val successor = leaderRowUpdate.path("value").path("member").asText()
                 val third = cluster.members.first { it != from && it != successor }
-                cluster.refuse(third, 200.0)
+                cluster.refuseStateRequests(third, 200.0)
                 listOf(from, third).forEach { cluster.cut(it, successor, 200.0) }
-                cluster.cloud.names().forEach { cluster.cut(it, successor, 200.0) }
+                cluster.cloud.machineIds().forEach { cluster.cut(it, successor, 200.0) }
                 jobs.forEach { job -> cluster.clock.after(1.0) { cluster.abort(job, successor) } }
             }
-            if (from == leaderInDoubt && call.path == "/multi") SimulatedCluster.CallFate.ANSWER_LOST else SimulatedCluster.CallFate.FINE
+            if (from == leaderInDoubt && call.path == "/multi") SimulatedCluster.CallFault.ANSWER_LOST else SimulatedCluster.CallFault.NONE
         }
         cluster.clock.after(60.0) { cluster.leader()?.let(cluster::drain) }
         cluster.run(60.0 + cluster.cancelSeconds * 2 + 30.0)
         assertEquals(jobs.size, confirmedCancellations, "not confirmed by the next leader\n${cluster.logTail()}")
-        assertEquals(emptyList<String>(), cluster.invariants.broken, cluster.logTail())
+        assertEquals(emptyList<String>(), cluster.invariants.violations, cluster.logTail())
     }
 
     /**
@@ -116,9 +116,9 @@
                 val isTransfer = cluster.clock.now in 19.9..30.0 && call.body.orEmpty().contains("\"set\":\"leader\"")
                 if (isTransfer) transferCopies++
                 when {
-                    !isTransfer -> SimulatedCluster.CallFate.FINE
-                    isFirstCopy -> SimulatedCluster.CallFate.LATE.also { isFirstCopy = false }
-                    else -> SimulatedCluster.CallFate.REFUSED
+                    !isTransfer -> SimulatedCluster.CallFault.NONE
+                    isFirstCopy -> SimulatedCluster.CallFault.DELAYED.also { isFirstCopy = false }
+                    else -> SimulatedCluster.CallFault.REFUSED
                 }
             }
             cluster.clock.after(20.0) { cluster.leader()?.let(cluster::drain) }
@@ -139,7 +139,7 @@
         var leader: String? = null
         cluster.onCall = { _, call ->
             val isTransfer = call.path == "/multi" && call.body.orEmpty().contains("\"set\":\"leader\"") && cluster.clock.now > 19.0
-            if (isTransfer && cluster.clock.now < 24.0) SimulatedCluster.CallFate.REFUSED else SimulatedCluster.CallFate.FINE
+            if (isTransfer && cluster.clock.now < 24.0) SimulatedCluster.CallFault.REFUSED else SimulatedCluster.CallFault.NONE
         }
         cluster.clock.after(20.0) {
             leader = cluster.leader()
--- a/src/test/kotlin/burlridge/loopback/BalanceLoopbackTest.kt
+++ b/src/test/kotlin/burlridge/loopback/BalanceLoopbackTest.kt
@@ -34,7 +34,7 @@
             await("jobs run") { cluster.onLoop { busyMachines(cluster).size == MACHINES_DRAINED }.takeIf { it } }
             val leaving = cluster.onLoop { busyMachines(cluster) }
             cluster.onLoop { leaving.forEach { drain(cluster, it) } }
-            await("the drains are accepted") { cluster.onLoop { cluster.history.drained.size == leaving.size }.takeIf { it } }
+            await("the drains are accepted") { cluster.onLoop { cluster.history.acceptedDrains.size == leaving.size }.takeIf { it } }
             // However slow this machine is, the tasks run for long enough that some are still there to be moved.
             await("the first move") { cluster.onLoop { cluster.history.stops.isNotEmpty() }.takeIf { it } }
             val first = leaderOf(cluster)
@@ -43,15 +43,15 @@
             cluster.process(first).start()
             cluster.process(second).freeze()
             await("a leader after the freeze") { leaderOrNull(cluster)?.takeIf { it != second } }
-            await("the drained machines are gone") { cluster.onLoop { cluster.cloud.names().none { it in leaving } }.takeIf { it } }
+            await("the drained machines are gone") { cluster.onLoop { cluster.cloud.machineIds().none { it in leaving } }.takeIf { it } }
             cluster.process(second).resume()
             await("all jobs are over") { cluster.onLoop { cluster.unfinished.isEmpty() && cluster.jobs.size == JOBS }.takeIf { it } }
             await("all controllers answer") { cluster.controllers.all { it.isUp }.takeIf { it } }
             cluster.onLoop { cluster.queryAllControllers() }
             val breaches =
                 cluster.onLoop {
-                    cluster.invariants.broken + cluster.history.breaches(cluster.jobs) +
-                        cluster.history.drainBreaches(SLACK_SECONDS)
+                    cluster.invariants.violations + cluster.history.violations(cluster.jobs) +
+                        cluster.history.drainViolations(SLACK_SECONDS)
                 }
             assertEquals(emptyList<String>(), breaches)
         }
@@ -85,7 +85,7 @@
             ANSWER_SECONDS,
         ) { status, _ ->
             if (status == OK) {
-                cluster.history.drained += ExecutionHistory.Drained({ it == machine }, cluster.clock.now)
+                cluster.history.acceptedDrains += ExecutionHistory.AcceptedDrain({ it == machine }, cluster.clock.now)
             } else {
                 cluster.clock.after(0.5) { drain(cluster, machine) }
             }
--- a/src/test/kotlin/burlridge/loopback/FailoverLoopbackTest.kt
+++ b/src/test/kotlin/burlridge/loopback/FailoverLoopbackTest.kt
@@ -48,7 +48,7 @@
             await("all jobs have finished") { cluster.onLoop { cluster.unfinished.isEmpty() && cluster.jobs.size == JOBS }.takeIf { it } }
             cluster.onLoop { cluster.queryAllControllers() }
             await("all controllers answer") { cluster.onLoop { cluster.controllers.all { it.isUp } }.takeIf { it } }
-            val breaches = cluster.onLoop { cluster.invariants.broken + cluster.history.breaches(cluster.jobs) }
+            val breaches = cluster.onLoop { cluster.invariants.violations + cluster.history.violations(cluster.jobs) }
             assertEquals(emptyList<String>(), breaches)
             assertTrue(File(directory, "trace.jsonl").readText().contains("\"name\":\"leader change\""))
         }
--- a/src/test/kotlin/burlridge/loopback/FailoverMeasurement.kt
+++ b/src/test/kotlin/burlridge/loopback/FailoverMeasurement.kt
@@ -59,7 +59,7 @@
         await("all jobs have finished", TIMEOUT_SECONDS) { cluster.onLoop { cluster.unfinished.isEmpty() }.takeIf { it } }
         cluster.onLoop { cluster.queryAllControllers() }
         Thread.sleep(SETTLE_MILLIS)
-        val breaches = cluster.onLoop { cluster.invariants.broken + cluster.history.breaches(cluster.jobs) }
+        val breaches = cluster.onLoop { cluster.invariants.violations + cluster.history.violations(cluster.jobs) }
         println("jobs ${cluster.onLoop { cluster.jobs.size }}, starts ${cluster.onLoop { cluster.invariants.starts }}, breaches $breaches")
         println("false suspicions: ${cluster.controllers.sumOf { c -> c.log.count { isFalseSuspicion(it.text) } }}")
     }
@@ -102,7 +102,7 @@
         await(
             "all workers answered",
             TIMEOUT_SECONDS,
-        ) { (cluster.onLoop { cluster.workersAtTerm(nextTerm) == cluster.cloud.names().size }).takeIf { it } }
+        ) { (cluster.onLoop { cluster.workersAtTerm(nextTerm) == cluster.cloud.machineIds().size }).takeIf { it } }
         val allAnsweredAt = cluster.onLoop { cluster.clock.now }
         val successor = cluster.process(cluster.onLoop { cluster.leader() }!!.first)
         val cpuSeconds = successor.cpuSeconds() - (cpuBefore[successor] ?: 0.0)
--- a/src/test/kotlin/burlridge/loopback/LoopbackCluster.kt
+++ b/src/test/kotlin/burlridge/loopback/LoopbackCluster.kt
@@ -68,7 +68,7 @@
     override val invariants = InvariantChecker(clock, config.times.cancelSeconds, emptyMap())
     override val gangBarrier = GangBarrier(this)
     override val cloud = CloudService(this)
-    override val word: (String) -> String = { it }
+    override val wireName: (String) -> String = { it }
     val state = StateService(clock)
     val history = ExecutionHistory()
     private val loop = EventLoop()
@@ -138,7 +138,7 @@
             while (true) {
                 clock.runUntil((System.nanoTime() - startedAt) / NANOS_PER_SECOND)
                 while (true) pendingTasks.poll()?.invoke() ?: break
-                invariants.sweep()
+                invariants.checkCancelledTasks()
                 delay(STEP_MILLIS)
             }
         }
@@ -215,7 +215,8 @@
         response: CallOutcome.Responded,
     ) {
         val job = if (path == "/api/jobs") Json.parseOrNull(body)?.path("id")?.asText() else path.split('/').getOrNull(3)
-        history.told += ExecutionHistory.Told(job.orEmpty(), member, response.status, standingOf(response.body), sentAt, clock.now)
+        history.userResponses +=
+            ExecutionHistory.UserResponse(job.orEmpty(), member, response.status, standingOf(response.body), sentAt, clock.now)
     }
 
     private fun standingOf(body: String): String? =
@@ -291,7 +292,7 @@
     }
 
     /** Returns the number of workers that have seen [term] or a later one. */
-    fun workersAtTerm(term: Long): Int = cloud.names().count { (cloud.worker(it)?.term ?: 0L) >= term }
+    fun workersAtTerm(term: Long): Int = cloud.machineIds().count { (cloud.worker(it)?.term ?: 0L) >= term }
 
     fun process(member: String): ControllerProcess = controllers.first { it.config.member == member }
 
--- a/src/test/kotlin/burlridge/simulation/AnswersTest.kt
+++ b/src/test/kotlin/burlridge/simulation/AnswersTest.kt
@@ -1,6 +1,6 @@
 package burlridge.simulation
 
-import burlridge.simulation.SimulatedCluster.CallFate
+import burlridge.simulation.SimulatedCluster.CallFault
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Assertions.assertTrue
 import org.junit.jupiter.api.Test
@@ -10,7 +10,7 @@
     private val cluster = SimulatedCluster(17)
 
     private fun verdict(vararg jobs: String) {
-        assertEquals(emptyList<String>(), cluster.invariants.broken, cluster.log.takeLast(30).joinToString("\n"))
+        assertEquals(emptyList<String>(), cluster.invariants.violations, cluster.log.takeLast(30).joinToString("\n"))
         assertEquals(emptyList<String>(), jobs.filterNot { cluster.invariants.finished(it) }, "not over")
     }
 
@@ -22,15 +22,15 @@
         cluster.onCall = { _, call ->
             val end = call.path == "/multi" && "\"over/" in call.body.orEmpty() && "\"$standing\"" in call.body.orEmpty()
             if (!end || met > 0) {
-                CallFate.FINE
+                CallFault.NONE
             } else {
                 met++
                 val leader = cluster.leader()
                 cluster.members.forEach { if (it != leader && leader != null) cluster.cut(it, leader, seconds) }
                 // Each member in turn, again and again: those cut off go by the rows, the leader by its own picture.
-                repeat(40) { i -> cluster.members.forEach { m -> cluster.clock.after(0.05 * i) { cluster.look(job, m) } } }
+                repeat(40) { i -> cluster.members.forEach { m -> cluster.clock.after(0.05 * i) { cluster.queryJob(job, m) } } }
                 repeat(5) { i -> cluster.members.forEach { m -> cluster.clock.after(0.3 * i) { cluster.submitOnce(job, m) } } }
-                CallFate.ANSWER_LOST
+                CallFault.ANSWER_LOST
             }
         }
     }
@@ -71,11 +71,12 @@
 
     @Test
     fun `close looks at all members while answers of the state service are lost and leaders change`() {
-        cluster.closeLooks = true
-        cluster.onCall = { _, call -> if (call.path == "/multi" && cluster.random.nextInt(4) == 0) CallFate.ANSWER_LOST else CallFate.FINE }
+        cluster.queryAllMembersOnChange = true
+        cluster.onCall =
+            { _, call -> if (call.path == "/multi" && cluster.random.nextInt(4) == 0) CallFault.ANSWER_LOST else CallFault.NONE }
         val jobs = load(1.0, 70)
         repeat(6) { i -> cluster.clock.after(30.0 + 10 * i) { cluster.leader()?.let { cluster.crash(it, 0.3) } } }
-        cluster.clock.after(110.0) { cluster.onCall = { _, _ -> CallFate.FINE } }
+        cluster.clock.after(110.0) { cluster.onCall = { _, _ -> CallFault.NONE } }
         cluster.run(200.0)
         verdict(*jobs.toTypedArray())
     }
@@ -83,19 +84,19 @@
     /** Guards the stamp under which progress is written, and every other row: what comes late must meet a row that is newer. */
     @Test
     fun `close looks at all members while transactions are carried out late, after newer ones`() {
-        cluster.closeLooks = true
+        cluster.queryAllMembersOnChange = true
         cluster.lateSeconds = 12.0
-        cluster.onCall = { _, call -> if (call.path == "/multi" && cluster.random.nextInt(5) == 0) CallFate.LATE else CallFate.FINE }
+        cluster.onCall = { _, call -> if (call.path == "/multi" && cluster.random.nextInt(5) == 0) CallFault.DELAYED else CallFault.NONE }
         val jobs = load(1.0, 60)
         repeat(3) { i -> cluster.clock.after(35.0 + 17 * i) { cluster.leader()?.let { cluster.crash(it, 1.0) } } }
-        cluster.clock.after(110.0) { cluster.onCall = { _, _ -> CallFate.FINE } }
+        cluster.clock.after(110.0) { cluster.onCall = { _, _ -> CallFault.NONE } }
         cluster.run(220.0)
         verdict(*jobs.toTypedArray())
     }
 
     @Test
     fun `a cancellation, a question and a repeated submission meet the end of the last task`() {
-        cluster.closeLooks = true
+        cluster.queryAllMembersOnChange = true
         val jobs =
             (0 until 40).map { i ->
                 val spec = cluster.job(i, 1, runSeconds = 3.0)
@@ -108,7 +109,7 @@
 
     @Test
     fun `a job is cancelled at another member the moment it was accepted, and its submission repeated`() {
-        cluster.closeLooks = true
+        cluster.queryAllMembersOnChange = true
         val jobs =
             (0 until 30).map { i ->
                 val spec = cluster.job(i, 2, runSeconds = 10.0)
@@ -123,13 +124,13 @@
     /** Guards the numbers of questions between members: a reply to a member's former self named another job. */
     @Test
     fun `a member back at once takes no reply that its former self had asked for`() {
-        cluster.peerSeconds = { if (cluster.random.nextInt(3) == 0) 0.4 else 0.001 }
+        cluster.peerDelaySeconds = { if (cluster.random.nextInt(3) == 0) 0.4 else 0.001 }
         val jobs = load(0.5, 80)
         repeat(150) { i ->
             cluster.clock.after(22.0 + 0.31 * i) {
                 val member = cluster.members.first { it != cluster.leader() }
                 cluster.crash(member, 0.05)
-                jobs.forEach { id -> cluster.clock.after(0.1) { cluster.lookAt(id, member) } }
+                jobs.forEach { id -> cluster.clock.after(0.1) { cluster.queryJobById(id, member) } }
             }
         }
         cluster.run(150.0)
--- a/src/test/kotlin/burlridge/simulation/Clock.kt
+++ b/src/test/kotlin/burlridge/simulation/Clock.kt
@@ -6,28 +6,28 @@
 internal class Clock {
     var now = 0.0
         private set
-    private var order = 0L
-    private val due = PriorityQueue<Event>(compareBy<Event> { it.at }.thenBy { it.order })
+    private var sequence = 0L
+    private val events = PriorityQueue<Event>(compareBy<Event> { it.time }.thenBy { it.sequence })
 
     private class Event(
-        val at: Double,
-        val order: Long,
-        val work: () -> Unit,
+        val time: Double,
+        val sequence: Long,
+        val action: () -> Unit,
     )
 
     fun after(
         delay: Double,
-        work: () -> Unit,
+        action: () -> Unit,
     ) {
-        due.add(Event(now + delay, order++, work))
+        events.add(Event(now + delay, sequence++, action))
     }
 
     fun runUntil(end: Double) {
         while (true) {
-            val next = due.peek()?.takeIf { it.at <= end } ?: break
-            due.poll()
-            now = next.at
-            next.work()
+            val next = events.peek()?.takeIf { it.time <= end } ?: break
+            events.poll()
+            now = next.time
+            next.action()
         }
         now = end
     }
--- a/src/test/kotlin/burlridge/simulation/CloudService.kt
+++ b/src/test/kotlin/burlridge/simulation/CloudService.kt
@@ -7,15 +7,15 @@
 internal class CloudService(
     private val cluster: SimulationEnvironment,
 ) {
-    private class Rented(
+    private class RentedMachine(
         val worker: Worker,
-        val at: Double,
-        var up: Boolean = false,
+        val rentedAt: Double,
+        var isUp: Boolean = false,
     )
 
-    private val machines = LinkedHashMap<String, Rented>()
-    private val atAddress = HashMap<String, Worker>()
-    private val answers = HashMap<String, String>()
+    private val machines = LinkedHashMap<String, RentedMachine>()
+    private val workersByAddress = HashMap<String, Worker>()
+    private val rentalAnswers = HashMap<String, String>()
 
     private class Snapshot(
         val at: Double,
@@ -23,19 +23,19 @@
     )
 
     private val snapshots = ArrayDeque<Snapshot>()
-    private var next = 1
+    private var nextMachineNumber = 1
     var down = false
-    var silentBoots = false
+    var bootsFail = false
 
     /** Seconds until a machine is up. */
     var bootSeconds: () -> Double = { 5 + cluster.random.nextDouble() * 10 }
-    var requests = ArrayList<String>()
+    var rentalRequests = ArrayList<String>()
 
     fun worker(id: String): Worker? = machines[id]?.worker
 
-    fun workerAt(address: String): Worker? = atAddress[address]?.takeIf { machines[it.id]?.worker === it }
+    fun workerAt(address: String): Worker? = workersByAddress[address]?.takeIf { machines[it.id]?.worker === it }
 
-    fun names(): List<String> = machines.keys.toList()
+    fun machineIds(): List<String> = machines.keys.toList()
 
     fun handle(
         target: String,
@@ -53,7 +53,7 @@
             }
 
             target == "/rentals/return" -> {
-                Json.parse(body).path("drovers").forEach { take(it.asText()) }
+                Json.parse(body).path("drovers").forEach { reclaim(it.asText()) }
                 reply(200, "{}")
             }
 
@@ -91,17 +91,17 @@
         reply: (Int, String) -> Unit,
     ) {
         val name = request.path("hire").asText()
-        requests += request.toString()
-        answers[name]?.let { return reply(200, it) }
+        rentalRequests += request.toString()
+        rentalAnswers[name]?.let { return reply(200, it) }
         val type = request.path("breed").asText()
         val zone = request.path("yard").asText()
         val spot = request.path("loaners").asBoolean()
-        val taken = machines.values.count { it.worker.type == type && it.worker.zone == zone && it.worker.spot == spot }
-        val count = minOf(request.path("number").asInt(), cluster.types.getValue(type).capacity - taken)
+        val inUse = machines.values.count { it.worker.type == type && it.worker.zone == zone && it.worker.spot == spot }
+        val count = minOf(request.path("number").asInt(), cluster.types.getValue(type).capacity - inUse)
         if (count <= 0) return reply(503, "{\"error\":\"no capacity\"}")
         val names = (1..count).map { add(type, zone, spot) }
         val answer = "{\"drovers\":[${names.joinToString(",") { "\"$it\"" }}]}"
-        answers[name] = answer
+        rentalAnswers[name] = answer
         reply(200, answer)
     }
 
@@ -110,33 +110,33 @@
         zone: String,
         spot: Boolean,
     ): String {
-        val id = "m-%06d".format(next)
-        val rented = Rented(Worker(cluster, id, type, zone, spot, cluster.addressOf(next++)), cluster.clock.now)
-        machines[id] = rented
-        atAddress[rented.worker.address] = rented.worker
-        if (!silentBoots) {
+        val id = "m-%06d".format(nextMachineNumber)
+        val machine = RentedMachine(Worker(cluster, id, type, zone, spot, cluster.addressOf(nextMachineNumber++)), cluster.clock.now)
+        machines[id] = machine
+        workersByAddress[machine.worker.address] = machine.worker
+        if (!bootsFail) {
             cluster.clock.after(bootSeconds()) {
-                if (machines[id] === rented) {
-                    rented.up = true
-                    rented.worker.boot()
+                if (machines[id] === machine) {
+                    machine.isUp = true
+                    machine.worker.boot()
                 }
             }
         }
         return id
     }
 
-    fun take(id: String) {
+    fun reclaim(id: String) {
         machines.remove(id)?.worker?.kill()
     }
 
     init {
-        keepListing()
+        scheduleSnapshots()
     }
 
-    private fun keepListing() {
+    private fun scheduleSnapshots() {
         cluster.clock.after(1.0) {
             snapshot()
-            keepListing()
+            scheduleSnapshots()
         }
     }
 
@@ -145,25 +145,25 @@
         val entries =
             machines.entries.map { (id, m) ->
                 id to "{\"id\":\"$id\",\"addr\":\"${m.worker.address}\",\"breed\":\"${m.worker.type}\",\"yard\":\"${m.worker.zone}\"," +
-                    "\"loaners\":${m.worker.spot},\"standing\":\"${if (m.up) "running" else "starting"}\",\"ageS\":${now - m.at}}"
+                    "\"loaners\":${m.worker.spot},\"standing\":\"${if (m.isUp) "running" else "starting"}\",\"ageS\":${now - m.rentedAt}}"
             }
         snapshots += Snapshot(now, entries)
-        while (snapshots.first().at < now - MOST_LAG_SECONDS * 2) snapshots.removeFirst()
+        while (snapshots.first().at < now - MAX_LIST_LAG_SECONDS * 2) snapshots.removeFirst()
     }
 
     /** A page of the list as it was some seconds ago. */
     private fun list(query: String): String {
-        val asked = query.split('&').associate { it.substringBefore('=') to it.substringAfter('=') }
-        val limit = asked["limit"]?.toIntOrNull() ?: Int.MAX_VALUE
+        val parameters = query.split('&').associate { it.substringBefore('=') to it.substringAfter('=') }
+        val limit = parameters["limit"]?.toIntOrNull() ?: Int.MAX_VALUE
         snapshot()
         val now = cluster.clock.now
-        val lag = cluster.random.nextDouble() * MOST_LAG_SECONDS
+        val lag = cluster.random.nextDouble() * MAX_LIST_LAG_SECONDS
         val entries = snapshots.lastOrNull { it.at <= now - lag }?.entries.orEmpty()
-        val rest = entries.filter { (id, _) -> id > asked["from"].orEmpty() }
+        val rest = entries.filter { (id, _) -> id > parameters["from"].orEmpty() }
         return "{\"drovers\":[${rest.take(limit).joinToString(",") { it.second }}],\"truncated\":${rest.size > limit}}"
     }
 
     private companion object {
-        const val MOST_LAG_SECONDS = 6.0
+        const val MAX_LIST_LAG_SECONDS = 6.0
     }
 }
--- a/src/test/kotlin/burlridge/simulation/FailureTest.kt
+++ b/src/test/kotlin/burlridge/simulation/FailureTest.kt
@@ -1,6 +1,6 @@
 package burlridge.simulation
 
-import burlridge.simulation.SimulatedCluster.CallFate
+import burlridge.simulation.SimulatedCluster.CallFault
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Assertions.assertTrue
 import org.junit.jupiter.api.Test
@@ -11,7 +11,7 @@
 
     /** The first call that [matches] meets [fate]; everything else goes well. */
     private fun once(
-        fate: CallFate,
+        fate: CallFault,
         matches: (String, String) -> Boolean,
     ): () -> Int {
         var met = 0
@@ -20,14 +20,14 @@
                 met++
                 fate
             } else {
-                CallFate.FINE
+                CallFault.NONE
             }
         }
         return { met }
     }
 
     private fun verdict(vararg jobs: String) {
-        assertEquals(emptyList<String>(), cluster.invariants.broken)
+        assertEquals(emptyList<String>(), cluster.invariants.violations)
         assertEquals(emptyList<String>(), jobs.filterNot { cluster.invariants.finished(it) }, "not over")
     }
 
@@ -39,7 +39,7 @@
 
     @Test
     fun `a command is executed and its answer lost, and no task starts twice`() {
-        val met = once(CallFate.ANSWER_LOST) { path, body -> path == "/do" && "run" in body }
+        val met = once(CallFault.ANSWER_LOST) { path, body -> path == "/do" && "run" in body }
         threeTasks()
         assertEquals(1, met())
         assertEquals(3, cluster.invariants.starts)
@@ -47,7 +47,7 @@
 
     @Test
     fun `a command held back for long is void when it arrives`() {
-        val met = once(CallFate.LATE) { path, body -> path == "/do" && "run" in body }
+        val met = once(CallFault.DELAYED) { path, body -> path == "/do" && "run" in body }
         threeTasks()
         assertEquals(1, met())
         assertEquals(3, cluster.invariants.starts)
@@ -55,7 +55,7 @@
 
     @Test
     fun `a claim whose answer is lost is found to be ours`() {
-        val met = once(CallFate.ANSWER_LOST) { path, body -> path == "/multi" && "round/" in body }
+        val met = once(CallFault.ANSWER_LOST) { path, body -> path == "/multi" && "round/" in body }
         threeTasks()
         assertEquals(1, met())
         assertEquals(3, cluster.invariants.starts)
@@ -63,7 +63,7 @@
 
     @Test
     fun `a claim that is applied late changes nothing`() {
-        val met = once(CallFate.LATE) { path, body -> path == "/multi" && "round/" in body }
+        val met = once(CallFault.DELAYED) { path, body -> path == "/multi" && "round/" in body }
         threeTasks()
         assertEquals(1, met())
         assertEquals(3, cluster.invariants.starts)
@@ -71,21 +71,21 @@
 
     @Test
     fun `a rental executed late brings machines that are used or returned`() {
-        val met = once(CallFate.LATE) { path, _ -> path == "/rentals" }
+        val met = once(CallFault.DELAYED) { path, _ -> path == "/rentals" }
         threeTasks(240.0)
         assertEquals(1, met())
     }
 
     @Test
     fun `a leader that cannot boot any machine keeps to one plan step at a time`() {
-        cluster.cloud.silentBoots = true
+        cluster.cloud.bootsFail = true
         cluster.clock.after(5.0) { cluster.submit(cluster.job(1, 3)) }
         cluster.run(25.0)
         assertTrue(
-            cluster.cloud.requests.size <= 2,
-            "rented again before a boot could be told from a lagging list: ${cluster.cloud.requests}",
+            cluster.cloud.rentalRequests.size <= 2,
+            "rented again before a boot could be told from a lagging list: ${cluster.cloud.rentalRequests}",
         )
-        cluster.cloud.silentBoots = false
+        cluster.cloud.bootsFail = false
         cluster.run(240.0)
         verdict("j-000001")
     }
@@ -139,7 +139,7 @@
         cluster.clock.after(5.0) { cluster.submit(cluster.job(1, 3, runSeconds = 60.0)) }
         cluster.clock.after(30.0) {
             val leader = cluster.leader() ?: return@after
-            cluster.cloud.names().forEach { cluster.cut(it, leader, 50.0) }
+            cluster.cloud.machineIds().forEach { cluster.cut(it, leader, 50.0) }
         }
         cluster.run(200.0)
         verdict("j-000001")
@@ -149,13 +149,14 @@
     /** Guards the leader's word that it hears nobody in a zone: each worker would go to it and back before it is relayed. */
     @Test
     fun `a zone apart is relayed as soon as its leader misses it, and goes straight again afterwards`() {
-        val many = SimulatedCluster(8, types = mapOf("small" to MachineTypeSpec(4.0, 16.0, 20)), guaranteed = 0.0)
+        val many = SimulatedCluster(8, types = mapOf("small" to MachineTypeSpec(4.0, 16.0, 20)), guaranteedCpus = 0.0)
         var passed = 0
         many.clock.after(40.0) {
             val leader = many.leader() ?: return@after
-            val apart = many.cloud.names().filter { many.cloud.worker(it)?.zone == "b" }
+            val apart = many.cloud.machineIds().filter { many.cloud.worker(it)?.zone == "b" }
             apart.forEach { many.cut(it, leader, 30.0) }
-            many.onAsk = { path -> if (path == "/agent/beat" && passed++ == 0) many.log += "%8.3f first relayed".format(many.clock.now) }
+            many.onForwardedRequest =
+                { path -> if (path == "/agent/beat" && passed++ == 0) many.log += "%8.3f first relayed".format(many.clock.now) }
         }
         many.run(100.0)
         val first =
@@ -177,7 +178,7 @@
         cluster.clock.after(5.0) { cluster.submit(cluster.job(1, 8, runSeconds = 60.0)) }
         cluster.clock.after(40.0) {
             cluster.cloud
-                .names()
+                .machineIds()
                 .take(2)
                 .forEach { cluster.cloud.worker(it)?.kill() }
         }
@@ -200,9 +201,9 @@
         cluster.clock.after(40.0) {
             cluster.leader()?.let { cluster.cut(it, "cloud", 60.0) }
             cluster.cloud
-                .names()
+                .machineIds()
                 .take(3)
-                .forEach { cluster.cloud.take(it) }
+                .forEach { cluster.cloud.reclaim(it) }
         }
         cluster.clock.after(48.0) { cluster.leader()?.let { cluster.crash(it, 5.0) } }
         cluster.run(200.0)
@@ -223,7 +224,7 @@
         cluster.clock.after(35.0) {
             val never = cluster.members.first { it != cluster.leader() }
             (cluster.members + "state").forEach { if (it != never) cluster.cut(never, it, 100.0) }
-            val apart = cluster.cloud.names().filter { cluster.cloud.worker(it)?.zone == "b" }
+            val apart = cluster.cloud.machineIds().filter { cluster.cloud.worker(it)?.zone == "b" }
             apart.forEach { machine -> cluster.members.forEach { cluster.cut(machine, it, 100.0) } }
         }
         cluster.clock.after(40.0) { cluster.leader()?.let { cluster.crash(it, 3.0) } }
@@ -242,7 +243,7 @@
         val many = SimulatedCluster(9, types = mapOf("small" to MachineTypeSpec(4.0, 16.0, 150)))
         many.clock.after(20.0) { many.submit(many.job(1, 250, cpus = 4.0, runSeconds = 20.0)) }
         many.run(23.0)
-        assertTrue(many.cloud.names().size >= 250, "${many.cloud.names().size} machines after three seconds")
+        assertTrue(many.cloud.machineIds().size >= 250, "${many.cloud.machineIds().size} machines after three seconds")
     }
 
     /** Guards the headroom of a lane: it was paid for long after the lane's last job. */
@@ -250,10 +251,10 @@
     fun `room is kept while jobs of a lane come, and given back when none do`() {
         repeat(20) { i -> cluster.clock.after(5.0 + 3 * i) { cluster.submit(cluster.job(i, 3, runSeconds = 4.0)) } }
         cluster.run(62.0)
-        assertTrue(cluster.cloud.names().isNotEmpty())
+        assertTrue(cluster.cloud.machineIds().isNotEmpty())
         cluster.run(230.0)
         verdict("j-000000", "j-000019")
-        assertEquals(emptyList<String>(), cluster.cloud.names())
+        assertEquals(emptyList<String>(), cluster.cloud.machineIds())
     }
 
     /** Guards the comparison of runs: without it the job waits for the slow machines' tasks. */
@@ -262,7 +263,7 @@
         cluster.clock.after(5.0) { cluster.submit(cluster.job(1, 2, runSeconds = 2.0)) }
         cluster.clock.after(30.0) {
             cluster.cloud
-                .names()
+                .machineIds()
                 .take(1)
                 .forEach { cluster.cloud.worker(it)?.slowness = 20.0 }
         }
--- a/src/test/kotlin/burlridge/simulation/GangBarrier.kt
+++ b/src/test/kotlin/burlridge/simulation/GangBarrier.kt
@@ -8,87 +8,91 @@
     private val cluster: SimulationEnvironment,
 ) {
     /** A gang task on its machine, as its attempt sees it. */
-    internal interface Seat {
+    internal interface GangTask {
         val taskName: String
 
         /** How many times as long as usual its machine takes. */
         val slowness: Double
 
-        fun becomes(standing: String)
+        fun updateState(state: String)
 
-        fun exits(
+        fun markExited(
             cause: String,
-            kept: Boolean = false,
+            progressSaved: Boolean = false,
         )
     }
 
     private class Attempt {
-        val seats = LinkedHashSet<Seat>()
+        val tasks = LinkedHashSet<GangTask>()
         var runningSince: Double? = null
         var slowness = 1.0
-        var failed = false
-        var firstHaltAt: Double? = null
-        val told = HashSet<Seat>()
-        var ended = false
+        var hasFailed = false
+        var firstStopAt: Double? = null
+        val toldToStop = HashSet<GangTask>()
+        var isFinished = false
     }
 
     private val attempts = HashMap<Pair<String, Int>, Attempt>()
 
     /** Progress that is safe, by job. */
-    private val saved = HashMap<String, Double>()
+    private val savedSecondsByJob = HashMap<String, Double>()
 
     /** When each attempt of each job began to run. */
-    val begun = ArrayList<Triple<String, Int, Double>>()
+    val attemptStarts = ArrayList<Triple<String, Int, Double>>()
 
-    fun progress(job: String): Double = saved[job] ?: 0.0
+    fun savedSeconds(job: String): Double = savedSecondsByJob[job] ?: 0.0
 
-    /** [seat] has its image. */
+    /** [task] has its image. */
     fun enter(
         job: String,
-        run: Int,
-        seat: Seat,
+        attemptNumber: Int,
+        task: GangTask,
     ) {
         val spec = cluster.invariants.spec(job) ?: return
-        val attempt = attempts.getOrPut(job to run) { Attempt() }
-        seat.becomes("gathering")
-        attempt.seats += seat
-        if (attempt.runningSince == null && !attempt.failed && attempt.seats.size == spec.taskCount) return begin(job, run, attempt)
+        val attempt = attempts.getOrPut(job to attemptNumber) { Attempt() }
+        task.updateState("gathering")
+        attempt.tasks += task
+        if (attempt.runningSince == null && !attempt.hasFailed &&
+            attempt.tasks.size == spec.taskCount
+        ) {
+            return startAttempt(job, attemptNumber, attempt)
+        }
         cluster.clock.after(cluster.gangWaitSeconds) {
-            if (attempt.runningSince == null && seat in attempt.seats) {
-                attempt.seats -= seat
-                seat.exits("incomplete")
+            if (attempt.runningSince == null && task in attempt.tasks) {
+                attempt.tasks -= task
+                task.markExited("incomplete")
             }
         }
     }
 
-    private fun begin(
+    private fun startAttempt(
         job: String,
-        run: Int,
+        attemptNumber: Int,
         attempt: Attempt,
     ) {
         val spec = cluster.invariants.spec(job) ?: return
         attempt.runningSince = cluster.clock.now
-        attempt.slowness = attempt.seats.maxOf { it.slowness }
-        begun += Triple(job, run, cluster.clock.now)
-        attempt.seats.forEach { it.becomes("running") }
-        cluster.clock.after((spec.estimatedRunSeconds - progress(job)) * attempt.slowness) {
-            if (!attempt.failed && !attempt.ended && attempt.firstHaltAt == null) {
-                attempt.ended = true
-                attempt.seats.toList().forEach { it.exits("done") }
+        attempt.slowness = attempt.tasks.maxOf { it.slowness }
+        attemptStarts += Triple(job, attemptNumber, cluster.clock.now)
+        attempt.tasks.forEach { it.updateState("running") }
+        cluster.clock.after((spec.estimatedRunSeconds - savedSeconds(job)) * attempt.slowness) {
+            if (!attempt.hasFailed && !attempt.isFinished && attempt.firstStopAt == null) {
+                attempt.isFinished = true
+                attempt.tasks.toList().forEach { it.markExited("done") }
             }
         }
     }
 
     private fun ranSeconds(attempt: Attempt): Double = (cluster.clock.now - (attempt.runningSince ?: cluster.clock.now)) / attempt.slowness
 
-    /** [seat] is gone with its machine, or has ended at once by a command. */
-    fun leaves(
+    /** [task] is gone with its machine, or has ended at once by a command. */
+    fun leave(
         job: String,
-        run: Int,
-        seat: Seat,
+        attemptNumber: Int,
+        task: GangTask,
     ) {
-        val attempt = attempts[job to run] ?: return
-        if (!attempt.seats.remove(seat) || attempt.ended || attempt.runningSince == null) return
+        val attempt = attempts[job to attemptNumber] ?: return
+        if (!attempt.tasks.remove(task) || attempt.isFinished || attempt.runningSince == null) return
         fail(job, attempt)
     }
 
@@ -96,38 +100,50 @@
         job: String,
         attempt: Attempt,
     ) {
-        if (attempt.failed) return
-        attempt.failed = true
+        if (attempt.hasFailed) return
+        attempt.hasFailed = true
         val spec = cluster.invariants.spec(job) ?: return
-        if (spec.checkpointIntervalSeconds > 0 && attempt.firstHaltAt == null) {
-            saved[job] = Math.floor((progress(job) + ranSeconds(attempt)) / spec.checkpointIntervalSeconds) * spec.checkpointIntervalSeconds
+        if (spec.checkpointIntervalSeconds > 0 && attempt.firstStopAt == null) {
+            savedSecondsByJob[job] =
+                Math.floor((savedSeconds(job) + ranSeconds(attempt)) / spec.checkpointIntervalSeconds) * spec.checkpointIntervalSeconds
         }
-        attempt.seats.toList().forEach { seat ->
+        attempt.tasks.toList().forEach { task ->
             cluster.clock.after(cluster.random.nextDouble() * cluster.gangPeerSeconds) {
-                if (attempt.seats.remove(seat)) seat.exits("peers")
+                if (attempt.tasks.remove(task)) task.markExited("peers")
             }
         }
     }
 
     /** Told to stop with enough time to save; true where it goes on until the others are told as well. */
-    fun saves(
+    fun requestSave(
         job: String,
-        run: Int,
-        seat: Seat,
+        attemptNumber: Int,
+        task: GangTask,
     ): Boolean {
-        val attempt = attempts[job to run] ?: return false
+        val attempt = attempts[job to attemptNumber] ?: return false
         val spec = cluster.invariants.spec(job) ?: return false
-        if (attempt.runningSince == null || attempt.failed || attempt.ended) return false
-        attempt.told += seat
-        if (attempt.firstHaltAt != null) return true
-        attempt.firstHaltAt = cluster.clock.now
-        val reached = progress(job) + ranSeconds(attempt)
+        if (attempt.runningSince == null || attempt.hasFailed || attempt.isFinished) return false
+        attempt.toldToStop += task
+        if (attempt.firstStopAt != null) return true
+        attempt.firstStopAt = cluster.clock.now
+        val reached = savedSeconds(job) + ranSeconds(attempt)
         cluster.clock.after(maxOf(spec.saveSeconds, cluster.gangPeerSeconds)) {
-            if (!attempt.failed && !attempt.ended) {
-                attempt.ended = true
-                val all = attempt.told.containsAll(attempt.seats)
-                if (all) saved[job] = reached
-                attempt.seats.toList().forEach { it.exits(if (it in attempt.told) "stopped" else "peers", kept = all) }
+            if (!attempt.hasFailed && !attempt.isFinished) {
+                attempt.isFinished = true
+                val allToldToStop = attempt.toldToStop.containsAll(attempt.tasks)
+                if (allToldToStop) savedSecondsByJob[job] = reached
+                attempt.tasks.toList().forEach {
+                    it.markExited(
+                        if (it in
+                            attempt.toldToStop
+                        ) {
+                            "stopped"
+                        } else {
+                            "peers"
+                        },
+                        progressSaved = allToldToStop,
+                    )
+                }
             }
         }
         return true
--- a/src/test/kotlin/burlridge/simulation/GangTest.kt
+++ b/src/test/kotlin/burlridge/simulation/GangTest.kt
@@ -1,16 +1,16 @@
 package burlridge.simulation
 
-import burlridge.simulation.SimulatedCluster.CallFate
+import burlridge.simulation.SimulatedCluster.CallFault
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Assertions.assertTrue
 import org.junit.jupiter.api.Test
 
 /** Gangs in the whole service, in virtual time: what befalls one task at each of its phases befalls the attempt. */
 internal class GangTest {
-    private val cluster = SimulatedCluster(21, guaranteed = 0.0)
+    private val cluster = SimulatedCluster(21, guaranteedCpus = 0.0)
 
     private fun verdict(vararg jobs: String) {
-        assertEquals(emptyList<String>(), cluster.invariants.broken, cluster.log.takeLast(40).joinToString("\n"))
+        assertEquals(emptyList<String>(), cluster.invariants.violations, cluster.log.takeLast(40).joinToString("\n"))
         assertEquals(
             emptyList<String>(),
             jobs.filterNot { cluster.invariants.finished(it) },
@@ -19,7 +19,7 @@
     }
 
     private fun begun(job: String): List<Int> =
-        cluster.gangBarrier.begun
+        cluster.gangBarrier.attemptStarts
             .filter { it.first == job }
             .map { it.second }
 
@@ -32,7 +32,13 @@
     private fun machinesOf(
         job: String,
         tasks: Int,
-    ): List<String> = cluster.cloud.names().filter { name -> (0 until tasks).any { cluster.cloud.worker(name)?.has("$job/$it") == true } }
+    ): List<String> =
+        cluster.cloud.machineIds().filter { name ->
+            (0 until tasks).any {
+                cluster.cloud.worker(name)?.hasTask("$job/$it") ==
+                    true
+            }
+        }
 
     @Test
     fun `a gang starts together, once, and completes together`() {
@@ -50,7 +56,7 @@
         cluster.run(140.0)
         verdict("j-000001")
         assertEquals(listOf(1, 2), begun("j-000001"))
-        assertTrue(cluster.gangBarrier.progress("j-000001") >= 10.0, "progress ${cluster.gangBarrier.progress("j-000001")}")
+        assertTrue(cluster.gangBarrier.savedSeconds("j-000001") >= 10.0, "progress ${cluster.gangBarrier.savedSeconds("j-000001")}")
     }
 
     @Test
@@ -62,10 +68,10 @@
         assertEquals(listOf(2), begun("j-000001"))
         // Those that gather are stopped at once, long before they give up by themselves.
         assertTrue(
-            cluster.gangBarrier.begun
+            cluster.gangBarrier.attemptStarts
                 .single()
                 .third < 25.0 + cluster.gangWaitSeconds,
-            "begun at ${cluster.gangBarrier.begun}",
+            "begun at ${cluster.gangBarrier.attemptStarts}",
         )
     }
 
@@ -75,7 +81,7 @@
         var met = 0
         cluster.lateSeconds = 60.0
         cluster.onCall =
-            { _, call -> if (call.path == "/do" && "run" in call.body.orEmpty() && met++ == 0) CallFate.LATE else CallFate.FINE }
+            { _, call -> if (call.path == "/do" && "run" in call.body.orEmpty() && met++ == 0) CallFault.DELAYED else CallFault.NONE }
         at(25.0) { cluster.submit(cluster.gang(1, 20, cpus = 2.0)) }
         cluster.run(200.0)
         verdict("j-000001")
@@ -86,44 +92,44 @@
     /** Guards the whole plan for a gang: two that each fit alone must not hold halves of the room. */
     @Test
     fun `two gangs that fit alone but not together run one after the other`() {
-        val small = SimulatedCluster(22, types = mapOf("small" to MachineTypeSpec(4.0, 16.0, 3)), guaranteed = 0.0)
+        val small = SimulatedCluster(22, types = mapOf("small" to MachineTypeSpec(4.0, 16.0, 3)), guaranteedCpus = 0.0)
         small.clock.after(30.0) {
             small.submit(small.gang(1, 10))
             small.submit(small.gang(2, 10))
         }
         small.run(120.0)
-        assertEquals(emptyList<String>(), small.invariants.broken)
+        assertEquals(emptyList<String>(), small.invariants.violations)
         assertTrue(small.invariants.finished("j-000001") && small.invariants.finished("j-000002"))
-        assertEquals(2, small.gangBarrier.begun.size)
+        assertEquals(2, small.gangBarrier.attemptStarts.size)
     }
 
     /** Guards the room that is kept for a gang that finds too little: single tasks would take each place as it falls free. */
     @Test
     fun `small work passing by does not starve a large gang`() {
-        val small = SimulatedCluster(23, types = mapOf("small" to MachineTypeSpec(4.0, 16.0, 4)), guaranteed = 0.0)
+        val small = SimulatedCluster(23, types = mapOf("small" to MachineTypeSpec(4.0, 16.0, 4)), guaranteedCpus = 0.0)
         repeat(300) { i -> small.clock.after(20.0 + 0.7 * i) { small.submit(small.job(100 + i, 7, runSeconds = 12.0, jobClass = "bulk")) } }
         small.clock.after(40.0) { small.submit(small.gang(1, 16)) }
         small.run(220.0)
-        assertEquals(emptyList<String>(), small.invariants.broken)
+        assertEquals(emptyList<String>(), small.invariants.violations)
         assertTrue(small.invariants.firstStart("j-000001") in 0.0..200.0, "began at ${small.invariants.firstStart("j-000001")}")
     }
 
     /** Guards everyone else from a gang that fits no zone: the room kept for it would never be used. */
     @Test
     fun `a gang that there will never be room for blocks nobody`() {
-        val small = SimulatedCluster(23, types = mapOf("small" to MachineTypeSpec(4.0, 16.0, 4)), guaranteed = 0.0)
+        val small = SimulatedCluster(23, types = mapOf("small" to MachineTypeSpec(4.0, 16.0, 4)), guaranteedCpus = 0.0)
         small.clock.after(30.0) { small.submit(small.gang(1, 60).copy(zone = "a")) }
         val others = (0 until 40).map { small.job(100 + it, 3, runSeconds = 5.0, jobClass = "bulk", zone = "a", spot = false) }
         others.forEachIndexed { i, spec -> small.clock.after(31.0 + 4 * i) { small.submit(spec) } }
         small.run(240.0)
-        assertEquals(emptyList<String>(), small.invariants.broken)
+        assertEquals(emptyList<String>(), small.invariants.violations)
         assertEquals(emptyList<String>(), others.map { it.id }.filterNot { small.invariants.finished(it) })
     }
 
     /** Guards the team's limit that is kept for a gang: single tasks of its team would use each bit of it. */
     @Test
     fun `small work of its team does not keep a gang from the team's limit`() {
-        val tight = SimulatedCluster(28, guaranteed = 0.0, types = mapOf("big" to MachineTypeSpec(16.0, 64.0, 4)))
+        val tight = SimulatedCluster(28, guaranteedCpus = 0.0, types = mapOf("big" to MachineTypeSpec(16.0, 64.0, 4)))
         repeat(
             200,
         ) { i ->
@@ -133,14 +139,14 @@
         }
         tight.clock.after(40.0) { tight.submit(tight.gang(1, 40, team = "crew-x")) }
         tight.run(215.0)
-        assertEquals(emptyList<String>(), tight.invariants.broken)
+        assertEquals(emptyList<String>(), tight.invariants.violations)
         assertTrue(tight.invariants.firstStart("j-000001") in 0.0..200.0, "began at ${tight.invariants.firstStart("j-000001")}")
     }
 
     /** A gang of several machines runs, and one of them gets a notice at 45 s. */
     private fun recalled() {
         at(25.0) { cluster.submit(cluster.gang(1, 20, cpus = 2.0, runSeconds = 40.0, spot = true)) }
-        at(45.0) { machinesOf("j-000001", 20).firstOrNull()?.let { cluster.cloud.worker(it)?.recall(15.0) } }
+        at(45.0) { machinesOf("j-000001", 20).firstOrNull()?.let { cluster.cloud.worker(it)?.announceReclaim(15.0) } }
     }
 
     /** Guards the order to stop that all hear at once: told by reports one after the other they would not save in time. */
@@ -150,7 +156,7 @@
         cluster.run(140.0)
         verdict("j-000001")
         assertEquals(listOf(1, 2), begun("j-000001"))
-        val progress = cluster.gangBarrier.progress("j-000001")
+        val progress = cluster.gangBarrier.savedSeconds("j-000001")
         assertTrue(progress > 15.0 && progress % 5.0 != 0.0, "only a checkpoint was left: $progress")
     }
 
@@ -160,7 +166,7 @@
         var stops = 0
         cluster.onCall = { from, call ->
             if (call.path == "/do" && "halt" in call.body.orEmpty() && stops++ == 1) at(0.0) { cluster.crash(from, 1.0) }
-            CallFate.FINE
+            CallFault.NONE
         }
         cluster.run(160.0)
         verdict("j-000001")
@@ -181,7 +187,7 @@
     fun `a gang with a machine out of reach is not told to save`() {
         at(25.0) { cluster.submit(cluster.gang(1, 20, cpus = 2.0, runSeconds = 40.0, spot = true)) }
         at(38.5) { machinesOf("j-000001", 20).lastOrNull()?.let { m -> cluster.members.forEach { cluster.cut(m, it, 20.0) } } }
-        at(45.0) { machinesOf("j-000001", 20).firstOrNull()?.let { cluster.cloud.worker(it)?.recall(15.0) } }
+        at(45.0) { machinesOf("j-000001", 20).firstOrNull()?.let { cluster.cloud.worker(it)?.announceReclaim(15.0) } }
         cluster.run(60.0)
         val stopped = cluster.log.count { "gang stop requested" in it && "reason=machine_reclaimed" in it }
         cluster.run(200.0)
@@ -197,8 +203,8 @@
             val other =
                 SimulatedCluster(
                     24 + rowsBefore,
-                    guaranteed = 0.0,
-                    next = limits,
+                    guaranteedCpus = 0.0,
+                    nextStateLimits = limits,
                     types =
                         mapOf("big" to MachineTypeSpec(16.0, 64.0, 3)),
                 )
@@ -208,11 +214,11 @@
             other.onCall = { from, call ->
                 when {
                     call.path != "/multi" || "\"set\":\"round/" !in call.body.orEmpty() -> {
-                        CallFate.FINE
+                        CallFault.NONE
                     }
 
                     rows++ < rowsBefore || !stuck -> {
-                        CallFate.FINE
+                        CallFault.NONE
                     }
 
                     else -> {
@@ -222,16 +228,16 @@
                                 other.crash(from, 1.0)
                             }
                         }
-                        CallFate.REFUSED
+                        CallFault.REFUSED
                     }
                 }
             }
             other.clock.after(25.0) { other.submit(other.gang(1, 32)) }
             other.run(140.0)
-            assertEquals(emptyList<String>(), other.invariants.broken)
+            assertEquals(emptyList<String>(), other.invariants.violations)
             assertTrue(other.invariants.finished("j-000001"), "after $rowsBefore rows:\n" + other.log.takeLast(30).joinToString("\n"))
             assertTrue(rows >= 4, "only $rows rows")
-            assertEquals(1, other.gangBarrier.begun.size)
+            assertEquals(1, other.gangBarrier.attemptStarts.size)
         }
     }
 
@@ -245,12 +251,12 @@
                 // This command goes through; another one's connection is not made, and its machine is well a moment later.
                 val first = cluster.cloud.workerAt(call.target.toString())?.id
                 cluster.cloud
-                    .names()
+                    .machineIds()
                     .filter { it != first }
                     .forEach { cluster.cut(from, it, 1.15) }
                 at(0.1) { first?.let { cluster.cloud.worker(it)?.restart() } }
             }
-            CallFate.FINE
+            CallFault.NONE
         }
         at(25.0) { cluster.submit(cluster.gang(1, 20, cpus = 2.0)) }
         cluster.run(100.0)
@@ -263,7 +269,7 @@
         var commands = 0
         cluster.onCall = { from, call ->
             if (call.path == "/do" && "run" in call.body.orEmpty() && commands++ == 1) at(0.0) { cluster.crash(from, 1.0) }
-            CallFate.FINE
+            CallFault.NONE
         }
         at(25.0) { cluster.submit(cluster.gang(1, 20, cpus = 2.0)) }
         cluster.run(140.0)
@@ -292,7 +298,7 @@
     fun `a whole zone is cut off with the gangs in it, which go on in the other`() {
         repeat(4) { i -> at(25.0 + i) { cluster.submit(cluster.gang(i, 8, runSeconds = 60.0)) } }
         at(45.0) {
-            val apart = cluster.cloud.names().filter { cluster.cloud.worker(it)?.zone == "b" }
+            val apart = cluster.cloud.machineIds().filter { cluster.cloud.worker(it)?.zone == "b" }
             apart.forEach { m -> cluster.members.forEach { cluster.cut(m, it, 50.0) } }
         }
         cluster.run(300.0)
@@ -304,7 +310,7 @@
         at(25.0) { cluster.submit(cluster.gang(1, 20, cpus = 2.0, runSeconds = 40.0)) }
         at(35.0) { cluster.members.forEach { cluster.cut(machinesOf("j-000001", 20).first(), it, 40.0) } }
         at(90.0) { cluster.submit(cluster.gang(2, 20, cpus = 2.0, runSeconds = 30.0)) }
-        at(95.0) { machinesOf("j-000002", 20).firstOrNull()?.let { cluster.deafen(it, 60.0) } }
+        at(95.0) { machinesOf("j-000002", 20).firstOrNull()?.let { cluster.blockTrafficTo(it, 60.0) } }
         at(150.0) { cluster.submit(cluster.gang(3, 20, cpus = 2.0, runSeconds = 30.0)) }
         at(160.0) { machinesOf("j-000003", 20).firstOrNull()?.let { cluster.cloud.worker(it)?.restart() } }
         cluster.run(330.0)
@@ -313,7 +319,7 @@
 
     @Test
     fun `late copies of reports of an attempt that is over change nothing`() {
-        cluster.copyAfter = { listOf(2.0, 9.0, 31.0, 70.0).random(cluster.random) }
+        cluster.duplicateReportAfter = { listOf(2.0, 9.0, 31.0, 70.0).random(cluster.random) }
         repeat(6) { i -> at(25.0 + 10 * i) { cluster.submit(cluster.gang(i, 8, runSeconds = 12.0)) } }
         repeat(
             5,
@@ -326,7 +332,7 @@
     /** Guards the reading of reports: a word that is not known is no end, and no crash. */
     @Test
     fun `states and causes that are not known are taken for no end`() {
-        cluster.word = { mapOf("gathering" to "assembling", "fetching" to "pulling", "peers" to "bereft")[it] ?: it }
+        cluster.wireName = { mapOf("gathering" to "assembling", "fetching" to "pulling", "peers" to "bereft")[it] ?: it }
         at(25.0) { cluster.submit(cluster.gang(1, 20, cpus = 2.0, runSeconds = 30.0)) }
         at(45.0) { machinesOf("j-000001", 20).firstOrNull()?.let { cluster.cloud.worker(it)?.restart() } }
         cluster.run(160.0)
@@ -340,11 +346,11 @@
     fun `whatever fails, gangs keep the rules and end`() {
         val days = System.getProperty("simulation.seeds")?.toInt() ?: 12
         for (seed in 1..days) {
-            val other = SimulatedCluster(seed + 100, next = """{"value_kb":2,"txn_ops":4,"write_rps":30}""")
+            val other = SimulatedCluster(seed + 100, nextStateLimits = """{"value_kb":2,"txn_ops":4,"write_rps":30}""")
             val jobs = other.mixedLoad(24)
-            RandomFaults(other, seed).draw(10, 20.0, 140.0)
+            RandomFaults(other, seed).schedule(10, 20.0, 140.0)
             other.run(420.0)
-            assertEquals(emptyList<String>(), other.invariants.broken, "seed $seed\n" + other.log.takeLast(60).joinToString("\n"))
+            assertEquals(emptyList<String>(), other.invariants.violations, "seed $seed\n" + other.log.takeLast(60).joinToString("\n"))
             assertEquals(
                 emptyList<String>(),
                 jobs.filterNot { other.invariants.finished(it) },
--- a/src/test/kotlin/burlridge/simulation/InvariantChecker.kt
+++ b/src/test/kotlin/burlridge/simulation/InvariantChecker.kt
@@ -10,11 +10,11 @@
     private val teamCpus: Map<String, Double>,
     private val teamGpus: Map<String, Double> = emptyMap(),
 ) {
-    private class On(
+    private class Placement(
         val machine: Worker,
     )
 
-    val broken = ArrayList<String>()
+    val violations = ArrayList<String>()
 
     /** Told of each start and end on a machine. */
     var onStart: (String, Worker) -> Unit = { _, _ -> }
@@ -30,28 +30,28 @@
     var lostSeconds = 0.0
 
     fun stopped(taskName: String) {
-        if (taskName.substringBefore('/') !in abortAsked) onStop(taskName)
+        if (taskName.substringBefore('/') !in cancellationRequests) onStop(taskName)
     }
 
     var starts = 0
         private set
     private val jobs = HashMap<String, JobSpec>()
     private val acceptedAt = HashMap<String, Double>()
-    private val told = HashMap<String, String>()
-    private val toldAt = HashMap<String, Double>()
+    private val finalStates = HashMap<String, String>()
+    private val finalStateAt = HashMap<String, Double>()
 
     /** Starts after their job's cancellation was confirmed, and how long after. */
     val startsAfterCancellation = ArrayList<Pair<String, Double>>()
     private val cancelledAt = HashMap<String, Double>()
-    private val abortAsked = HashSet<String>()
+    private val cancellationRequests = HashSet<String>()
     private val completed = HashMap<String, HashSet<Int>>()
-    private val on = HashMap<String, ArrayList<On>>()
+    private val placements = HashMap<String, ArrayList<Placement>>()
 
-    private fun breach(
+    private fun addViolation(
         rule: String,
-        what: String,
+        detail: String,
     ) {
-        broken += "%s at %.3f: %s".format(rule, clock.now, what)
+        violations += "%s at %.3f: %s".format(rule, clock.now, detail)
     }
 
     fun submitted(spec: JobSpec) {
@@ -63,91 +63,91 @@
     fun answered(
         job: String,
         status: Int,
-        standing: String?,
+        jobState: String?,
         submission: Boolean,
         /** What was asked before another answer came may be answered as things stood then. */
         askedAt: Double = clock.now,
     ) {
-        if (status == 200 && job !in jobs) breach("invented", job)
-        val known = acceptedAt[job]?.let { it <= askedAt } == true
-        if (known && status == 404) breach("forgotten", "$job is answered 404")
-        if (known && submission && (status == 400 || status == 422)) breach("forgotten", "repeat of $job is answered $status")
-        if (known && status == 201) breach("went_back", "$job is accepted a second time")
-        if (status == 200 || status == 201 || status == 404) lastAnswer[job] = clock.now
+        if (status == 200 && job !in jobs) addViolation("invented", job)
+        val wasAccepted = acceptedAt[job]?.let { it <= askedAt } == true
+        if (wasAccepted && status == 404) addViolation("forgotten", "$job is answered 404")
+        if (wasAccepted && submission && (status == 400 || status == 422)) addViolation("forgotten", "repeat of $job is answered $status")
+        if (wasAccepted && status == 201) addViolation("went_back", "$job is accepted a second time")
+        if (status == 200 || status == 201 || status == 404) lastAnswerAt[job] = clock.now
         if (status == 200 || status == 201) {
             acceptedAt.putIfAbsent(job, clock.now)
-            if (standing != null) heard(job, standing, askedAt)
+            if (jobState != null) checkReportedState(job, jobState, askedAt)
         }
     }
 
     /** A submission that lacks a field or can never run has been answered. */
-    fun answeredWrongOne(
+    fun invalidSubmissionAnswered(
         job: String,
         status: Int,
     ) {
-        if (status == 200 || status == 201) breach("accepted_wrong", "$job is answered $status")
+        if (status == 200 || status == 201) addViolation("accepted_wrong", "$job is answered $status")
     }
 
     private val waitingSince = HashMap<String, Double>()
 
-    /** Jobs that wait although there is [room] for them: none may for longer than 90 s. */
-    fun waiting(room: (JobSpec) -> Boolean) {
+    /** Jobs that wait although there is [hasRoom] for them: none may for longer than 90 s. */
+    fun checkWaitingJobs(hasRoom: (JobSpec) -> Boolean) {
         for (job in acceptedAt.keys) {
             val spec = jobs[job] ?: continue
             val limit = teamCpus[spec.team] ?: 0.0
             val atLimit = limit > 0 && teamUse(spec.team).cpus + spec.taskResources.cpus > limit + 1e-6
-            val waits = told[job] == null && on.keys.none { it.substringBefore('/') == job } && !atLimit && room(spec)
-            if (!waits) {
+            val isWaiting = finalStates[job] == null && placements.keys.none { it.substringBefore('/') == job } && !atLimit && hasRoom(spec)
+            if (!isWaiting) {
                 waitingSince.remove(job)
-            } else if (clock.now > waitingSince.getOrPut(job) { clock.now } + MOST_WAIT_SECONDS) {
-                breach("left_waiting", "$job waits for ${clock.now - waitingSince.getValue(job)} s beside room")
+            } else if (clock.now > waitingSince.getOrPut(job) { clock.now } + MAX_WAIT_SECONDS) {
+                addViolation("left_waiting", "$job waits for ${clock.now - waitingSince.getValue(job)} s beside room")
                 waitingSince.remove(job)
             }
         }
     }
 
     private companion object {
-        const val MOST_WAIT_SECONDS = 90.0
+        const val MAX_WAIT_SECONDS = 90.0
     }
 
-    private val lastAnswer = HashMap<String, Double>()
+    private val lastAnswerAt = HashMap<String, Double>()
 
     /** Accepted jobs about which no question has been answered since [since]. */
-    fun unanswered(since: Double): List<String> = acceptedAt.keys.filter { (lastAnswer[it] ?: 0.0) < since }
+    fun unanswered(since: Double): List<String> = acceptedAt.keys.filter { (lastAnswerAt[it] ?: 0.0) < since }
 
-    private fun heard(
+    private fun checkReportedState(
         job: String,
-        standing: String,
+        jobState: String,
         askedAt: Double,
     ) {
-        val before = told[job]
-        val final = standing == "done" || standing == "withdrawn"
-        val older = (toldAt[job] ?: Double.MAX_VALUE) <= askedAt || final
-        if (before != null && before != standing && older) breach("went_back", "$job was $before, now $standing")
-        if (final) toldAt.putIfAbsent(job, clock.now)
-        when (standing) {
+        val previous = finalStates[job]
+        val isFinal = jobState == "done" || jobState == "withdrawn"
+        val mustMatch = (finalStateAt[job] ?: Double.MAX_VALUE) <= askedAt || isFinal
+        if (previous != null && previous != jobState && mustMatch) addViolation("went_back", "$job was $previous, now $jobState")
+        if (isFinal) finalStateAt.putIfAbsent(job, clock.now)
+        when (jobState) {
             "done" -> {
                 if ((completed[job]?.size ?: 0) <
                     (jobs[job]?.taskCount ?: 0)
                 ) {
-                    breach("not_done", "$job has ${completed[job]?.size ?: 0} tasks done")
+                    addViolation("not_done", "$job has ${completed[job]?.size ?: 0} tasks done")
                 }
-                told[job] = standing
+                finalStates[job] = jobState
             }
 
             "withdrawn" -> {
-                if (job !in abortAsked) breach("went_back", "$job is cancelled without its user's wish")
-                told[job] = standing
+                if (job !in cancellationRequests) addViolation("went_back", "$job is cancelled without its user's wish")
+                finalStates[job] = jobState
                 cancelledAt.putIfAbsent(job, clock.now)
             }
         }
     }
 
-    fun askedToAbort(job: String) {
-        abortAsked += job
+    fun cancellationRequested(job: String) {
+        cancellationRequests += job
     }
 
-    fun finished(job: String): Boolean = told[job] != null
+    fun finished(job: String): Boolean = finalStates[job] != null
 
     fun started(
         taskName: String,
@@ -157,42 +157,42 @@
         onStart(taskName, worker)
         val job = taskName.substringBefore('/')
         firstStarts.putIfAbsent(job, clock.now)
-        val spec = jobs[job] ?: return breach("wrong_place", "$taskName belongs to no job")
-        val others = on.values.flatten()
-        on[taskName]?.firstOrNull()?.let { breach("ran_twice", "$taskName starts on ${worker.id} while on ${it.machine.id}") }
-        if (spec.machineTypes != null && worker.type !in spec.machineTypes) breach("wrong_place", "$taskName on type ${worker.type}")
-        if (spec.zone != null && worker.zone != spec.zone) breach("wrong_place", "$taskName in zone ${worker.zone}")
-        if (worker.spot && !spec.allowsSpot) breach("wrong_place", "$taskName on a spot machine")
+        val spec = jobs[job] ?: return addViolation("wrong_place", "$taskName belongs to no job")
+        val runningBefore = placements.values.flatten()
+        placements[taskName]?.firstOrNull()?.let { addViolation("ran_twice", "$taskName starts on ${worker.id} while on ${it.machine.id}") }
+        if (spec.machineTypes != null && worker.type !in spec.machineTypes) addViolation("wrong_place", "$taskName on type ${worker.type}")
+        if (spec.zone != null && worker.zone != spec.zone) addViolation("wrong_place", "$taskName in zone ${worker.zone}")
+        if (worker.spot && !spec.allowsSpot) addViolation("wrong_place", "$taskName on a spot machine")
         val siblings =
-            on
+            placements
                 .filterKeys { it.substringBefore('/') == job }
                 .values
                 .flatten()
                 .map { it.machine.zone }
-        if (spec.oneZone && siblings.any { it != worker.zone }) breach("wrong_place", "$taskName apart from its job's other tasks")
+        if (spec.oneZone && siblings.any { it != worker.zone }) addViolation("wrong_place", "$taskName apart from its job's other tasks")
         if (spec.spread &&
             siblings.count { it == worker.zone } + 1 > (spec.taskCount + 1) / 2
         ) {
-            breach("wrong_place", "$taskName crowds ${worker.zone}")
+            addViolation("wrong_place", "$taskName crowds ${worker.zone}")
         }
-        on.getOrPut(taskName) { ArrayList() } += On(worker)
+        placements.getOrPut(taskName) { ArrayList() } += Placement(worker)
         val use = teamUse(spec.team)
         val cpus = teamCpus[spec.team] ?: 0.0
         val gpus = teamGpus[spec.team] ?: 0.0
-        val over = (cpus > 0 && use.cpus > cpus + 1e-6) || (gpus > 0 && use.gpus > gpus + 1e-6)
-        if (over) breach("quota", "${spec.team} uses $use with ${others.size + 1} tasks")
+        val exceedsQuota = (cpus > 0 && use.cpus > cpus + 1e-6) || (gpus > 0 && use.gpus > gpus + 1e-6)
+        if (exceedsQuota) addViolation("quota", "${spec.team} uses $use with ${runningBefore.size + 1} tasks")
         cancelledAt[job]?.let {
             startsAfterCancellation += taskName to clock.now - it
             if (clock.now >
                 it + cancelSeconds
             ) {
-                breach("ran_cancelled", "$taskName starts ${clock.now - it} s after its cancellation")
+                addViolation("ran_cancelled", "$taskName starts ${clock.now - it} s after its cancellation")
             }
         }
     }
 
     private fun teamUse(team: String): Resources =
-        on.entries.fold(Resources.NONE) { sum, (taskName, machines) ->
+        placements.entries.fold(Resources.NONE) { sum, (taskName, machines) ->
             val spec = jobs[taskName.substringBefore('/')]?.takeIf { it.team == team }
             if (spec == null) sum else machines.fold(sum) { s, _ -> s + spec.taskResources }
         }
@@ -203,9 +203,9 @@
         done: Boolean,
     ) {
         onEnd(taskName, worker)
-        on[taskName]?.let { list ->
+        placements[taskName]?.let { list ->
             list.removeIf { it.machine === worker }
-            if (list.isEmpty()) on.remove(taskName)
+            if (list.isEmpty()) placements.remove(taskName)
         }
         if (done) completed.getOrPut(taskName.substringBefore('/')) { HashSet() } += taskName.substringAfter('/').toInt()
     }
@@ -219,13 +219,13 @@
         completed[taskName.substringBefore('/')]?.contains(taskName.substringAfter('/').toInt()) == true
 
     /** Called now and then: tasks of cancelled jobs must be gone in time. */
-    fun sweep() {
-        for ((taskName, machines) in on) {
+    fun checkCancelledTasks() {
+        for ((taskName, machines) in placements) {
             val at = cancelledAt[taskName.substringBefore('/')] ?: continue
             if (clock.now > at + cancelSeconds &&
                 machines.isNotEmpty()
             ) {
-                breach("ran_cancelled", "$taskName is on ${machines[0].machine.id} ${clock.now - at} s after")
+                addViolation("ran_cancelled", "$taskName is on ${machines[0].machine.id} ${clock.now - at} s after")
             }
         }
     }
--- a/src/test/kotlin/burlridge/simulation/InvariantCheckerTest.kt
+++ b/src/test/kotlin/burlridge/simulation/InvariantCheckerTest.kt
@@ -8,10 +8,10 @@
     private val cluster = SimulatedCluster(1)
     private val invariants = InvariantChecker(cluster.clock, 54.0, mapOf("crew-x" to 4.0))
     private val spec = cluster.job(1, 2, cpus = 4.0, team = "crew-x")
-    private val one = Worker(cluster, "m-1", "small", "a", false, "10.1.0.1:1")
-    private val two = Worker(cluster, "m-2", "small", "b", true, "10.1.0.2:1")
+    private val workerA = Worker(cluster, "m-1", "small", "a", false, "10.1.0.1:1")
+    private val workerB = Worker(cluster, "m-2", "small", "b", true, "10.1.0.2:1")
 
-    private fun broken(): List<String> = invariants.broken.map { it.substringBefore(' ') }
+    private fun violations(): List<String> = invariants.violations.map { it.substringBefore(' ') }
 
     private fun accept() {
         invariants.submitted(spec)
@@ -21,17 +21,17 @@
     @Test
     fun `a task on two machines`() {
         invariants.submitted(cluster.job(1, 2))
-        invariants.started("j-000001/0", one)
-        invariants.started("j-000001/0", two)
-        assertEquals(listOf("ran_twice"), broken())
+        invariants.started("j-000001/0", workerA)
+        invariants.started("j-000001/0", workerB)
+        assertEquals(listOf("ran_twice"), violations())
     }
 
     @Test
     fun `a team above its limit`() {
         accept()
-        invariants.started("j-000001/0", one)
-        invariants.started("j-000001/1", two)
-        assertEquals(listOf("quota"), broken())
+        invariants.started("j-000001/0", workerA)
+        invariants.started("j-000001/1", workerB)
+        assertEquals(listOf("quota"), violations())
     }
 
     @Test
@@ -40,49 +40,49 @@
         invariants.submitted(cluster.job(3, 4, spot = false))
         invariants.submitted(cluster.job(4, 4, oneZone = true))
         invariants.submitted(cluster.job(5, 2, spread = true))
-        invariants.started("j-000002/0", one)
-        invariants.started("j-000003/0", two)
-        invariants.started("j-000004/0", one)
-        invariants.started("j-000004/1", two)
-        invariants.started("j-000005/0", one)
-        invariants.started("j-000005/1", one)
-        assertEquals(List(4) { "wrong_place" }, broken())
+        invariants.started("j-000002/0", workerA)
+        invariants.started("j-000003/0", workerB)
+        invariants.started("j-000004/0", workerA)
+        invariants.started("j-000004/1", workerB)
+        invariants.started("j-000005/0", workerA)
+        invariants.started("j-000005/1", workerA)
+        assertEquals(List(4) { "wrong_place" }, violations())
     }
 
     @Test
     fun `a cancelled job that runs on`() {
         accept()
-        invariants.started("j-000001/0", one)
-        invariants.askedToAbort(spec.id)
+        invariants.started("j-000001/0", workerA)
+        invariants.cancellationRequested(spec.id)
         invariants.answered(spec.id, 200, "withdrawn", false)
         cluster.clock.runUntil(53.0)
-        invariants.sweep()
-        assertEquals(emptyList<String>(), broken())
+        invariants.checkCancelledTasks()
+        assertEquals(emptyList<String>(), violations())
         cluster.clock.runUntil(55.0)
-        invariants.sweep()
-        assertEquals(listOf("ran_cancelled"), broken())
+        invariants.checkCancelledTasks()
+        assertEquals(listOf("ran_cancelled"), violations())
     }
 
     @Test
     fun `a team above its limit of GPUs`() {
-        val gpus = InvariantChecker(cluster.clock, 54.0, emptyMap(), mapOf("crew-y" to 1.0))
-        gpus.submitted(cluster.job(1, 2).let { it.copy(taskResources = it.taskResources.copy(gpus = 1.0)) })
-        gpus.started("j-000001/0", one)
-        assertEquals(emptyList<String>(), gpus.broken)
-        gpus.started("j-000001/1", two)
-        assertEquals(listOf("quota"), gpus.broken.map { it.substringBefore(' ') })
+        val gpuInvariants = InvariantChecker(cluster.clock, 54.0, emptyMap(), mapOf("crew-y" to 1.0))
+        gpuInvariants.submitted(cluster.job(1, 2).let { it.copy(taskResources = it.taskResources.copy(gpus = 1.0)) })
+        gpuInvariants.started("j-000001/0", workerA)
+        assertEquals(emptyList<String>(), gpuInvariants.violations)
+        gpuInvariants.started("j-000001/1", workerB)
+        assertEquals(listOf("quota"), gpuInvariants.violations.map { it.substringBefore(' ') })
     }
 
     @Test
     fun `a job accepted that cannot run, a start after a cancellation, a job about which nobody answers`() {
         accept()
-        invariants.answeredWrongOne("j-000008", 422)
-        invariants.answeredWrongOne("j-000009", 201)
-        assertEquals(listOf("accepted_wrong"), broken())
-        invariants.askedToAbort(spec.id)
+        invariants.invalidSubmissionAnswered("j-000008", 422)
+        invariants.invalidSubmissionAnswered("j-000009", 201)
+        assertEquals(listOf("accepted_wrong"), violations())
+        invariants.cancellationRequested(spec.id)
         invariants.answered(spec.id, 200, "withdrawn", false)
         cluster.clock.runUntil(3.0)
-        invariants.started("j-000001/0", one)
+        invariants.started("j-000001/0", workerA)
         assertEquals(listOf("j-000001/0" to 3.0), invariants.startsAfterCancellation)
         assertEquals(emptyList<String>(), invariants.unanswered(0.0))
         assertEquals(listOf(spec.id), invariants.unanswered(1.0))
@@ -92,26 +92,26 @@
     fun `a job left waiting beside room`() {
         invariants.submitted(cluster.job(2, 1))
         invariants.answered("j-000002", 201, "queued", true)
-        invariants.waiting { true }
+        invariants.checkWaitingJobs { true }
         cluster.clock.runUntil(89.0)
-        invariants.waiting { true }
-        assertEquals(emptyList<String>(), broken())
+        invariants.checkWaitingJobs { true }
+        assertEquals(emptyList<String>(), violations())
         cluster.clock.runUntil(91.0)
-        invariants.waiting { true }
-        assertEquals(listOf("left_waiting"), broken())
+        invariants.checkWaitingJobs { true }
+        assertEquals(listOf("left_waiting"), violations())
     }
 
     @Test
     fun `an older answer to a later question, and none to an earlier one`() {
         accept()
-        invariants.askedToAbort(spec.id)
+        invariants.cancellationRequested(spec.id)
         cluster.clock.runUntil(1.0)
         invariants.answered(spec.id, 200, "withdrawn", false, askedAt = 0.5)
         invariants.answered(spec.id, 200, "running", false, askedAt = 0.9)
-        assertEquals(emptyList<String>(), broken())
+        assertEquals(emptyList<String>(), violations())
         invariants.answered(spec.id, 200, "running", false, askedAt = 1.0)
         invariants.answered(spec.id, 201, "queued", true, askedAt = 0.9)
-        assertEquals(listOf("went_back", "went_back"), broken())
+        assertEquals(listOf("went_back", "went_back"), violations())
     }
 
     @Test
@@ -122,6 +122,6 @@
         invariants.answered("j-000009", 200, "queued", false)
         invariants.answered(spec.id, 200, "done", false)
         invariants.answered(spec.id, 200, "running", false)
-        assertEquals(listOf("forgotten", "forgotten", "invented", "not_done", "went_back"), broken())
+        assertEquals(listOf("forgotten", "forgotten", "invented", "not_done", "went_back"), violations())
     }
 }
--- a/src/test/kotlin/burlridge/simulation/OverlappingFailuresTest.kt
+++ b/src/test/kotlin/burlridge/simulation/OverlappingFailuresTest.kt
@@ -1,6 +1,6 @@
 package burlridge.simulation
 
-import burlridge.simulation.SimulatedCluster.CallFate
+import burlridge.simulation.SimulatedCluster.CallFault
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Assertions.assertTrue
 import org.junit.jupiter.api.Test
@@ -17,21 +17,21 @@
         for (seed in seeds) {
             val played = cluster(seed)
             val jobs = played.day()
-            played.sendWrongOnes(until - 20.0)
-            played.at(until - WATCHED_SECONDS) { played.watchWaiting() }
+            played.sendInvalidSubmissions(until - 20.0)
+            played.at(until - WATCHED_SECONDS) { played.checkWaitingJobsPeriodically() }
             // Troubles are long over: every member is asked about every job, and some member answers for each.
             jobs.forEachIndexed { i, id ->
                 played.members.forEachIndexed {
                     m,
                     member,
                     ->
-                    played.at(until - UNANSWERED_SECONDS + m * 5.0 + i * 0.01) { played.lookAt(id, member) }
+                    played.at(until - UNANSWERED_SECONDS + m * 5.0 + i * 0.01) { played.queryJobById(id, member) }
                 }
             }
             played.run(until)
             assertEquals(emptyList<String>(), played.invariants.unanswered(until - UNANSWERED_SECONDS).filter { it in jobs }, "unanswered")
             val tail = "seed $seed\n" + played.log.takeLast(40).joinToString("\n")
-            assertEquals(emptyList<String>(), played.invariants.broken, tail)
+            assertEquals(emptyList<String>(), played.invariants.violations, tail)
             assertEquals(emptyList<String>(), jobs.filterNot { played.invariants.finished(it) }, "not over, $tail")
             assertTrue(played.invariants.starts > 0, "nothing ran")
         }
@@ -42,7 +42,7 @@
         work: () -> Unit,
     ) = clock.after(seconds, work)
 
-    private fun SimulatedCluster.machines(): List<String> = cloud.names()
+    private fun SimulatedCluster.machines(): List<String> = cloud.machineIds()
 
     private fun SimulatedCluster.crashLeader(backAfter: Double) {
         leader()?.let { crash(it, backAfter) }
@@ -73,7 +73,7 @@
                 members.forEach { if (it != old) cut(old, it, 60.0) }
                 jobs.forEachIndexed { i, spec ->
                     at(4.0 + i * 0.3) { abort(spec, members.first { it != old }) }
-                    repeat(30) { at(4.0 + it * 0.5) { look(spec, old) } }
+                    repeat(30) { at(4.0 + it * 0.5) { queryJob(spec, old) } }
                 }
             }
             jobs.map { it.id }
@@ -96,7 +96,7 @@
     @Test
     fun `members hand over and back, all end, and one returns within a second`() =
         meet(1..5) {
-            closeLooks = true
+            queryAllMembersOnChange = true
             val jobs = crowd(14, 15.0, cancelledAt = 40.0)
             repeat(6) { i -> at(30.0 + 6 * i) { crashLeader(0.15) } }
             at(70.0) { members.forEachIndexed { i, member -> crash(member, if (i == 0) 0.4 else 7.0) } }
@@ -123,11 +123,11 @@
         meet(1..8) {
             cloud.bootSeconds = { 0.2 + random.nextDouble() * 1.8 }
             lateSeconds = 12.0
-            onCall = { _, call -> if (call.path == "/multi" && random.nextInt(4) == 0) CallFate.LATE else CallFate.FINE }
+            onCall = { _, call -> if (call.path == "/multi" && random.nextInt(4) == 0) CallFault.DELAYED else CallFault.NONE }
             val jobs = (0 until 10).map { job(it, 4, cpus = 4.0, runSeconds = 20.0) }
             jobs.forEachIndexed { i, spec -> at(5.0 + 6 * i) { submit(spec) } }
             repeat(8) { i -> at(7.5 + 6 * i + random.nextDouble() * 2) { crashLeader(0.5) } }
-            at(90.0) { onCall = { _, _ -> CallFate.FINE } }
+            at(90.0) { onCall = { _, _ -> CallFault.NONE } }
             jobs.map { it.id }
         }
 
@@ -148,7 +148,7 @@
             jobs.forEach { at(5.0) { submit(it) } }
             at(50.0) {
                 machines().forEachIndexed { i, machine ->
-                    if (i % 3 == 0) deafen(machine, 20.0)
+                    if (i % 3 == 0) blockTrafficTo(machine, 20.0)
                     if (i % 3 == 1) members.forEach { cut(machine, it, 22.0) }
                 }
                 crashLeader(3.0)
@@ -169,7 +169,7 @@
                         if ((m + i) % 2 ==
                             0
                         ) {
-                            mute(name, 28.0 + random.nextDouble() * 30)
+                            blockTrafficFrom(name, 28.0 + random.nextDouble() * 30)
                         }
                     }
                 }
@@ -182,7 +182,7 @@
         meet(1..8) {
             val jobs = crowd(12, 14.0, cancelledAt = 44.0)
             repeat(5) { i ->
-                at(20.0 + 16 * i) { keepReportsForNextLeader(8.0) }
+                at(20.0 + 16 * i) { replayReportsToNextLeader(8.0) }
                 // Since those reports tasks have ended, begun and been forgotten, and sessions were lost.
                 at(24.0 + 16 * i) { machines().filterIndexed { m, _ -> m % 4 == i % 4 }.forEach { cloud.worker(it)?.restart() } }
                 at(29.0 + 16 * i) { crashLeader(1.0) }
@@ -193,17 +193,17 @@
     @Test
     fun `a report is held back until the next leader has acted`() =
         meet(1..6) {
-            copyAfter = { if (random.nextInt(3) == 0) 4.0 + random.nextDouble() * 40 else null }
+            duplicateReportAfter = { if (random.nextInt(3) == 0) 4.0 + random.nextDouble() * 40 else null }
             val jobs = crowd(12, 12.0, cancelledAt = 38.0)
             repeat(6) { i -> at(22.0 + 13 * i) { crashLeader(0.5 + i % 3) } }
-            at(120.0) { copyAfter = { null } }
+            at(120.0) { duplicateReportAfter = { null } }
             jobs
         }
 
     @Test
     fun `more work than room, urgent and not, over slow links`() =
         meet(1..3, until = 420.0) {
-            peerSeconds = { 0.05 + random.nextDouble() * 0.4 }
+            peerDelaySeconds = { 0.05 + random.nextDouble() * 0.4 }
             val jobs =
                 (0 until 40).map { i ->
                     val spec = job(i, 10, cpus = 4.0, runSeconds = 12.0, jobClass = if (i % 2 == 0) "urgent" else "bulk")
@@ -223,7 +223,7 @@
                     spec.id
                 }
             repeat(5) { i ->
-                at(32.0 + 9 * i) { machines().filter { cloud.worker(it)?.zone == zones[i % 2] }.take(3).forEach { cloud.take(it) } }
+                at(32.0 + 9 * i) { machines().filter { cloud.worker(it)?.zone == zones[i % 2] }.take(3).forEach { cloud.reclaim(it) } }
             }
             at(50.0) { crashLeader(2.0) }
             jobs
@@ -261,9 +261,9 @@
                     if (call.path == "/do" &&
                         random.nextInt(4) == 0
                     ) {
-                        listOf(CallFate.LATE, CallFate.ANSWER_LOST).random(random)
+                        listOf(CallFault.DELAYED, CallFault.ANSWER_LOST).random(random)
                     } else {
-                        CallFate.FINE
+                        CallFault.NONE
                     }
                 }
             val jobs = crowd(12, 14.0, cancelledAt = 40.0)
@@ -275,7 +275,7 @@
                 }
             }
             at(60.0) { crashLeader(1.0) }
-            at(110.0) { onCall = { _, _ -> CallFate.FINE } }
+            at(110.0) { onCall = { _, _ -> CallFault.NONE } }
             jobs
         }
 
@@ -299,7 +299,7 @@
         meet(1..10) {
             val jobs = crowd(10, 30.0)
             at(50.0) {
-                machines().filterIndexed { m, _ -> m % 2 == 0 }.forEach { deafen(it, 20.0) }
+                machines().filterIndexed { m, _ -> m % 2 == 0 }.forEach { blockTrafficTo(it, 20.0) }
                 crashLeader(4.0)
             }
             jobs.indices.filter { it % 2 == 0 }.forEach { i -> at(52.0 + i) { abort(job(i, 6)) } }
--- a/src/test/kotlin/burlridge/simulation/RandomFaults.kt
+++ b/src/test/kotlin/burlridge/simulation/RandomFaults.kt
@@ -9,20 +9,20 @@
 ) {
     private val seededRandom = Random(seed)
 
-    fun draw(
+    fun schedule(
         count: Int,
         from: Double,
         until: Double,
     ) {
-        cluster.lossy = 0.02
+        cluster.callFaultRate = 0.02
         cluster.cutsHoldPackets = seededRandom.nextBoolean()
         if (seededRandom.nextInt(3) == 0) {
-            cluster.copyAfter = { if (seededRandom.nextInt(4) == 0) 2.0 + seededRandom.nextDouble() * 60 else null }
+            cluster.duplicateReportAfter = { if (seededRandom.nextInt(4) == 0) 2.0 + seededRandom.nextDouble() * 60 else null }
         }
         repeat(count) { cluster.clock.after(from + seededRandom.nextDouble() * (until - from)) { injectOne() } }
         cluster.clock.after(until + 30.0) {
-            cluster.lossy = 0.0
-            cluster.copyAfter = { null }
+            cluster.callFaultRate = 0.0
+            cluster.duplicateReportAfter = { null }
         }
     }
 
@@ -32,16 +32,16 @@
             ::killAllMembers,
             { cluster.state.outage(seededRandom.nextDouble() * 25) },
             ::cutLeaderFromStore,
-            ::takeFirstMachines,
+            ::reclaimFirstMachines,
             ::cutLastMachinesFromAllMembers,
-            ::loseAnswersToOneMachine,
+            ::blockTrafficToOneMachine,
             ::freezeLeader,
             ::reclaimSpotMachines,
             ::cutMembersFromOneAnother,
             ::refuseLeader,
-            { drawnMachines(3).forEach { cluster.mute(it, seededRandom.nextDouble() * 50) } },
+            { drawnMachines(3).forEach { cluster.blockTrafficFrom(it, seededRandom.nextDouble() * 50) } },
             { drawnMachines(3).forEach { cluster.cloud.worker(it)?.hang(seededRandom.nextDouble() * 22) } },
-            { cluster.keepReportsForNextLeader(seededRandom.nextDouble() * 10) },
+            { cluster.replayReportsToNextLeader(seededRandom.nextDouble() * 10) },
             ::loseOrDelayTransactions,
             ::takeCloudDown,
         )
@@ -50,7 +50,7 @@
 
     private fun drawnMachines(count: Int): List<String> =
         cluster.cloud
-            .names()
+            .machineIds()
             .shuffled(seededRandom)
             .take(count)
 
@@ -64,23 +64,23 @@
         cluster.leader()?.let { cluster.cut(it, "state", 10 + seededRandom.nextDouble() * 20) }
     }
 
-    private fun takeFirstMachines() =
+    private fun reclaimFirstMachines() =
         cluster.cloud
-            .names()
+            .machineIds()
             .take(3)
-            .forEach { cluster.cloud.take(it) }
+            .forEach { cluster.cloud.reclaim(it) }
 
     private fun cutLastMachinesFromAllMembers() =
         cluster.cloud
-            .names()
+            .machineIds()
             .takeLast(4)
             .forEach { machine -> cluster.members.forEach { cluster.cut(it, machine, 5 + seededRandom.nextDouble() * 40) } }
 
-    private fun loseAnswersToOneMachine() {
+    private fun blockTrafficToOneMachine() {
         cluster.cloud
-            .names()
+            .machineIds()
             .randomOrNull(seededRandom)
-            ?.let { cluster.deafen(it, seededRandom.nextDouble() * 40) }
+            ?.let { cluster.blockTrafficTo(it, seededRandom.nextDouble() * 40) }
     }
 
     private fun freezeLeader() {
@@ -89,10 +89,10 @@
 
     private fun reclaimSpotMachines() =
         cluster.cloud
-            .names()
+            .machineIds()
             .filter { cluster.cloud.worker(it)?.spot == true }
             .take(3)
-            .forEach { cluster.cloud.worker(it)?.recall(5 + seededRandom.nextDouble() * 15) }
+            .forEach { cluster.cloud.worker(it)?.announceReclaim(5 + seededRandom.nextDouble() * 15) }
 
     private fun cutMembersFromOneAnother() {
         for (first in cluster.members) {
@@ -103,7 +103,7 @@
     }
 
     private fun refuseLeader() {
-        cluster.leader()?.let { cluster.refuse(it, 5 + seededRandom.nextDouble() * 20) }
+        cluster.leader()?.let { cluster.refuseStateRequests(it, 5 + seededRandom.nextDouble() * 20) }
         if (seededRandom.nextBoolean()) {
             cluster.clock.after(seededRandom.nextDouble() * 6) { cluster.state.outage(seededRandom.nextDouble() * 30) }
         }
@@ -111,10 +111,10 @@
 
     private fun loseOrDelayTransactions() {
         val until = cluster.clock.now + 5 + seededRandom.nextDouble() * 20
-        val fate = if (seededRandom.nextBoolean()) SimulatedCluster.CallFate.LATE else SimulatedCluster.CallFate.ANSWER_LOST
+        val fault = if (seededRandom.nextBoolean()) SimulatedCluster.CallFault.DELAYED else SimulatedCluster.CallFault.ANSWER_LOST
         cluster.onCall = { _, call ->
             val isHit = cluster.clock.now < until && call.path == "/multi" && seededRandom.nextInt(3) == 0
-            if (isHit) fate else SimulatedCluster.CallFate.FINE
+            if (isHit) fault else SimulatedCluster.CallFault.NONE
         }
     }
 
--- a/src/test/kotlin/burlridge/simulation/RefusalThenOutageTest.kt
+++ b/src/test/kotlin/burlridge/simulation/RefusalThenOutageTest.kt
@@ -30,10 +30,10 @@
         cluster.clock.after(start) {
             val leader = cluster.leader() ?: return@after
             old = leader
-            cluster.refuse(leader, distanceSeconds + 14.0)
+            cluster.refuseStateRequests(leader, distanceSeconds + 14.0)
             // Only what a third member says tells the old leader of the next one.
-            cluster.onLeader = { next -> if (next != leader) cluster.cut(leader, next, 200.0) }
-            cluster.onCancelled = { if (cluster.leader() != leader && cluster.leader() != null) confirmed++ }
+            cluster.onLeaderChange = { next -> if (next != leader) cluster.cut(leader, next, 200.0) }
+            cluster.onCancellationConfirmed = { if (cluster.leader() != leader && cluster.leader() != null) confirmed++ }
         }
         repeat(60) { i ->
             val job = jobs[i % jobs.size]
@@ -44,7 +44,7 @@
         }
         cluster.clock.after(start + distanceSeconds) { cluster.state.outage(times.cancelSeconds + 12.0) }
         cluster.run(start + distanceSeconds + times.cancelSeconds * 2 + 40.0)
-        return Outcome(cluster.invariants.broken, confirmed, cluster.log)
+        return Outcome(cluster.invariants.violations, confirmed, cluster.log)
     }
 
     private fun sweep(times: WorkerTimes) {
@@ -79,17 +79,17 @@
             val old = cluster.leader() ?: return@after
             val (next, third) = cluster.members.filter { it != old }
             listOf(old, third).forEach {
-                cluster.refuse(it, 200.0)
+                cluster.refuseStateRequests(it, 200.0)
                 cluster.cut(it, next, 200.0)
             }
-            cluster.cloud.names().forEach { cluster.cut(it, next, 200.0) }
-            cluster.onCancelled = { confirmed++ }
+            cluster.cloud.machineIds().forEach { cluster.cut(it, next, 200.0) }
+            cluster.onCancellationConfirmed = { confirmed++ }
             cluster.clock.after(times.reportSeconds + 1.0) { jobs.forEach { cluster.abort(it, next) } }
             cluster.clock.after(times.reportSeconds + 3.0) { cluster.state.outage(times.cancelSeconds + 20.0) }
         }
         cluster.run(60.0 + times.cancelSeconds * 2 + 30.0)
         assertEquals(jobs.size, confirmed, "not confirmed by the next leader")
-        assertEquals(emptyList<String>(), cluster.invariants.broken, cluster.log.takeLast(30).joinToString("\n"))
+        assertEquals(emptyList<String>(), cluster.invariants.violations, cluster.log.takeLast(30).joinToString("\n"))
     }
 
     @Test
@@ -108,18 +108,18 @@
         val jobs = (0 until 6).map { cluster.job(it, 2, runSeconds = 250.0) }
         jobs.forEach { cluster.clock.after(5.0) { cluster.submit(it) } }
         cluster.clock.after(60.0) {
-            cluster.cloud.names().forEach { machine -> cluster.members.forEach { cluster.cut(machine, it, 16.0) } }
+            cluster.cloud.machineIds().forEach { machine -> cluster.members.forEach { cluster.cut(machine, it, 16.0) } }
             jobs.forEach { cluster.abort(it) }
         }
         cluster.clock.after(70.0) {
             cluster.leader()?.let { cluster.crash(it, 2.0) }
             cluster.onCall = { _, call ->
                 val unread = call.path.startsWith("/store?") && cluster.clock.now < 140.0
-                if (unread) SimulatedCluster.CallFate.ANSWER_LOST else SimulatedCluster.CallFate.FINE
+                if (unread) SimulatedCluster.CallFault.ANSWER_LOST else SimulatedCluster.CallFault.NONE
             }
         }
         cluster.run(200.0)
-        assertEquals(emptyList<String>(), cluster.invariants.broken)
+        assertEquals(emptyList<String>(), cluster.invariants.violations)
         assertTrue(jobs.all { cluster.invariants.finished(it.id) }, "nothing was cancelled")
     }
 
@@ -130,17 +130,23 @@
         val job = cluster.job(1, 4, runSeconds = 250.0)
         cluster.clock.after(5.0) { cluster.submit(job) }
         cluster.clock.after(60.0) {
-            cluster.cloud.names().forEach {
-                cluster.mute(it, 40.0)
+            cluster.cloud.machineIds().forEach {
+                cluster.blockTrafficFrom(it, 40.0)
                 // So that the first stops are lost, and the leader holds its row no more when they can be repeated.
-                cluster.deafen(it, 6.0)
+                cluster.blockTrafficTo(it, 6.0)
             }
             cluster.abort(job)
             cluster.clock.after(0.006) { cluster.state.outage(30.0) }
         }
         cluster.run(72.0)
         assertTrue(cluster.invariants.finished(job.id), "not cancelled")
-        val left = cluster.cloud.names().filter { name -> (0 until 4).any { cluster.cloud.worker(name)?.has("${job.id}/$it") == true } }
+        val left =
+            cluster.cloud.machineIds().filter { name ->
+                (0 until 4).any {
+                    cluster.cloud.worker(name)?.hasTask("${job.id}/$it") ==
+                        true
+                }
+            }
         assertEquals(emptyList<String>(), left)
     }
 
@@ -151,7 +157,7 @@
         next: String,
     ) {
         listOf(old, third).forEach {
-            refuse(it, 200.0)
+            refuseStateRequests(it, 200.0)
             cut(it, next, 200.0)
         }
     }
@@ -164,7 +170,7 @@
     fun `what an old leader may still keep alive is not started elsewhere`() {
         for (seed in 1..3) {
             // All machines are kept, so that there is room elsewhere.
-            val cluster = SimulatedCluster(seed, guaranteed = 0.0)
+            val cluster = SimulatedCluster(seed, guaranteedCpus = 0.0)
             val jobs = (0 until 4).map { cluster.job(it, 2, runSeconds = 300.0) }
             jobs.forEach { cluster.clock.after(5.0) { cluster.submit(it) } }
             var next: String? = null
@@ -174,8 +180,8 @@
                 next = successor
                 cluster.leaveBehind(old, third, successor)
                 val busy =
-                    cluster.cloud.names().filter { name ->
-                        jobs.any { job -> (0 until 2).any { cluster.cloud.worker(name)!!.has("${job.id}/$it") } }
+                    cluster.cloud.machineIds().filter { name ->
+                        jobs.any { job -> (0 until 2).any { cluster.cloud.worker(name)!!.hasTask("${job.id}/$it") } }
                     }
                 assertTrue(busy.isNotEmpty(), "nothing runs")
                 busy.forEach { cluster.cut(it, successor, 200.0) }
@@ -184,7 +190,7 @@
             }
             cluster.run(160.0)
             assertEquals(next, cluster.leader())
-            assertEquals(emptyList<String>(), cluster.invariants.broken, "seed $seed\n" + cluster.log.takeLast(30).joinToString("\n"))
+            assertEquals(emptyList<String>(), cluster.invariants.violations, "seed $seed\n" + cluster.log.takeLast(30).joinToString("\n"))
         }
     }
 
@@ -197,17 +203,17 @@
         cluster.clock.after(60.0) {
             val old = cluster.leader() ?: return@after
             val next = cluster.members.first { it != old }
-            cluster.refuse(old, 200.0)
+            cluster.refuseStateRequests(old, 200.0)
             cluster.cut(old, next, 200.0)
             // A worker that hears the next one would tell as well.
-            cluster.cloud.names().forEach { cluster.cut(it, next, 200.0) }
+            cluster.cloud.machineIds().forEach { cluster.cut(it, next, 200.0) }
             // So that it is this one that is elected.
-            cluster.refuse(cluster.members.first { it != old && it != next }, 5.0)
+            cluster.refuseStateRequests(cluster.members.first { it != old && it != next }, 5.0)
         }
         cluster.run(78.0)
         assertTrue(cluster.leader() != null)
-        val behind = cluster.cloud.names().filter { cluster.cloud.worker(it)!!.term == 1L }
+        val behind = cluster.cloud.machineIds().filter { cluster.cloud.worker(it)!!.term == 1L }
         assertEquals(emptyList<String>(), behind, cluster.log.takeLast(20).joinToString("\n"))
-        assertEquals(emptyList<String>(), cluster.invariants.broken)
+        assertEquals(emptyList<String>(), cluster.invariants.violations)
     }
 }
--- a/src/test/kotlin/burlridge/simulation/RollingUpgradeTest.kt
+++ b/src/test/kotlin/burlridge/simulation/RollingUpgradeTest.kt
@@ -12,10 +12,10 @@
 internal class RollingUpgradeTest {
     private val limits = """{"value_kb":2,"txn_ops":4,"write_rps":30}"""
 
-    private fun mixed(seed: Int): SimulatedCluster = SimulatedCluster(seed, next = limits, old = true)
+    private fun mixed(seed: Int): SimulatedCluster = SimulatedCluster(seed, nextStateLimits = limits, startsOnOldVersion = true)
 
     private fun SimulatedCluster.verdict(jobs: List<String>) {
-        assertEquals(emptyList<String>(), invariants.broken, log.takeLast(60).joinToString("\n"))
+        assertEquals(emptyList<String>(), invariants.violations, log.takeLast(60).joinToString("\n"))
         assertEquals(emptyList<String>(), jobs.filterNot { invariants.finished(it) }, "not over:\n" + log.takeLast(60).joinToString("\n"))
     }
 
@@ -40,7 +40,7 @@
         val cluster = mixed(31)
         val jobs = cluster.arrays(24)
         cluster.roll(30.0)
-        cluster.clock.after(75.0) { cluster.state.lower(valueKb = 2.0, changesPerTransaction = 4) }
+        cluster.clock.after(75.0) { cluster.state.lowerLimits(valueKb = 2.0, changesPerTransaction = 4) }
         cluster.clock.after(80.0) { cluster.submit(cluster.gang(90, 6)) }
         cluster.run(240.0)
         cluster.verdict(jobs + "j-000090")
@@ -61,7 +61,7 @@
             val spec = cluster.gang(number, 2)
             cluster.invariants.submitted(spec)
             cluster.clock.after(at) {
-                val member = cluster.upgraded().randomOrNull(cluster.random) ?: return@after
+                val member = cluster.upgradedMembers().randomOrNull(cluster.random) ?: return@after
                 cluster.request("user", member, "POST", "/api/jobs", JobSpecCodec.encode(spec).toString(), 5.0) { status, _ ->
                     answers += at to status
                     cluster.invariants.answered(spec.id, status, null, submission = true)
@@ -71,7 +71,7 @@
         cluster.upgradeAt("drover-0", 20.0)
         cluster.upgradeAt("drover-1", 32.0)
         listOf(28.0, 40.0, 46.0).forEachIndexed { i, at -> ask(at, i) }
-        cluster.onAnswer = { status, retrySeconds -> if (status == 503 && retrySeconds == null) retryAfter = false }
+        cluster.onResponse = { status, retrySeconds -> if (status == 503 && retrySeconds == null) retryAfter = false }
         cluster.upgradeAt("drover-2", 50.0)
         cluster.clock.after(60.0) { cluster.crash("drover-2", 30.0) }
         cluster.clock.after(61.0) { cluster.crash("drover-0", 0.2) }
@@ -79,7 +79,7 @@
         cluster.run(120.0)
         assertEquals(listOf(503, 503, 503, 201), answers.sortedBy { it.first }.map { it.second })
         assertTrue(retryAfter, "a refusal without Retry-After")
-        assertEquals(emptyList<String>(), cluster.invariants.broken)
+        assertEquals(emptyList<String>(), cluster.invariants.violations)
     }
 
     /** Guards what old and new write to the same rows, whichever leads, and the rows that are too large for the limits to come. */
@@ -90,8 +90,8 @@
             val cluster = mixed(seed + 300)
             val jobs = cluster.arrays(24)
             cluster.roll(25.0 + seed % 20)
-            RandomFaults(cluster, seed).draw(8, 20.0, 110.0)
-            cluster.clock.after(85.0) { cluster.state.lower(valueKb = 2.0, changesPerTransaction = 4) }
+            RandomFaults(cluster, seed).schedule(8, 20.0, 110.0)
+            cluster.clock.after(85.0) { cluster.state.lowerLimits(valueKb = 2.0, changesPerTransaction = 4) }
             repeat(4) { i -> cluster.clock.after(90.0 + 5 * i) { cluster.submit(cluster.gang(90 + i, 4)) } }
             cluster.run(420.0)
             try {
--- a/src/test/kotlin/burlridge/simulation/ScaleInOutTest.kt
+++ b/src/test/kotlin/burlridge/simulation/ScaleInOutTest.kt
@@ -8,7 +8,7 @@
 internal class ScaleInOutTest {
     private val members = List(5) { "drover-$it" }
     private val types = mapOf("small" to MachineTypeSpec(4.0, 16.0, 360), "big" to MachineTypeSpec(16.0, 64.0, 178))
-    private val cluster = SimulatedCluster(21, members, types = types, guaranteed = 0.0)
+    private val cluster = SimulatedCluster(21, members, types = types, guaranteedCpus = 0.0)
 
     /** A burst of jobs, among them the largest there are, from 30 s on; every one must be told done, the largest begun in time. */
     private fun day(
@@ -33,9 +33,9 @@
         jobs.forEachIndexed { i, job -> cluster.clock.after(30.0 + 2 * i) { cluster.submit(job) } }
         cluster.troubles()
         cluster.run(until)
-        assertEquals(emptyList<String>(), cluster.invariants.broken)
+        assertEquals(emptyList<String>(), cluster.invariants.violations)
         assertEquals(emptyList<String>(), jobs.map { it.id }.filterNot { cluster.invariants.finished(it) }, "not over")
-        assertEquals(MACHINES, cluster.cloud.names().size)
+        assertEquals(MACHINES, cluster.cloud.machineIds().size)
         jobs.forEach {
             val waited = cluster.invariants.firstStart(it.id) - 30.0 - 2 * jobs.indexOf(it)
             assertTrue(waited < MUST_BEGIN_SECONDS, "${it.id} of ${it.taskCount} tasks waited $waited s")
@@ -44,8 +44,8 @@
         assertEquals(jobs.size, cluster.state.keys("over/").size)
         assertEquals(emptyList<String>(), cluster.state.keys("live/") + cluster.state.keys("round/") + cluster.state.keys("prog/"))
         assertTrue(cluster.state.writes < 25 * until, "writes: ${cluster.state.writes}")
-        assertTrue(cluster.state.mostRequests <= 2 * 200, "requests in a second: ${cluster.state.mostRequests}")
-        assertTrue(cluster.state.mostWrites <= 2 * 50, "changes in a second: ${cluster.state.mostWrites}")
+        assertTrue(cluster.state.maxRequestsPerSecond <= 2 * 200, "requests in a second: ${cluster.state.maxRequestsPerSecond}")
+        assertTrue(cluster.state.maxWritesPerSecond <= 2 * 50, "changes in a second: ${cluster.state.maxWritesPerSecond}")
     }
 
     @Test
@@ -62,7 +62,7 @@
         day(260.0) {
             cutsHoldPackets = true
             clock.after(60.0) {
-                val apart = cloud.names().filter { cloud.worker(it)?.zone == "b" }
+                val apart = cloud.machineIds().filter { cloud.worker(it)?.zone == "b" }
                 apart.forEach { machine -> members.forEach { cut(machine, it, 45.0) } }
             }
             clock.after(72.0) { leader()?.let { crash(it, 4.0) } }
--- a/src/test/kotlin/burlridge/simulation/ScaleTest.kt
+++ b/src/test/kotlin/burlridge/simulation/ScaleTest.kt
@@ -18,7 +18,7 @@
 
     private fun busyFleet(machines: Int) {
         val types = mapOf("small" to MachineTypeSpec(4.0, 16.0, machines / 6), "big" to MachineTypeSpec(16.0, 64.0, machines / 12))
-        val cluster = SimulatedCluster(5, types = types, guaranteed = 0.0)
+        val cluster = SimulatedCluster(5, types = types, guaranteedCpus = 0.0)
         val jobs =
             (0 until 60).map {
                 cluster.job(
@@ -36,11 +36,11 @@
             }
         jobs.forEachIndexed { i, job -> cluster.clock.after(40.0 + i) { cluster.submit(job) } }
         cluster.run(200.0)
-        assertEquals(emptyList<String>(), cluster.invariants.broken)
+        assertEquals(emptyList<String>(), cluster.invariants.violations)
         assertEquals(emptyList<String>(), jobs.map { it.id }.filterNot { cluster.invariants.finished(it) }, "not over")
-        assertEquals(machines / 12 * 12, cluster.cloud.names().size)
+        assertEquals(machines / 12 * 12, cluster.cloud.machineIds().size)
         val tasks = jobs.sumOf { it.taskCount }
-        val work = cluster.work(cluster.leader().orEmpty())
+        val work = cluster.counters(cluster.leader().orEmpty())
         assertEquals(tasks, cluster.invariants.starts)
         assertTrue(work.getValue("intent.rows") < tasks / 8, "claim rows: $work")
         assertTrue(work.getValue("worker.commands") <= tasks * 1.1, "commands: $work")
@@ -53,18 +53,18 @@
     fun `an idle fleet costs reports that are compared, and little else`() {
         for (size in listOf(1_100, 1_650, 4_000)) {
             val types = mapOf("small" to MachineTypeSpec(4.0, 16.0, size / 6), "big" to MachineTypeSpec(16.0, 64.0, size / 6))
-            val cluster = SimulatedCluster(5, types = types, guaranteed = 0.0)
+            val cluster = SimulatedCluster(5, types = types, guaranteedCpus = 0.0)
             val jobs = (0 until 20).map { cluster.job(it, 60, cpus = 1.0, runSeconds = 20.0) }
             jobs.forEachIndexed { i, job -> cluster.clock.after(30.0 + i) { cluster.submit(job) } }
             cluster.run(IDLE_FROM_SECONDS)
             assertEquals(emptyList<String>(), jobs.map { it.id }.filterNot { cluster.invariants.finished(it) }, "not over")
-            val machines = cluster.cloud.names().size
+            val machines = cluster.cloud.machineIds().size
             assertTrue(machines >= size * 0.9, "$machines machines of $size")
             val leader = cluster.leader().orEmpty()
-            val before = HashMap(cluster.work(leader))
+            val before = HashMap(cluster.counters(leader))
             cluster.run(IDLE_FROM_SECONDS + IDLE_SECONDS)
             assertEquals(leader, cluster.leader())
-            val work = cluster.work(leader).mapValues { (name, amount) -> amount - (before[name] ?: 0L) }
+            val work = cluster.counters(leader).mapValues { (name, amount) -> amount - (before[name] ?: 0L) }
             val reports = work.getValue("worker.reports")
             assertTrue(reports in (machines * IDLE_SECONDS / 4).toLong()..(machines * IDLE_SECONDS / 2.5).toLong(), "reports: $work")
             assertTrue((work["worker.reports_read"] ?: 0L) <= reports / 100, "reports that were decoded: $work")
--- a/src/test/kotlin/burlridge/simulation/SimulatedCluster.kt
+++ b/src/test/kotlin/burlridge/simulation/SimulatedCluster.kt
@@ -29,21 +29,21 @@
 internal class SimulatedCluster(
     seed: Int,
     override val members: List<String> = listOf("drover-0", "drover-1", "drover-2"),
-    private val waitAim: Double = 10.0,
+    private val waitObjectiveSeconds: Double = 10.0,
     override val types: Map<String, MachineTypeSpec> =
         mapOf(
             "small" to MachineTypeSpec(4.0, 16.0, 6),
             "big" to MachineTypeSpec(16.0, 64.0, 3),
         ),
     /** Guaranteed to the team that is guaranteed something; 0 for a deployment that guarantees nothing. */
-    private val guaranteed: Double = 24.0,
+    private val guaranteedCpus: Double = 24.0,
     /** Limits that the state service may have from some moment on. */
-    private val next: String? = null,
+    private val nextStateLimits: String? = null,
     /** Whether members start as of the version before: it knows neither gangs nor limits to come. */
-    old: Boolean = false,
+    startsOnOldVersion: Boolean = false,
     val times: WorkerTimes = WorkerTimes(),
     private val writeRps: Int = 50,
-    private val jobClasses: String = """{"kind":"wait","class":"urgent","within_s":$waitAim,"share":0.9}""",
+    private val jobClasses: String = """{"kind":"wait","class":"urgent","within_s":$waitObjectiveSeconds,"share":0.9}""",
     operator: OperatorSettings = OperatorSettings(),
     private val operatorOf: (member: String) -> OperatorSettings = { operator },
 ) : SimulationEnvironment {
@@ -61,24 +61,24 @@
     override val cloud = CloudService(this)
     val log = ArrayList<String>()
     private val controllers = HashMap<String, Controller?>()
-    private val lives = HashMap<String, Int>()
+    private val generations = HashMap<String, Int>()
     private val openRequests = HashMap<Pair<String, Long>, (Int, String) -> Unit>()
     private var nextRequest = 1L
 
     /** Pairs of hosts that cannot reach each other, and until when. */
-    private val cuts = HashMap<Set<String>, Double>()
+    private val cutUntil = HashMap<Set<String>, Double>()
 
     /** Machines whose reports arrive, while neither answers nor commands reach them; and until when. */
-    private val deaf = HashMap<String, Double>()
+    private val inboundBlockedUntil = HashMap<String, Double>()
 
     /** Machines that reach no member, while commands reach them; and until when. */
-    private val mute = HashMap<String, Double>()
+    private val outboundBlockedUntil = HashMap<String, Double>()
 
     /** Members whom the state service refuses, each alone, and until when. */
-    private val refused = HashMap<String, Double>()
+    private val refusedUntil = HashMap<String, Double>()
 
     /** Members that stand still, and until when; what comes meanwhile waits. */
-    private val frozen = HashMap<String, Double>()
+    private val frozenUntil = HashMap<String, Double>()
     private val heldInputs = HashMap<String, ArrayList<Input>>()
 
     /** Whether a cut holds back what is sent across it, to be delivered in the end, long given up. */
@@ -94,28 +94,28 @@
         spec: JobSpec,
     ): Double = fetchTime?.invoke(worker, spec) ?: super.fetchSeconds(worker, spec)
 
-    override var word: (String) -> String = { it }
+    override var wireName: (String) -> String = { it }
 
     /** How late a further copy of a report comes, to any member; null where none does. */
-    var copyAfter: (machine: String) -> Double? = { null }
+    var duplicateReportAfter: (machine: String) -> Double? = { null }
     var calls = 0
         private set
 
     /** Share of calls whose request, or whose answer, is held back until long after the caller gave up. */
-    var lossy = 0.0
+    var callFaultRate = 0.0
     var lateSeconds = 30.0
 
     /** Called for each call before it is carried out; a test returns what is to become of it. */
-    var onCall: (from: String, effect: Effect.HttpCall) -> CallFate = { _, _ -> CallFate.FINE }
+    var onCall: (from: String, effect: Effect.HttpCall) -> CallFault = { _, _ -> CallFault.NONE }
 
     /** Told of everything that a member's step returns, before any of it is carried out. */
     var onEffect: (member: String, effect: Effect) -> Unit = { _, _ -> }
 
     /** Told the path of each request that one member passes on to another. */
-    var onAsk: (path: String) -> Unit = {}
+    var onForwardedRequest: (path: String) -> Unit = {}
 
-    /** [CallFate.REPEATED]: carried out and answered, and long after that carried out once more. */
-    enum class CallFate { FINE, ANSWER_LOST, LATE, REFUSED, REPEATED }
+    /** [CallFault.DUPLICATED]: carried out and answered, and long after that carried out once more. */
+    enum class CallFault { NONE, ANSWER_LOST, DELAYED, REFUSED, DUPLICATED }
 
     init {
         invariants.onStart = { task, worker ->
@@ -130,17 +130,17 @@
     /** Zones of machines on which anything ever started. */
     val zoneOf = HashMap<String, String>()
 
-    private val new: HashSet<String> = if (old) HashSet() else members.toHashSet()
+    private val newVersionMembers: HashSet<String> = if (startsOnOldVersion) HashSet() else members.toHashSet()
 
     /** Members of the new version that are up. */
-    fun upgraded(): List<String> = members.filter { it in new && controllers[it] != null }
+    fun upgradedMembers(): List<String> = members.filter { it in newVersionMembers && controllers[it] != null }
 
     /** Kills a member, which comes back new. */
     fun upgrade(
         name: String,
         backAfter: Double,
     ) {
-        new += name
+        newVersionMembers += name
         if (controllers[name] != null) crash(name, backAfter)
     }
 
@@ -150,31 +150,31 @@
     ) = clock.after(at) { upgrade(name, 2.0) }
 
     /** Told of each answer to a user. */
-    var onAnswer: (status: Int, retryAfterSeconds: Int?) -> Unit = { _, _ -> }
+    var onResponse: (status: Int, retryAfterSeconds: Int?) -> Unit = { _, _ -> }
 
     /** What the member [name] is started with. */
     fun settings(name: String): Settings {
-        val knows = name in new
-        val gangTimes = if (knows) "\"gang_wait_s\":$gangWaitSeconds,\"gang_peer_s\":$gangPeerSeconds," else ""
-        val limitsToCome = next?.takeIf { knows }?.let { ",\"next\":$it" }.orEmpty()
+        val isUpgraded = name in newVersionMembers
+        val gangTimes = if (isUpgraded) "\"gang_wait_s\":$gangWaitSeconds,\"gang_peer_s\":$gangPeerSeconds," else ""
+        val announcedLimits = nextStateLimits?.takeIf { isUpgraded }?.let { ",\"next\":$it" }.orEmpty()
         val others = members.filter { it != name }
         return Settings
             .parse(
                 """{"member":"$name","zone":"a","serve_on":"10.0.0.${members.indexOf(name) + 1}:80","peer_bind":"10.0.0.1:81",
             "others":[${others.joinToString(",") { "{\"member\":\"$it\",\"zone\":\"a\",\"endpoint\":\"10.0.0.9:1\"}" }}],
             "services":{"cloud":"10.2.0.2:1","state":"10.2.0.1:1"},
-            "params":{"teams":[{"name":"crew-x","cpus":$guaranteed,"cpus_max":48},{"name":"crew-y","cpus":0,"cpus_max":0}],
+            "params":{"teams":[{"name":"crew-x","cpus":$guaranteedCpus,"cpus_max":48},{"name":"crew-y","cpus":0,"cpus_max":0}],
             "objectives":[$jobClasses],
             "workers":{"report_s":$reportSeconds,"lease_s":$leaseSeconds,$gangTimes"cancel_s":$cancelSeconds},
-            "state":{"rps":200,"write_rps":$writeRps,"value_kb":8,"txn_ops":8$limitsToCome},"cloud":{"rps":8,"list_lag_s":3},
+            "state":{"rps":200,"write_rps":$writeRps,"value_kb":8,"txn_ops":8$announcedLimits},"cloud":{"rps":8,"list_lag_s":3},
             "limits":{"cpu_share":0.25,"memory_mb":268.0,"max_connections":2000}}}""",
             ).copy(operator = operatorOf(name))
     }
 
     fun start(name: String) {
-        val life = lives.merge(name, 1, Int::plus) ?: 1
+        val generation = generations.merge(name, 1, Int::plus) ?: 1
         controllers[name] = Controller(settings(name), random.nextLong())
-        tick(name, life)
+        tick(name, generation)
     }
 
     fun crash(
@@ -184,24 +184,24 @@
         if (controllers[name] == null) return
         controllers[name] = null
         // What waited in a process's queues ends with it.
-        held.remove(name)
-        pauses.remove(name)
+        heldEffects.remove(name)
+        pendingPauses.remove(name)
         openRequests.keys.filter { it.first == name }.forEach { openRequests.remove(it)?.invoke(0, "") }
         clock.after(backAfter) { if (controllers[name] == null) start(name) }
     }
 
-    fun work(name: String): Map<String, Long> = controllers[name]?.counters.orEmpty()
+    fun counters(name: String): Map<String, Long> = controllers[name]?.counters.orEmpty()
 
     fun leader(): String? = members.firstOrNull { name -> controllers[name]?.isActiveLeader == true }
 
     private fun tick(
         name: String,
-        life: Int,
+        generation: Int,
     ) {
-        if (lives[name] != life || controllers[name] == null) return
+        if (generations[name] != generation || controllers[name] == null) return
         step(name, Input.Tick)
         watchLeader()
-        clock.after(0.1) { tick(name, life) }
+        clock.after(0.1) { tick(name, generation) }
     }
 
     fun cut(
@@ -209,103 +209,103 @@
         b: String,
         seconds: Double,
     ) {
-        cuts[setOf(a, b)] = clock.now + seconds
+        cutUntil[setOf(a, b)] = clock.now + seconds
     }
 
-    fun deafen(
+    fun blockTrafficTo(
         machine: String,
         seconds: Double,
     ) {
-        deaf[machine] = clock.now + seconds
+        inboundBlockedUntil[machine] = clock.now + seconds
     }
 
-    fun mute(
+    fun blockTrafficFrom(
         machine: String,
         seconds: Double,
     ) {
-        mute[machine] = clock.now + seconds
+        outboundBlockedUntil[machine] = clock.now + seconds
     }
 
     /** Nothing passes between [member] and the other members. */
-    fun peersCut(
+    fun cutFromPeers(
         member: String,
         seconds: Double,
     ) = members.filter { it != member }.forEach { cut(member, it, seconds) }
 
     /** The state service answers [member] 503 while it serves the others. */
-    fun refuse(
+    fun refuseStateRequests(
         member: String,
         seconds: Double,
     ) {
-        refused[member] = clock.now + seconds
+        refusedUntil[member] = clock.now + seconds
     }
 
-    private fun isRefused(member: String): Boolean = (refused[member] ?: 0.0) > clock.now
+    private fun isRefused(member: String): Boolean = (refusedUntil[member] ?: 0.0) > clock.now
 
     /** Keeps a copy of the reports of the next [seconds]; all members get them when the next leader begins. */
-    fun keepReportsForNextLeader(seconds: Double) {
+    fun replayReportsToNextLeader(seconds: Double) {
         val until = clock.now + seconds
-        keeps = { clock.now < until }
+        isRecordingReports = { clock.now < until }
     }
 
-    private var keeps: () -> Boolean = { false }
-    private val kept = ArrayList<String>()
-    private var ledBy: String? = null
+    private var isRecordingReports: () -> Boolean = { false }
+    private val recordedReports = ArrayList<String>()
+    private var lastLeader: String? = null
 
     /** Told of each change of leader. */
-    var onLeader: (String) -> Unit = {}
+    var onLeaderChange: (String) -> Unit = {}
 
     /** Told of each cancellation confirmed. */
-    var onCancelled: (String) -> Unit = {}
+    var onCancellationConfirmed: (String) -> Unit = {}
 
     /** How long a message from member to member takes. */
-    var peerSeconds: () -> Double = { 0.001 }
+    var peerDelaySeconds: () -> Double = { 0.001 }
 
     /** Moments at which more than one member might have acted as leader. */
     val simultaneousLeaders = ArrayList<String>()
 
     private fun watchLeader() {
-        val leaders = members.filter { controllers[it]?.isActiveLeader == true && it !in frozen }
+        val leaders = members.filter { controllers[it]?.isActiveLeader == true && it !in frozenUntil }
         if (leaders.size > 1) simultaneousLeaders += "$leaders at ${clock.now}"
         val now = leader() ?: return
-        if (now != ledBy) onLeader(now)
-        if (now != ledBy && ledBy != null) {
-            kept.forEach { body ->
+        if (now != lastLeader) onLeaderChange(now)
+        if (now != lastLeader && lastLeader != null) {
+            recordedReports.forEach { body ->
                 members.forEach { step(it, Input.Request(nextRequest++, "POST", "/agent/beat", "", body)) }
             }
-            if (!keeps()) kept.clear()
+            if (!isRecordingReports()) recordedReports.clear()
         }
-        ledBy = now
+        lastLeader = now
     }
 
-    private fun isDeaf(machine: String): Boolean = (deaf[machine] ?: 0.0) > clock.now
+    private fun isInboundBlocked(machine: String): Boolean = (inboundBlockedUntil[machine] ?: 0.0) > clock.now
 
     private fun atEndOfCut(
         a: String,
         b: String,
-        work: () -> Unit,
+        action: () -> Unit,
     ) {
-        clock.after((cuts[setOf(a, b)] ?: clock.now) - clock.now + random.nextDouble(), work)
+        clock.after((cutUntil[setOf(a, b)] ?: clock.now) - clock.now + random.nextDouble(), action)
     }
 
     private fun isCut(
         a: String,
         b: String,
-    ): Boolean = (cuts[setOf(a, b)] ?: 0.0) > clock.now
+    ): Boolean = (cutUntil[setOf(a, b)] ?: 0.0) > clock.now
 
     /** The member stands still while all clocks run on; a timer that came up meanwhile fires once. */
     fun freeze(
         name: String,
         seconds: Double,
     ) {
-        if (name in frozen) return
-        val life = lives[name]
-        frozen[name] = clock.now + seconds
+        if (name in frozenUntil) return
+        val generation = generations[name]
+        frozenUntil[name] = clock.now + seconds
         heldInputs[name] = ArrayList()
         clock.after(seconds) {
-            frozen.remove(name)
+            frozenUntil.remove(name)
             val inputs = heldInputs.remove(name).orEmpty()
-            if (lives[name] == life) inputs.forEach { step(name, it) }
+            if (generations[name] == generation) inputs.forEach { step(name, it) }
         }
     }
 
@@ -314,7 +314,7 @@
         input: Input,
     ) {
         val controller = controllers[name] ?: return
-        if (name in frozen) {
+        if (name in frozenUntil) {
             if (input != Input.Tick || input !in heldInputs.getValue(name)) heldInputs.getValue(name) += input
             return
         }
@@ -325,16 +325,16 @@
     }
 
     /** Members that are to pause as soon as they decide on something with an effect outside, and for how long. */
-    private val pauses = HashMap<String, Double>()
+    private val pendingPauses = HashMap<String, Double>()
 
     /** What waits in the queues of a member that pauses between decision and departure. */
-    private val held = HashMap<String, ArrayList<Effect>>()
+    private val heldEffects = HashMap<String, ArrayList<Effect>>()
 
     /** Calls with an effect on workers or the cloud that left after such a pause. */
-    val lateDepartures = ArrayList<String>()
+    val lateSends = ArrayList<String>()
 
     /** How many pauses caught a decision before its departure. */
-    var caughtMidStep = 0
+    var midStepPauses = 0
         private set
 
     /**
@@ -345,31 +345,31 @@
         name: String,
         seconds: Double,
     ) {
-        pauses[name] = seconds
+        pendingPauses[name] = seconds
     }
 
     private fun pauseBefore(
         name: String,
         effect: Effect,
     ) {
-        if (effect !is Effect.HttpCall || !acts(effect)) return
-        val seconds = pauses.remove(name) ?: return
-        caughtMidStep++
-        held[name] = ArrayList()
+        if (effect !is Effect.HttpCall || !hasExternalEffect(effect)) return
+        val seconds = pendingPauses.remove(name) ?: return
+        midStepPauses++
+        heldEffects[name] = ArrayList()
         freeze(name, seconds)
         // Before what came in meanwhile is looked at.
-        val life = lives[name]
-        clock.after(seconds - 0.001) { if (lives[name] == life) held.remove(name)?.forEach { depart(name, it) } }
+        val generation = generations[name]
+        clock.after(seconds - 0.001) { if (generations[name] == generation) heldEffects.remove(name)?.forEach { sendHeld(name, it) } }
     }
 
-    private fun depart(
+    private fun sendHeld(
         name: String,
         effect: Effect,
     ) {
-        val tooLate = effect.sendDeadline < clock.now
+        val isExpired = effect.sendDeadline < clock.now
         when {
-            !tooLate -> {
-                if (effect is Effect.HttpCall && acts(effect)) lateDepartures += "${effect.path} ${effect.body}"
+            !isExpired -> {
+                if (effect is Effect.HttpCall && hasExternalEffect(effect)) lateSends += "${effect.path} ${effect.body}"
                 carryOut(name, effect)
             }
 
@@ -383,13 +383,13 @@
         }
     }
 
-    private fun acts(call: Effect.HttpCall): Boolean {
+    private fun hasExternalEffect(call: Effect.HttpCall): Boolean {
         val starts = call.path == "/do" && call.body.orEmpty().contains("\"run\"")
         return starts || (call.method == "POST" && call.path.startsWith("/rentals"))
     }
 
     /** A message as it comes over a link, whoever sent it. */
-    fun tell(
+    fun deliverMessage(
         name: String,
         message: PeerMessage,
     ) = step(name, Input.MessageReceived(message))
@@ -401,7 +401,7 @@
         effect: Effect,
     ) {
         pauseBefore(name, effect)
-        held[name]?.takeIf { effect !is Effect.Log }?.let {
+        heldEffects[name]?.takeIf { effect !is Effect.Log }?.let {
             it += effect
             return
         }
@@ -411,7 +411,7 @@
             }
 
             is Effect.Respond -> {
-                onAnswer(effect.status, effect.retryAfterSeconds)
+                onResponse(effect.status, effect.retryAfterSeconds)
                 openRequests.remove(name to effect.id)?.invoke(effect.status, effect.body)
             }
 
@@ -420,8 +420,14 @@
             }
 
             is Effect.SendToPeer -> {
-                (effect.message as? PeerMessage.ForwardedRequest)?.let { onAsk(it.path) }
-                if (!isCut(name, effect.member)) clock.after(peerSeconds()) { step(effect.member, Input.MessageReceived(effect.message)) }
+                (effect.message as? PeerMessage.ForwardedRequest)?.let { onForwardedRequest(it.path) }
+                if (!isCut(
+                        name,
+                        effect.member,
+                    )
+                ) {
+                    clock.after(peerDelaySeconds()) { step(effect.member, Input.MessageReceived(effect.message)) }
+                }
             }
 
             is Effect.HttpCall -> {
@@ -442,33 +448,33 @@
         effect: Effect.HttpCall,
     ) {
         calls++
-        val life = lives[name]
+        val generation = generations[name]
         var settled = false
 
         fun settle(outcome: CallOutcome) {
             if (settled) return
             settled = true
-            if (lives[name] == life) step(name, Input.CallCompleted(effect.callId, outcome))
+            if (generations[name] == generation) step(name, Input.CallCompleted(effect.callId, outcome))
         }
         val host = host(effect.target)
-        val drawn =
+        val drawnFault =
             when {
-                lossy > 0 && effect.path.startsWith("/follow").not() && random.nextDouble() < lossy -> {
-                    listOf(CallFate.ANSWER_LOST, CallFate.LATE, CallFate.REFUSED).random(random)
+                callFaultRate > 0 && effect.path.startsWith("/follow").not() && random.nextDouble() < callFaultRate -> {
+                    listOf(CallFault.ANSWER_LOST, CallFault.DELAYED, CallFault.REFUSED).random(random)
                 }
 
                 else -> {
                     onCall(name, effect)
                 }
             }
-        val fate = if (host == "nobody") CallFate.REFUSED else drawn
+        val fault = if (host == "nobody") CallFault.REFUSED else drawnFault
         clock.after(effect.timeoutSeconds) { settle(CallOutcome.Unknown) }
         when {
             host == "state" && isRefused(name) && !effect.path.startsWith("/follow") -> {
                 clock.after(0.003) { settle(CallOutcome.Responded(503, "{}")) }
             }
 
-            isDeaf(host) || (isCut(name, host) && fate != CallFate.LATE) -> {
+            isInboundBlocked(host) || (isCut(name, host) && fault != CallFault.DELAYED) -> {
                 // On a connection that stood before the cut it is held back; where there is none, none can be made.
                 if (cutsHoldPackets && calls % 2 == 0) {
                     atEndOfCut(name, host) { deliver(host, effect) { _, _ -> } }
@@ -477,15 +483,15 @@
                 }
             }
 
-            fate == CallFate.REFUSED -> {
+            fault == CallFault.REFUSED -> {
                 clock.after(0.01) { settle(CallOutcome.NotSent) }
             }
 
             else -> {
-                if (fate == CallFate.REPEATED) clock.after(lateSeconds) { deliver(host, effect) { _, _ -> } }
-                clock.after(if (fate == CallFate.LATE) random.nextDouble() * lateSeconds else 0.003) {
+                if (fault == CallFault.DUPLICATED) clock.after(lateSeconds) { deliver(host, effect) { _, _ -> } }
+                clock.after(if (fault == CallFault.DELAYED) random.nextDouble() * lateSeconds else 0.003) {
                     deliver(host, effect) { status, body ->
-                        if ((fate == CallFate.FINE || fate == CallFate.REPEATED) &&
+                        if ((fault == CallFault.NONE || fault == CallFault.DUPLICATED) &&
                             !isCut(name, host)
                         ) {
                             clock.after(0.003) { settle(CallOutcome.Responded(status, body)) }
@@ -526,23 +532,26 @@
         ) {
             if (settled) return
             settled = true
-            if (from == "user" && status != 0) remember(name, path, body, askedAt, status, text)
+            if (from == "user" && status != 0) recordResponse(name, path, body, askedAt, status, text)
             onResult(status, text)
         }
         clock.after(timeoutSeconds) { settle(0, "") }
         val cut = isCut(from, name)
-        if ((mute[from] ?: 0.0) > clock.now) return clock.after(0.5) { settle(0, "") }
+        if ((outboundBlockedUntil[from] ?: 0.0) > clock.now) return clock.after(0.5) { settle(0, "") }
         if (cut || controllers[name] == null) {
             val late = Input.Request(nextRequest++, method, path, "", body)
             if (cut && cutsHoldPackets) atEndOfCut(from, name) { step(name, late) } else clock.after(0.5) { settle(0, "") }
             return
         }
         val id = nextRequest++
-        openRequests[name to id] = { status, text -> clock.after(0.001) { if (!isCut(from, name) && !isDeaf(from)) settle(status, text) } }
+        openRequests[name to id] =
+            { status, text -> clock.after(0.001) { if (!isCut(from, name) && !isInboundBlocked(from)) settle(status, text) } }
         step(name, Input.Request(id, method, path, "", body))
         if (path == "/agent/beat") {
-            if (keeps()) kept += body
-            copyAfter(from)?.let { clock.after(it) { step(members.random(random), Input.Request(nextRequest++, method, path, "", body)) } }
+            if (isRecordingReports()) recordedReports += body
+            duplicateReportAfter(
+                from,
+            )?.let { clock.after(it) { step(members.random(random), Input.Request(nextRequest++, method, path, "", body)) } }
         }
     }
 
@@ -552,10 +561,10 @@
     fun anyMember(): String = members.filter { controllers[it] != null }.ifEmpty { members }.random(random)
 
     /** Whether users, told of an acceptance or an end, ask all members within milliseconds and repeat the submission there. */
-    var closeLooks = false
+    var queryAllMembersOnChange = false
 
     /** What an answer calls its job's state; null for an answer without one. */
-    fun standing(body: String): String? =
+    fun jobStateOf(body: String): String? =
         Json
             .parseOrNull(body)
             ?.path("standing")
@@ -565,7 +574,7 @@
     /** Everything that users were told and that ran, for a checker of its own. */
     val history = ExecutionHistory()
 
-    private fun remember(
+    private fun recordResponse(
         member: String,
         path: String,
         body: String,
@@ -574,13 +583,13 @@
         answer: String,
     ) {
         val job = if (path == "/api/jobs") Json.parseOrNull(body)?.path("id")?.asText() else path.split('/').getOrNull(3)
-        history.told += ExecutionHistory.Told(job.orEmpty(), member, status, standing(answer), askedAt, clock.now)
+        history.userResponses += ExecutionHistory.UserResponse(job.orEmpty(), member, status, jobStateOf(answer), askedAt, clock.now)
     }
 
     fun run(until: Double) {
         while (clock.now < until) {
             clock.runUntil(minOf(until, clock.now + 1.0))
-            invariants.sweep()
+            invariants.checkCancelledTasks()
         }
     }
 }
--- a/src/test/kotlin/burlridge/simulation/SimulatedUsers.kt
+++ b/src/test/kotlin/burlridge/simulation/SimulatedUsers.kt
@@ -58,16 +58,16 @@
     abortAfter: Double? = null,
 ) {
     invariants.submitted(spec)
-    attempt(spec)
+    trySubmit(spec)
     abortAfter?.let { clock.after(it) { abort(spec) } }
 }
 
-private fun SimulatedCluster.attempt(spec: JobSpec) {
+private fun SimulatedCluster.trySubmit(spec: JobSpec) {
     val askedAt = clock.now
     request("user", anyMember(), "POST", "/api/jobs", JobSpecCodec.encode(spec).toString(), 5.0) { status, body ->
-        invariants.answered(spec.id, status, standing(body), submission = true, askedAt)
-        if (status == 201) lookClosely(spec)
-        if (status == 200 || status == 201) poll(spec, 0) else clock.after(1.0) { attempt(spec) }
+        invariants.answered(spec.id, status, jobStateOf(body), submission = true, askedAt)
+        if (status == 201) queryAllMembers(spec)
+        if (status == 200 || status == 201) poll(spec, 0) else clock.after(1.0) { trySubmit(spec) }
     }
 }
 
@@ -78,9 +78,9 @@
     clock.after(2.0 + random.nextDouble()) {
         val askedAt = clock.now
         request("user", anyMember(), "GET", "/api/jobs/${spec.id}", "", 2.0) { status, body ->
-            val wasOver = invariants.finished(spec.id)
-            invariants.answered(spec.id, status, standing(body), submission = false, askedAt)
-            if (!wasOver && invariants.finished(spec.id)) lookClosely(spec)
+            val wasFinished = invariants.finished(spec.id)
+            invariants.answered(spec.id, status, jobStateOf(body), submission = false, askedAt)
+            if (!wasFinished && invariants.finished(spec.id)) queryAllMembers(spec)
             val ended = if (invariants.finished(spec.id)) afterEnd + 1 else 0
             if (ended == 3) resubmit(spec) else poll(spec, ended)
         }
@@ -95,38 +95,38 @@
 ) {
     val askedAt = clock.now
     request("user", member, "POST", "/api/jobs", JobSpecCodec.encode(spec).toString(), 5.0) { status, body ->
-        invariants.answered(spec.id, status, standing(body), submission = true, askedAt)
+        invariants.answered(spec.id, status, jobStateOf(body), submission = true, askedAt)
     }
 }
 
 /** A question that does not care for what it finds. */
-internal fun SimulatedCluster.look(
+internal fun SimulatedCluster.queryJob(
     spec: JobSpec,
     member: String,
 ) {
     val askedAt = clock.now
     request("user", member, "GET", "/api/jobs/${spec.id}", "", 2.0) { status, body ->
-        invariants.answered(spec.id, status, standing(body), submission = false, askedAt)
+        invariants.answered(spec.id, status, jobStateOf(body), submission = false, askedAt)
     }
 }
 
 /** A question about a job known by its name alone; the answer must be about that job. */
-internal fun SimulatedCluster.lookAt(
+internal fun SimulatedCluster.queryJobById(
     id: String,
     member: String,
 ) {
     val askedAt = clock.now
     request("user", member, "GET", "/api/jobs/$id", "", 2.0) { status, body ->
         val named = Json.parseOrNull(body)?.path("id")?.asText()
-        invariants.answered(if (status == 200) named ?: id else id, status, standing(body), submission = false, askedAt)
-        if (status == 200 && named != id) invariants.broken += "went_back at ${clock.now}: asked for $id, told of $named"
+        invariants.answered(if (status == 200) named ?: id else id, status, jobStateOf(body), submission = false, askedAt)
+        if (status == 200 && named != id) invariants.violations += "went_back at ${clock.now}: asked for $id, told of $named"
     }
 }
 
-private fun SimulatedCluster.lookClosely(spec: JobSpec) {
-    if (!closeLooks) return
+private fun SimulatedCluster.queryAllMembers(spec: JobSpec) {
+    if (!queryAllMembersOnChange) return
     members.forEachIndexed { i, member ->
-        listOf(0.0, 0.002, 0.02, 0.3, 1.5).forEach { delay -> clock.after(delay + i * 0.0007) { look(spec, member) } }
+        listOf(0.0, 0.002, 0.02, 0.3, 1.5).forEach { delay -> clock.after(delay + i * 0.0007) { queryJob(spec, member) } }
         listOf(0.001, 0.4).forEach { delay -> clock.after(delay + i * 0.0007) { submitOnce(spec, member) } }
     }
 }
@@ -135,13 +135,13 @@
     spec: JobSpec,
     member: String? = null,
 ) {
-    invariants.askedToAbort(spec.id)
+    invariants.cancellationRequested(spec.id)
     val askedAt = clock.now
     request("user", member ?: anyMember(), "POST", "/api/jobs/${spec.id}/abort", "", 5.0) { status, body ->
         if (status == 200) {
-            if (standing(body) == "withdrawn") onCancelled(spec.id)
-            invariants.answered(spec.id, status, standing(body), submission = false, askedAt)
-            lookClosely(spec)
+            if (jobStateOf(body) == "withdrawn") onCancellationConfirmed(spec.id)
+            invariants.answered(spec.id, status, jobStateOf(body), submission = false, askedAt)
+            queryAllMembers(spec)
         } else {
             clock.after(1.0) { abort(spec, member) }
         }
@@ -149,12 +149,12 @@
 }
 
 /** Users send what lacks a field, and what fits no machine, every few seconds from now on. */
-internal fun SimulatedCluster.sendWrongOnes(until: Double) {
+internal fun SimulatedCluster.sendInvalidSubmissions(until: Double) {
     if (clock.now > until) return
     val number = 900_000 + (clock.now * 10).toInt()
-    val lacking = JobSpecCodec.encode(job(number, 1)).toString().replace("\"crew\":\"crew-y\",", "")
-    val huge = JobSpecCodec.encode(job(number + 1, 1, cpus = 1000.0)).toString()
-    listOf(number to lacking, number + 1 to huge).forEach { (id, body) ->
+    val withoutTeam = JobSpecCodec.encode(job(number, 1)).toString().replace("\"crew\":\"crew-y\",", "")
+    val tooLarge = JobSpecCodec.encode(job(number + 1, 1, cpus = 1000.0)).toString()
+    listOf(number to withoutTeam, number + 1 to tooLarge).forEach { (id, body) ->
         request(
             "user",
             anyMember(),
@@ -162,16 +162,16 @@
             "/api/jobs",
             body,
             5.0,
-        ) { status, _ -> invariants.answeredWrongOne("j-%06d".format(id), status) }
+        ) { status, _ -> invariants.invalidSubmissionAnswered("j-%06d".format(id), status) }
     }
-    clock.after(4.0) { sendWrongOnes(until) }
+    clock.after(4.0) { sendInvalidSubmissions(until) }
 }
 
 /** Watches from now on that no job waits beside room that it might use. */
-internal fun SimulatedCluster.watchWaiting() {
-    invariants.waiting { spec ->
+internal fun SimulatedCluster.checkWaitingJobsPeriodically() {
+    invariants.checkWaitingJobs { spec ->
         !spec.gang && !spec.oneZone && !spec.spread &&
-            cloud.names().any { cloud.worker(it)?.hasRoomFor(spec) == true }
+            cloud.machineIds().any { cloud.worker(it)?.hasRoomFor(spec) == true }
     }
-    clock.after(1.0) { watchWaiting() }
+    clock.after(1.0) { checkWaitingJobsPeriodically() }
 }
--- a/src/test/kotlin/burlridge/simulation/SimulationEnvironment.kt
+++ b/src/test/kotlin/burlridge/simulation/SimulationEnvironment.kt
@@ -19,7 +19,7 @@
     val cloud: CloudService
 
     /** What a worker calls a state or a cause; a later version may have words of its own. */
-    val word: (String) -> String
+    val wireName: (String) -> String
 
     /** Whether what tasks save when they are stopped is lost. */
     val savesFail: Boolean get() = false
--- a/src/test/kotlin/burlridge/simulation/StateService.kt
+++ b/src/test/kotlin/burlridge/simulation/StateService.kt
@@ -27,7 +27,7 @@
         var open: Boolean = true,
     )
 
-    private val rows = TreeMap<String, Entry>()
+    private val entriesByKey = TreeMap<String, Entry>()
     private val leases = HashMap<Long, Pair<Double, Double>>()
     private val changes = ArrayList<Change>()
     private val watches = ArrayList<Watch>()
@@ -39,12 +39,12 @@
         private set
 
     /** Requests and changes in each second. */
-    private val requestsIn = HashMap<Int, Int>()
-    private val writesIn = HashMap<Int, Int>()
-    val mostRequests: Int get() = requestsIn.values.maxOrNull() ?: 0
-    val mostWrites: Int get() = writesIn.values.maxOrNull() ?: 0
+    private val requestsPerSecond = HashMap<Int, Int>()
+    private val writesPerSecond = HashMap<Int, Int>()
+    val maxRequestsPerSecond: Int get() = requestsPerSecond.values.maxOrNull() ?: 0
+    val maxWritesPerSecond: Int get() = writesPerSecond.values.maxOrNull() ?: 0
 
-    private var valueBytes = 8 * 1024
+    private var maxValueBytes = 8 * 1024
     private var changesPerTransaction = 8
 
     /** Alters the answer to a watch from a revision, for a service that does not keep its word. */
@@ -55,11 +55,11 @@
         private set
 
     /** From now on less is taken; what is stored stays. */
-    fun lower(
+    fun lowerLimits(
         valueKb: Double,
         changesPerTransaction: Int,
     ) {
-        valueBytes = (valueKb * 1024).toInt()
+        maxValueBytes = (valueKb * 1024).toInt()
         this.changesPerTransaction = changesPerTransaction
     }
 
@@ -68,23 +68,23 @@
     /** Answers 429 above so many changes a second, with a burst of one second's worth. */
     fun limitWrites(rps: Double) {
         writeRps = rps
-        level = rps
-        levelAt = clock.now
+        writeTokens = rps
+        tokensUpdatedAt = clock.now
     }
 
-    private var level = Double.MAX_VALUE
-    private var levelAt = 0.0
+    private var writeTokens = Double.MAX_VALUE
+    private var tokensUpdatedAt = 0.0
     var throttled = 0
         private set
 
-    private fun admits(changes: Int): Boolean {
-        level = minOf(writeRps, level + (clock.now - levelAt) * writeRps)
-        levelAt = clock.now
-        if (level < changes) {
+    private fun takeTokens(changes: Int): Boolean {
+        writeTokens = minOf(writeRps, writeTokens + (clock.now - tokensUpdatedAt) * writeRps)
+        tokensUpdatedAt = clock.now
+        if (writeTokens < changes) {
             throttled++
             return false
         }
-        level -= changes
+        writeTokens -= changes
         return true
     }
 
@@ -96,9 +96,9 @@
         }
     }
 
-    fun value(key: String): JsonNode? = rows[key]?.value
+    fun value(key: String): JsonNode? = entriesByKey[key]?.value
 
-    fun keys(prefix: String): List<String> = rows.keys.filter { it.startsWith(prefix) }
+    fun keys(prefix: String): List<String> = entriesByKey.keys.filter { it.startsWith(prefix) }
 
     fun handle(
         method: String,
@@ -106,7 +106,7 @@
         body: String,
         reply: (Int, String) -> Unit,
     ) {
-        requestsIn.merge(clock.now.toInt(), 1, Int::plus)
+        requestsPerSecond.merge(clock.now.toInt(), 1, Int::plus)
         if (down) return reply(503, "{}")
         expire()
         val path = target.substringBefore('?')
@@ -124,11 +124,11 @@
             }
 
             path == "/multi" -> {
-                multi(Json.parse(body), reply)
+                commit(Json.parse(body), reply)
             }
 
             method == "POST" && path == "/leases" -> {
-                lease(Json.parse(body).path("ttlMs").asLong() / 1000.0, reply)
+                grantLease(Json.parse(body).path("ttlMs").asLong() / 1000.0, reply)
             }
 
             path.endsWith("/renew") -> {
@@ -136,12 +136,12 @@
             }
 
             method == "DELETE" -> {
-                drop(path.split('/')[2].toLong())
+                revoke(path.split('/')[2].toLong())
                 reply(200, "{}")
             }
 
             path == "/follow" -> {
-                follow(query, reply)
+                openWatch(query, reply)
             }
 
             else -> {
@@ -154,7 +154,7 @@
         key: String,
         reply: (Int, String) -> Unit,
     ) {
-        val entry = rows[key] ?: return reply(404, "{\"ledgerRev\":$revision}")
+        val entry = entriesByKey[key] ?: return reply(404, "{\"ledgerRev\":$revision}")
         reply(200, "{\"key\":\"$key\",\"value\":${entry.value},\"stamp\":${entry.modRevision}}")
     }
 
@@ -164,7 +164,7 @@
     ) {
         val prefix = query["starts"].orEmpty()
         val limit = query["limit"]?.toInt() ?: 1000
-        val found = rows.filter { it.key.startsWith(prefix) && it.key > query["from"].orEmpty() }.entries
+        val found = entriesByKey.filter { it.key.startsWith(prefix) && it.key > query["from"].orEmpty() }.entries
         val page =
             found
                 .take(
@@ -173,25 +173,25 @@
         reply(200, "{\"pairs\":[$page],\"truncated\":${found.size > limit},\"ledgerRev\":$revision}")
     }
 
-    private fun multi(
+    private fun commit(
         transaction: JsonNode,
         reply: (Int, String) -> Unit,
     ) {
         val ops = transaction.path("then").toList()
         check(transaction.toString().length <= 64 * 1024) { "transaction too large" }
         check(transaction.path("if").size() <= 4 * changesPerTransaction) { "too many conditions: ${transaction.path("if").size()}" }
-        if (ops.size > changesPerTransaction || ops.any { it.path("value").toString().length > valueBytes }) {
+        if (ops.size > changesPerTransaction || ops.any { it.path("value").toString().length > maxValueBytes }) {
             refusedAsTooLarge++
             return reply(400, "{\"error\":\"too large\"}")
         }
-        if (writeRps < Double.MAX_VALUE && !admits(ops.size)) return reply(429, "{}")
+        if (writeRps < Double.MAX_VALUE && !takeTokens(ops.size)) return reply(429, "{}")
         writes += ops.size
-        writesIn.merge(clock.now.toInt(), ops.size, Int::plus)
+        writesPerSecond.merge(clock.now.toInt(), ops.size, Int::plus)
         if (ops.any { it.has("tether") && it.path("tether").asLong() !in leases }) return reply(400, "{\"error\":\"no such lease\"}")
         val failed =
             transaction
                 .path("if")
-                .filter { (rows[it.path("key").asText()]?.modRevision ?: 0L) != it.path("stamp").asLong() }
+                .filter { (entriesByKey[it.path("key").asText()]?.modRevision ?: 0L) != it.path("stamp").asLong() }
                 .map { it.path("key").asText() }
         if (failed.isNotEmpty()) {
             return reply(409, "{\"failed\":[${failed.joinToString(",") { "\"$it\"" }}],\"ledgerRev\":$revision}")
@@ -200,24 +200,24 @@
         ops.forEach { op ->
             if (op.has("set")) {
                 val key = op.path("set").asText()
-                rows[key] = Entry(op.path("value"), revision, if (op.has("tether")) op.path("tether").asLong() else null)
+                entriesByKey[key] = Entry(op.path("value"), revision, if (op.has("tether")) op.path("tether").asLong() else null)
                 changes += Change(revision, key, op.path("value"))
             } else {
                 val key = op.path("remove").asText()
-                if (rows.remove(key) != null) changes += Change(revision, key, null)
+                if (entriesByKey.remove(key) != null) changes += Change(revision, key, null)
             }
         }
         reply(200, "{\"ledgerRev\":$revision}")
         notifyWatches()
     }
 
-    private fun lease(
+    private fun grantLease(
         ttl: Double,
         reply: (Int, String) -> Unit,
     ) {
         val id = nextLease++
         leases[id] = ttl to clock.now + ttl
-        wake(ttl)
+        scheduleExpiry(ttl)
         reply(200, "{\"tether\":$id}")
     }
 
@@ -227,11 +227,11 @@
     ) {
         val (ttl, _) = leases[id] ?: return reply(404, "{}")
         leases[id] = ttl to clock.now + ttl
-        wake(ttl)
+        scheduleExpiry(ttl)
         reply(200, "{}")
     }
 
-    private fun wake(ttl: Double) {
+    private fun scheduleExpiry(ttl: Double) {
         clock.after(ttl + 0.01) { if (!down) expire() }
     }
 
@@ -240,36 +240,36 @@
             .filterValues { it.second < clock.now }
             .keys
             .toList()
-            .forEach { drop(it) }
+            .forEach { revoke(it) }
     }
 
-    private fun drop(id: Long) {
+    private fun revoke(id: Long) {
         leases.remove(id) ?: return
-        val keys = rows.filterValues { it.leaseId == id }.keys.toList()
+        val keys = entriesByKey.filterValues { it.leaseId == id }.keys.toList()
         if (keys.isEmpty()) return
         revision++
         keys.forEach {
-            rows.remove(it)
+            entriesByKey.remove(it)
             changes += Change(revision, it, null)
         }
         notifyWatches()
     }
 
-    private fun follow(
+    private fun openWatch(
         query: Map<String, String>,
         reply: (Int, String) -> Unit,
     ) {
         val watch = Watch(query["starts"].orEmpty(), query["from"]?.toLong() ?: 0L, reply)
         watches += watch
-        clock.after((query["blockMs"]?.toDouble() ?: 0.0) / 1000) { if (watch.open) finish(watch) }
+        clock.after((query["blockMs"]?.toDouble() ?: 0.0) / 1000) { if (watch.open) answerWatch(watch) }
         notifyWatches()
     }
 
     private fun notifyWatches() {
-        watches.filter { w -> changes.any { it.revision > w.from && it.key.startsWith(w.prefix) } }.forEach { finish(it) }
+        watches.filter { w -> changes.any { it.revision > w.from && it.key.startsWith(w.prefix) } }.forEach { answerWatch(it) }
     }
 
-    private fun finish(watch: Watch) {
+    private fun answerWatch(watch: Watch) {
         watch.open = false
         watches.remove(watch)
         val events =
--- a/src/test/kotlin/burlridge/simulation/SubmissionTest.kt
+++ b/src/test/kotlin/burlridge/simulation/SubmissionTest.kt
@@ -27,7 +27,7 @@
         return answers
     }
 
-    private fun cluster() = SimulatedCluster(41, next = """{"value_kb":2,"txn_ops":4}""")
+    private fun cluster() = SimulatedCluster(41, nextStateLimits = """{"value_kb":2,"txn_ops":4}""")
 
     @Test
     fun `a gang that needs more than its team's limit for all can never run, an array of the same size can`() {
@@ -50,6 +50,6 @@
 
     @Test
     fun `where the platform knows no gangs they are refused with a reason`() {
-        assertEquals(setOf(400), SimulatedCluster(42, old = true).verdicts(cluster().gang(1, 2)))
+        assertEquals(setOf(400), SimulatedCluster(42, startsOnOldVersion = true).verdicts(cluster().gang(1, 2)))
     }
 }
--- a/src/test/kotlin/burlridge/simulation/WholeServiceTest.kt
+++ b/src/test/kotlin/burlridge/simulation/WholeServiceTest.kt
@@ -24,7 +24,7 @@
     }
 
     private fun SimulatedCluster.verdict(jobs: List<String>) {
-        assertEquals(emptyList<String>(), invariants.broken)
+        assertEquals(emptyList<String>(), invariants.violations)
         assertTrue(invariants.starts > 0, "nothing ran")
         assertEquals(emptyList<String>(), jobs.filterNot { invariants.finished(it) }, "jobs never over")
     }
@@ -44,7 +44,7 @@
         for (seed in (System.getProperty("from")?.toInt() ?: 1)..days) {
             val cluster = SimulatedCluster(seed)
             val jobs = cluster.load(30)
-            RandomFaults(cluster, seed).draw(10, 20.0, 140.0)
+            RandomFaults(cluster, seed).schedule(10, 20.0, 140.0)
             cluster.run(400.0)
             try {
                 cluster.verdict(jobs)
