--- a/src/test/kotlin/burlridge/simulation/Worker.kt
+++ b/src/test/kotlin/burlridge/simulation/Worker.kt
@@ -15,27 +15,27 @@
 ) {
     private inner class Task(
         override val taskName: String,
-        val run: Int,
-        var standing: String,
+        val attemptNumber: Int,
+        var state: String,
         var cause: String? = null,
-        var kept: Boolean = false,
-    ) : GangBarrier.Seat {
+        var progressSaved: Boolean = false,
+    ) : GangBarrier.GangTask {
         val job: String get() = taskName.substringBefore('/')
         var startedAt = 0.0
-        val onMachine: Boolean get() = standing == "running" || standing == "gathering" || standing == "saving"
+        val onMachine: Boolean get() = state == "running" || state == "gathering" || state == "saving"
         override val slowness: Double get() = this@Worker.slowness
 
-        override fun becomes(standing: String) {
-            this.standing = standing
+        override fun updateState(state: String) {
+            this.state = state
             changed = true
         }
 
-        override fun exits(
+        override fun markExited(
             cause: String,
-            kept: Boolean,
+            progressSaved: Boolean,
         ) {
-            if (!alive || tasks["$taskName@$run"] !== this || standing == "exited") return
-            this.kept = kept
+            if (!alive || tasks["$taskName@$attemptNumber"] !== this || state == "exited") return
+            this.progressSaved = progressSaved
             cluster.invariants.ended(taskName, this@Worker, cause == "done")
             exit(this, cause)
         }
@@ -45,13 +45,13 @@
     private var sequence = 0L
     private var token = 0L
     private val tasks = LinkedHashMap<String, Task>()
-    private var node = cluster.random.nextInt(cluster.members.size)
-    private var answeredSentAt = cluster.clock.now
+    private var memberIndex = cluster.random.nextInt(cluster.members.size)
+    private var lastAnsweredSentAt = cluster.clock.now
     private var alive = true
 
     /** How many times as long as usual its tasks take. */
     var slowness = 1.0
-    private var inFlight = false
+    private var heartbeatInFlight = false
     private var changed = false
 
     /** Images that it has fetched. */
@@ -67,27 +67,27 @@
 
     /** Back at once with nothing on it, before anyone can have noticed. */
     fun restart() {
-        tasks.values.forEach { leave(it, false) }
+        tasks.values.forEach { releaseTask(it, false) }
         tasks.clear()
         agentEpoch++
-        answeredSentAt = cluster.clock.now
+        lastAnsweredSentAt = cluster.clock.now
         changed = true
     }
 
-    private var recalledAt: Double? = null
+    private var reclaimAt: Double? = null
 
     /** The cloud takes the machine back after [seconds], and says so. */
-    fun recall(seconds: Double) {
-        recalledAt = cluster.clock.now + seconds
+    fun announceReclaim(seconds: Double) {
+        reclaimAt = cluster.clock.now + seconds
         changed = true
-        cluster.clock.after(seconds) { cluster.cloud.take(id) }
+        cluster.clock.after(seconds) { cluster.cloud.reclaim(id) }
     }
 
-    fun has(taskName: String): Boolean = tasks.values.any { it.taskName == taskName && it.standing != "exited" }
+    fun hasTask(taskName: String): Boolean = tasks.values.any { it.taskName == taskName && it.state != "exited" }
 
     /** Whether [spec] might start here now. */
     fun hasRoomFor(spec: JobSpec): Boolean {
-        val active = tasks.values.filter { it.standing != "exited" }
+        val active = tasks.values.filter { it.state != "exited" }
         val used =
             active.sumOf { t ->
                 cluster.invariants
@@ -96,59 +96,59 @@
                     ?.cpus ?: 0.0
             }
         val fits = used + spec.taskResources.cpus <= cluster.types.getValue(type).cpus + 1e-6
-        return alive && !hung && token > 0 && recalledAt == null && fits && (spec.allowsSpot || !spot) &&
+        return alive && !hung && token > 0 && reclaimAt == null && fits && (spec.allowsSpot || !spot) &&
             (spec.zone == null || spec.zone == zone)
     }
 
     private var hungUntil = 0.0
     private val hung: Boolean get() = cluster.clock.now < hungUntil
-    private val held = ArrayList<() -> Unit>()
+    private val heldActions = ArrayList<() -> Unit>()
 
     /** It stands still with all that is on it; what comes meanwhile is carried out when it goes on. */
     fun hang(seconds: Double) {
         hungUntil = cluster.clock.now + seconds
         cluster.clock.after(seconds + 0.001) {
             if (alive) {
-                expire()
-                held.toList().also { held.clear() }.forEach { it() }
+                expireLease()
+                heldActions.toList().also { heldActions.clear() }.forEach { it() }
             }
         }
     }
 
     /** Now, or when it goes on. */
-    private fun whenAwake(work: () -> Unit) {
-        if (hung) held += work else work()
+    private fun whenNotHung(action: () -> Unit) {
+        if (hung) heldActions += action else action()
     }
 
     fun kill() {
         alive = false
-        tasks.values.forEach { leave(it, false) }
+        tasks.values.forEach { releaseTask(it, false) }
         tasks.clear()
     }
 
     private fun watchLease() {
         cluster.clock.after(0.1) {
             if (alive) {
-                if (!hung) expire()
+                if (!hung) expireLease()
                 watchLease()
             }
         }
     }
 
-    private fun expire() {
-        if (cluster.clock.now <= answeredSentAt + cluster.leaseSeconds) return
-        tasks.values.forEach { leave(it, false) }
+    private fun expireLease() {
+        if (cluster.clock.now <= lastAnsweredSentAt + cluster.leaseSeconds) return
+        tasks.values.forEach { releaseTask(it, false) }
         tasks.clear()
         agentEpoch++
-        answeredSentAt = cluster.clock.now
+        lastAnsweredSentAt = cluster.clock.now
     }
 
-    private fun leave(
+    private fun releaseTask(
         task: Task,
         done: Boolean,
     ) {
         if (task.onMachine) cluster.invariants.ended(task.taskName, this, done)
-        if (task.onMachine && isGang(task)) cluster.gangBarrier.leaves(task.job, task.run, task)
+        if (task.onMachine && isGang(task)) cluster.gangBarrier.leave(task.job, task.attemptNumber, task)
     }
 
     private fun isGang(task: Task): Boolean = cluster.invariants.spec(task.job)?.gang == true
@@ -163,60 +163,60 @@
             put("stint", agentEpoch)
             put("tally", ++sequence)
             put("baton", token)
-            recalledAt?.let { put("recallS", it - cluster.clock.now) }
+            reclaimAt?.let { put("recallS", it - cluster.clock.now) }
             val list = putArray("pieces")
             tasks.values.forEach { t ->
-                list.addObject().put("piece", t.taskName).put("try", t.run).put("standing", cluster.word(t.standing)).also { o ->
-                    t.cause?.let { o.put("cause", cluster.word(it)) }
-                    if (t.kept) o.put("kept", true)
+                list.addObject().put("piece", t.taskName).put("try", t.attemptNumber).put("standing", cluster.wireName(t.state)).also { o ->
+                    t.cause?.let { o.put("cause", cluster.wireName(it)) }
+                    if (t.progressSaved) o.put("kept", true)
                 }
             }
         }
 
     private fun heartbeat() {
-        if (!alive || inFlight) return
-        if (hung) return whenAwake { heartbeat() }
-        inFlight = true
+        if (!alive || heartbeatInFlight) return
+        if (hung) return whenNotHung { heartbeat() }
+        heartbeatInFlight = true
         changed = false
         val sentAt = cluster.clock.now
-        val sentSession = agentEpoch
-        val name = cluster.members[node]
+        val sentEpoch = agentEpoch
+        val name = cluster.members[memberIndex]
         cluster.request(id, name, "POST", "/agent/beat", report().toString(), 4.0) { status, body ->
-            inFlight = false
+            heartbeatInFlight = false
             if (!alive) return@request
-            if (hung) return@request whenAwake { nextBeat() }
+            if (hung) return@request whenNotHung { scheduleNextHeartbeat() }
             val answer = Json.parseOrNull(body)
             when (status) {
                 200 -> {
-                    if (sentSession == agentEpoch && answer != null && answer.path("baton").asLong(-1) >= token) {
+                    if (sentEpoch == agentEpoch && answer != null && answer.path("baton").asLong(-1) >= token) {
                         token = answer.path("baton").asLong()
-                        answeredSentAt = sentAt
+                        lastAnsweredSentAt = sentAt
                         answer.path("orders").forEach { execute(it) }
                     }
-                    nextBeat()
+                    scheduleNextHeartbeat()
                 }
 
                 421 -> {
-                    val herder = cluster.members.indexOf(answer?.path("herder")?.asText(""))
-                    val known = herder >= 0 && herder != node
-                    node = if (known) herder else (node + 1) % cluster.members.size
-                    cluster.clock.after(if (known) cluster.random.nextDouble() * 0.5 else 1.0) { heartbeat() }
+                    val leader = cluster.members.indexOf(answer?.path("herder")?.asText(""))
+                    val leaderIsKnown = leader >= 0 && leader != memberIndex
+                    memberIndex = if (leaderIsKnown) leader else (memberIndex + 1) % cluster.members.size
+                    cluster.clock.after(if (leaderIsKnown) cluster.random.nextDouble() * 0.5 else 1.0) { heartbeat() }
                 }
 
                 else -> {
-                    node = (node + 1) % cluster.members.size
+                    memberIndex = (memberIndex + 1) % cluster.members.size
                     cluster.clock.after(1.0) { heartbeat() }
                 }
             }
         }
     }
 
-    private fun nextBeat() {
+    private fun scheduleNextHeartbeat() {
         val at = cluster.clock.now + cluster.reportSeconds * (0.75 + cluster.random.nextDouble() * 0.5)
 
         fun wait() {
             cluster.clock.after(0.5) {
-                if (alive && !inFlight) {
+                if (alive && !heartbeatInFlight) {
                     if (changed || cluster.clock.now >= at) {
                         heartbeat()
                     } else {
@@ -234,7 +234,7 @@
     ): Pair<Int, String>? {
         if (!alive) return null
         if (hung) {
-            held += { handle(path, body) }
+            heldActions += { handle(path, body) }
             return null
         }
         if (path == "/inspect") return 200 to report().toString()
@@ -246,33 +246,35 @@
         return 200 to report().toString()
     }
 
-    private fun execute(order: JsonNode) {
-        val taskName = order.path("piece").asText()
-        val run = order.path("try").asInt()
-        val key = "$taskName@$run"
-        when (order.path("verb").asText()) {
+    private fun execute(command: JsonNode) {
+        val taskName = command.path("piece").asText()
+        val attemptNumber = command.path("try").asInt()
+        val key = "$taskName@$attemptNumber"
+        when (command.path("verb").asText()) {
             "run" -> {
-                if (key !in tasks) start(key, taskName, run)
+                if (key !in tasks) start(key, taskName, attemptNumber)
             }
 
             "halt" -> {
-                tasks[key]?.takeIf { it.standing != "exited" }?.let { halt(it, order.path("windDownS").asDouble()) }
+                tasks[key]?.takeIf { it.state != "exited" }?.let { handleStop(it, command.path("windDownS").asDouble()) }
             }
 
             "reap" -> {
-                tasks[key]?.takeIf { it.standing == "exited" }?.let { tasks.remove(key) }
+                tasks[key]?.takeIf { it.state == "exited" }?.let { tasks.remove(key) }
             }
         }
     }
 
-    private fun halt(
+    private fun handleStop(
         task: Task,
         graceSeconds: Double,
     ) {
         val saveSeconds = cluster.invariants.spec(task.job)?.saveSeconds ?: 0.0
-        val saves = isGang(task) && saveSeconds > 0 && graceSeconds >= saveSeconds && cluster.gangBarrier.saves(task.job, task.run, task)
-        if (saves || (task.standing == "saving" && graceSeconds > 0)) return
-        if (!isGang(task) && task.standing == "running" && saveSeconds > 0 && graceSeconds >= saveSeconds) return save(task, saveSeconds)
+        val savesWithGang =
+            isGang(task) && saveSeconds > 0 && graceSeconds >= saveSeconds &&
+                cluster.gangBarrier.requestSave(task.job, task.attemptNumber, task)
+        if (savesWithGang || (task.state == "saving" && graceSeconds > 0)) return
+        if (!isGang(task) && task.state == "running" && saveSeconds > 0 && graceSeconds >= saveSeconds) return save(task, saveSeconds)
         stop(task)
     }
 
@@ -281,14 +283,14 @@
         task: Task,
         saveSeconds: Double,
     ) {
-        task.standing = "saving"
+        task.state = "saving"
         changed = true
         val ranSeconds = cluster.clock.now - task.startedAt
         cluster.clock.after(saveSeconds) {
-            whenAwake {
-                if (alive && task.standing == "saving" && tasks["${task.taskName}@${task.run}"] === task) {
-                    task.kept = !cluster.savesFail
-                    if (task.kept) cluster.invariants.savedSeconds.merge(task.taskName, ranSeconds / slowness, Double::plus)
+            whenNotHung {
+                if (alive && task.state == "saving" && tasks["${task.taskName}@${task.attemptNumber}"] === task) {
+                    task.progressSaved = !cluster.savesFail
+                    if (task.progressSaved) cluster.invariants.savedSeconds.merge(task.taskName, ranSeconds / slowness, Double::plus)
                     stop(task)
                 }
             }
@@ -296,12 +298,12 @@
     }
 
     private fun stop(task: Task) {
-        if (task.standing == "running" ||
-            (task.standing == "saving" && !task.kept)
+        if (task.state == "running" ||
+            (task.state == "saving" && !task.progressSaved)
         ) {
             cluster.invariants.lostSeconds += cluster.clock.now - task.startedAt
         }
-        leave(task, false)
+        releaseTask(task, false)
         exit(task, "stopped")
         cluster.invariants.stopped(task.taskName)
     }
@@ -310,7 +312,7 @@
         task: Task,
         cause: String,
     ) {
-        task.standing = "exited"
+        task.state = "exited"
         task.cause = cause
         changed = true
     }
@@ -318,14 +320,14 @@
     private fun start(
         key: String,
         taskName: String,
-        run: Int,
+        attemptNumber: Int,
     ) {
-        val task = Task(taskName, run, "fetching")
+        val task = Task(taskName, attemptNumber, "fetching")
         tasks[key] = task
         val spec = cluster.invariants.spec(taskName.substringBefore('/'))
         if (spec == null) return exit(task, "unknown")
-        if (tasks.values.any { it !== task && it.taskName == taskName && it.standing != "exited" }) return exit(task, "in_use")
-        val active = tasks.values.filter { it.standing != "exited" }
+        if (tasks.values.any { it !== task && it.taskName == taskName && it.state != "exited" }) return exit(task, "in_use")
+        val active = tasks.values.filter { it.state != "exited" }
         val cpus =
             active.sumOf {
                 cluster.invariants
@@ -336,7 +338,7 @@
         if (cpus > cluster.types.getValue(type).cpus + 1e-6) return exit(task, "full")
         cluster.clock.after(cluster.fetchSeconds(this, spec)) {
             images += spec.image
-            whenAwake { fetched(key, task, spec.estimatedRunSeconds) }
+            whenNotHung { fetched(key, task, spec.estimatedRunSeconds) }
         }
     }
 
@@ -345,23 +347,27 @@
         task: Task,
         runSeconds: Double,
     ) {
-        if (!alive || tasks[key] !== task || task.standing != "fetching") return
+        if (!alive || tasks[key] !== task || task.state != "fetching") return
         cluster.invariants.started(task.taskName, this)
-        if (isGang(task) && !cluster.invariants.hasCompleted(task.taskName)) return cluster.gangBarrier.enter(task.job, task.run, task)
-        task.standing = "running"
+        if (isGang(task) &&
+            !cluster.invariants.hasCompleted(task.taskName)
+        ) {
+            return cluster.gangBarrier.enter(task.job, task.attemptNumber, task)
+        }
+        task.state = "running"
         task.startedAt = cluster.clock.now
         changed = true
         val leftSeconds = (runSeconds - (cluster.invariants.savedSeconds[task.taskName] ?: 0.0)).coerceAtLeast(0.0)
-        val need = if (cluster.invariants.hasCompleted(task.taskName)) 0.0 else leftSeconds * slowness
-        cluster.clock.after(need) { whenAwake { complete(key, task) } }
+        val remainingSeconds = if (cluster.invariants.hasCompleted(task.taskName)) 0.0 else leftSeconds * slowness
+        cluster.clock.after(remainingSeconds) { whenNotHung { complete(key, task) } }
     }
 
     private fun complete(
         key: String,
         task: Task,
     ) {
-        if (alive && tasks[key] === task && task.standing == "running") {
-            leave(task, true)
+        if (alive && tasks[key] === task && task.state == "running") {
+            releaseTask(task, true)
             exit(task, "done")
         }
     }
--- a/src/test/kotlin/burlridge/simulation/WorkerFaultTest.kt
+++ b/src/test/kotlin/burlridge/simulation/WorkerFaultTest.kt
@@ -10,7 +10,7 @@
     private val cluster = SimulatedCluster(11)
 
     private fun verdict(vararg jobs: String) {
-        assertEquals(emptyList<String>(), cluster.invariants.broken)
+        assertEquals(emptyList<String>(), cluster.invariants.violations)
         assertEquals(emptyList<String>(), jobs.filterNot { cluster.invariants.finished(it) }, "not over")
     }
 
@@ -18,7 +18,15 @@
     @Test
     fun `a machine that is heard but does not hear gets no more tasks`() {
         cluster.clock.after(5.0) { cluster.submit(cluster.job(1, 4, runSeconds = 3.0)) }
-        cluster.clock.after(30.0) { cluster.cloud.names().forEach { if (it != cluster.cloud.names().last()) cluster.deafen(it, 300.0) } }
+        cluster.clock.after(30.0) {
+            cluster.cloud.machineIds().forEach {
+                if (it !=
+                    cluster.cloud.machineIds().last()
+                ) {
+                    cluster.blockTrafficTo(it, 300.0)
+                }
+            }
+        }
         repeat(10) { i -> cluster.clock.after(31.0 + 3 * i) { cluster.submit(cluster.job(10 + i, 2, runSeconds = 3.0)) } }
         cluster.run(150.0)
         verdict(*Array(10) { "j-%06d".format(10 + it) })
@@ -35,14 +43,14 @@
     /** Guards the same wait in a new leader, and the order of session and tally in all of them. */
     @Test
     fun `late copies of reports are neither absence nor a sign of life`() {
-        cluster.copyAfter = { listOf(2.0, 9.0, 31.0, 70.0).random(cluster.random) }
+        cluster.duplicateReportAfter = { listOf(2.0, 9.0, 31.0, 70.0).random(cluster.random) }
         repeat(12) { i -> cluster.clock.after(5.0 + 6 * i) { cluster.submit(cluster.job(i, 3, runSeconds = 12.0)) } }
         repeat(3) { i -> cluster.clock.after(25.0 + 25 * i) { cluster.leader()?.let { cluster.crash(it, 1.0) } } }
         cluster.clock.after(40.0) {
             cluster.cloud
-                .names()
+                .machineIds()
                 .take(3)
-                .forEach { cluster.cloud.take(it) }
+                .forEach { cluster.cloud.reclaim(it) }
         }
         cluster.run(240.0)
         verdict(*Array(12) { "j-%06d".format(it) })
@@ -78,9 +86,9 @@
                 if (call.path == "/do" &&
                     "run" in call.body.orEmpty()
                 ) {
-                    SimulatedCluster.CallFate.REPEATED
+                    SimulatedCluster.CallFault.DUPLICATED
                 } else {
-                    SimulatedCluster.CallFate.FINE
+                    SimulatedCluster.CallFault.NONE
                 }
             }
         cluster.clock.after(5.0) { cluster.submit(cluster.job(1, 8, runSeconds = 200.0), abortAfter = 30.0) }
@@ -94,7 +102,7 @@
     fun `machines that cannot reach the leader get their starts through another member`() {
         cluster.clock.after(30.0) {
             val leader = cluster.leader() ?: return@after
-            cluster.cloud.names().forEach { cluster.cut(it, leader, 60.0) }
+            cluster.cloud.machineIds().forEach { cluster.cut(it, leader, 60.0) }
         }
         cluster.clock.after(5.0) { cluster.submit(cluster.job(1, 3, runSeconds = 5.0)) }
         cluster.clock.after(52.0) { cluster.submit(cluster.job(2, 3, runSeconds = 5.0)) }
@@ -106,7 +114,7 @@
     @Test
     fun `a machine back at once has lost its tasks, and they run again`() {
         cluster.clock.after(5.0) { cluster.submit(cluster.job(1, 6, runSeconds = 30.0)) }
-        cluster.clock.after(30.0) { cluster.cloud.names().forEach { cluster.cloud.worker(it)?.restart() } }
+        cluster.clock.after(30.0) { cluster.cloud.machineIds().forEach { cluster.cloud.worker(it)?.restart() } }
         cluster.run(150.0)
         verdict("j-000001")
     }
@@ -126,7 +134,7 @@
         large.forEach { cluster.clock.after(20.0) { cluster.submit(it) } }
         repeat(260) { i -> cluster.clock.after(10.0 + 2 * i) { cluster.submit(cluster.job(100 + i, 8, cpus = 4.0, runSeconds = 25.0)) } }
         cluster.run(300.0)
-        assertEquals(emptyList<String>(), cluster.invariants.broken)
+        assertEquals(emptyList<String>(), cluster.invariants.violations)
         large.forEach {
             assertTrue(cluster.invariants.firstStart(it.id) in 0.0..260.0, "${it.id} began at ${cluster.invariants.firstStart(it.id)}")
         }
@@ -169,7 +177,7 @@
             }
         }
         run(185.0)
-        return invariants.broken + unknown
+        return invariants.violations + unknown
     }
 
     private fun SimulatedCluster.ask(
--- a/src/test/kotlin/burlridge/transcript/TranscriptSchedules.kt
+++ b/src/test/kotlin/burlridge/transcript/TranscriptSchedules.kt
@@ -12,11 +12,11 @@
 import burlridge.simulation.MachineTypeSpec
 import burlridge.simulation.RandomFaults
 import burlridge.simulation.SimulatedCluster
-import burlridge.simulation.SimulatedCluster.CallFate
+import burlridge.simulation.SimulatedCluster.CallFault
 import burlridge.simulation.abort
 import burlridge.simulation.gang
 import burlridge.simulation.job
-import burlridge.simulation.sendWrongOnes
+import burlridge.simulation.sendInvalidSubmissions
 import burlridge.simulation.submit
 
 private fun SimulatedCluster.at(
@@ -60,7 +60,7 @@
 ) {
     onCall = { _, call ->
         val hit = clock.now in from..until && call.path == "/multi" && random.nextInt(3) == 0
-        if (hit) listOf(CallFate.LATE, CallFate.ANSWER_LOST).random(random) else CallFate.FINE
+        if (hit) listOf(CallFault.DELAYED, CallFault.ANSWER_LOST).random(random) else CallFault.NONE
     }
 }
 
@@ -82,21 +82,21 @@
             at(12.0) { submit(job(1, 2, runSeconds = 3.0)) }
         },
         TranscriptSchedule("gang-short", 38.0, {
-            SimulatedCluster(402, types = mapOf("small" to MachineTypeSpec(4.0, 16.0, 1)), guaranteed = 0.0)
+            SimulatedCluster(402, types = mapOf("small" to MachineTypeSpec(4.0, 16.0, 1)), guaranteedCpus = 0.0)
         }) {
             at(14.0) { submit(gang(1, 2, runSeconds = 4.0)) }
         },
         TranscriptSchedule("arrays", 150.0, { SimulatedCluster(403) }) { arrays(24) },
         TranscriptSchedule("five-members-at-their-limits", 140.0, { SimulatedCluster(404, members = (0 until 5).map { "drover-$it" }) }) {
             teamsAtTheirLimit()
-            sendWrongOnes(60.0)
+            sendInvalidSubmissions(60.0)
             atLeader(30.0) { crash(it, 5.0) }
         },
-        TranscriptSchedule("gangs-lose-machines", 170.0, { SimulatedCluster(405, guaranteed = 0.0) }) {
+        TranscriptSchedule("gangs-lose-machines", 170.0, { SimulatedCluster(405, guaranteedCpus = 0.0) }) {
             repeat(5) { i -> at(20.0 + 6.0 * i) { submit(gang(i, 4 + 3 * i, cpus = 2.0)) } }
-            at(45.0) { cloud.take(cloud.names().first()) }
-            at(60.0) { cloud.worker(cloud.names().last())?.kill() }
-            at(70.0) { cloud.worker(cloud.names().first())?.recall(12.0) }
+            at(45.0) { cloud.reclaim(cloud.machineIds().first()) }
+            at(60.0) { cloud.worker(cloud.machineIds().last())?.kill() }
+            at(70.0) { cloud.worker(cloud.machineIds().first())?.announceReclaim(12.0) }
         },
         TranscriptSchedule("leader-killed", 150.0, { SimulatedCluster(406) }) {
             arrays(20)
@@ -116,15 +116,15 @@
             atLeader(25.0) { cut(it, "state", 20.0) }
             atLeader(60.0) {
                 cut(it, "state", 25.0)
-                peersCut(it, 25.0)
+                cutFromPeers(it, 25.0)
             }
-            atLeader(95.0) { leader -> cloud.names().take(4).forEach { cut(it, leader, 30.0) } }
+            atLeader(95.0) { leader -> cloud.machineIds().take(4).forEach { cut(it, leader, 30.0) } }
         },
         TranscriptSchedule("leader-refused", 160.0, { SimulatedCluster(409) }) {
             val long = (0 until 4).map { job(200 + it, 3, runSeconds = 60.0) }
             long.forEach { spec -> at(8.0) { submit(spec) } }
             arrays(12)
-            atLeader(30.0) { refuse(it, 15.0) }
+            atLeader(30.0) { refuseStateRequests(it, 15.0) }
             at(30.5) { long.take(2).forEach { abort(it) } }
             at(33.0) { state.outage(25.0) }
             at(34.0) { long.drop(2).forEach { abort(it) } }
@@ -146,30 +146,30 @@
             at(30.0) { cloud.down = false }
             at(40.0) {
                 cloud
-                    .names()
+                    .machineIds()
                     .filter { cloud.worker(it)?.spot == true }
                     .take(3)
-                    .forEach { cloud.worker(it)?.recall(10.0) }
+                    .forEach { cloud.worker(it)?.announceReclaim(10.0) }
             }
             at(130.0) { submit(job(90, 12, cpus = 2.0, runSeconds = 10.0)) }
             atLeader(45.0) { crash(it, 5.0) }
         },
         TranscriptSchedule("rolling-restart", 200.0, {
-            SimulatedCluster(413, next = """{"value_kb":2,"txn_ops":4,"write_rps":30}""", old = true)
+            SimulatedCluster(413, nextStateLimits = """{"value_kb":2,"txn_ops":4,"write_rps":30}""", startsOnOldVersion = true)
         }) {
             arrays(24)
             members.forEachIndexed { i, member -> upgradeAt(member, 25.0 + 12.0 * i) }
-            at(75.0) { state.lower(valueKb = 2.0, changesPerTransaction = 4) }
+            at(75.0) { state.lowerLimits(valueKb = 2.0, changesPerTransaction = 4) }
             at(80.0) { submit(gang(90, 6)) }
         },
         TranscriptSchedule("machines-out-of-reach", 180.0, { SimulatedCluster(414) }) {
             arrays(20)
-            at(30.0) { cloud.names().take(2).forEach { deafen(it, 20.0) } }
-            at(40.0) { cloud.names().takeLast(2).forEach { mute(it, 30.0) } }
-            at(50.0) { cloud.names().take(2).forEach { cloud.worker(it)?.hang(15.0) } }
-            at(55.0) { keepReportsForNextLeader(8.0) }
+            at(30.0) { cloud.machineIds().take(2).forEach { blockTrafficTo(it, 20.0) } }
+            at(40.0) { cloud.machineIds().takeLast(2).forEach { blockTrafficFrom(it, 30.0) } }
+            at(50.0) { cloud.machineIds().take(2).forEach { cloud.worker(it)?.hang(15.0) } }
+            at(55.0) { replayReportsToNextLeader(8.0) }
             atLeader(60.0) { crash(it, 3.0) }
-            copyAfter = { if (clock.now < 80.0 && random.nextInt(5) == 0) 20.0 else null }
+            duplicateReportAfter = { if (clock.now < 80.0 && random.nextInt(5) == 0) 20.0 else null }
         },
         TranscriptSchedule("failover-handovers", 150.0, { failoverCluster(415, 3) }) {
             arrays(20)
@@ -200,15 +200,15 @@
             repeat(2) { i -> at(22.0 + 9.0 * i) { submit(gang(60 + i, 4, runSeconds = 25.0)) } }
             at(32.0) { drainZone("b") }
             atLeader(40.0) { drain(it) }
-            at(50.0) { cloud.names().take(2).forEach { cloud.worker(it)?.slowness = 8.0 } }
+            at(50.0) { cloud.machineIds().take(2).forEach { cloud.worker(it)?.slowness = 8.0 } }
         },
         TranscriptSchedule("drawn-failures", 260.0, { SimulatedCluster(419) }) {
             arrays(24)
-            RandomFaults(this, 419).draw(10, 20.0, 120.0)
+            RandomFaults(this, 419).schedule(10, 20.0, 120.0)
         },
         TranscriptSchedule("drawn-failures-with-gangs", 260.0, { failoverCluster(420, 3) }) {
             repeat(6) { i -> at(25.0 + 9.0 * i) { submit(gang(70 + i, 3 + i)) } }
             arrays(16)
-            RandomFaults(this, 420).draw(10, 20.0, 120.0)
+            RandomFaults(this, 420).schedule(10, 20.0, 120.0)
         },
     )
