--- a/src/test/kotlin/burlridge/simulation/Clock.kt
+++ b/src/test/kotlin/burlridge/simulation/Clock.kt
@@ -2,7 +2,7 @@
 
 import java.util.PriorityQueue
 
-/** Virtual time: what is due runs in order, and nothing ever sleeps. */
+/** A virtual clock that runs scheduled actions in order of time, and in order of scheduling if the times are equal. Nothing blocks. */
 internal class Clock {
     var now = 0.0
         private set
--- a/src/test/kotlin/burlridge/simulation/CloudService.kt
+++ b/src/test/kotlin/burlridge/simulation/CloudService.kt
@@ -3,7 +3,10 @@
 import burlridge.json.Json
 import com.fasterxml.jackson.databind.JsonNode
 
-/** A stand-in for the cloud: lists lag and may go backwards, rentals are remembered by name. */
+/**
+ * A fake of the cloud API. Machine lists lag, and a later list may be older than an earlier one. A repeated rental request with the same
+ * name gets the first answer again.
+ */
 internal class CloudService(
     private val cluster: SimulationEnvironment,
 ) {
@@ -25,9 +28,11 @@
     private val snapshots = ArrayDeque<Snapshot>()
     private var nextMachineNumber = 1
     var down = false
+
+    /** Whether machines rented from now on never boot. */
     var bootsFail = false
 
-    /** Seconds until a machine is up. */
+    /** Returns the time from the rental of a machine to the start of its worker, in seconds. */
     var bootSeconds: () -> Double = { 5 + cluster.random.nextDouble() * 10 }
     var rentalRequests = ArrayList<String>()
 
@@ -151,7 +156,7 @@
         while (snapshots.first().at < now - MAX_LIST_LAG_SECONDS * 2) snapshots.removeFirst()
     }
 
-    /** A page of the list as it was some seconds ago. */
+    /** Returns a page of the machine list as it was up to [MAX_LIST_LAG_SECONDS] ago. */
     private fun list(query: String): String {
         val parameters = query.split('&').associate { it.substringBefore('=') to it.substringAfter('=') }
         val limit = parameters["limit"]?.toIntOrNull() ?: Int.MAX_VALUE
--- a/src/test/kotlin/burlridge/simulation/ExecutionHistory.kt
+++ b/src/test/kotlin/burlridge/simulation/ExecutionHistory.kt
@@ -1,6 +1,6 @@
 package burlridge.simulation
 
-/** What users were told and what ran where, in the order of time. */
+/** Records the responses that users got and which task ran where and when, and checks both against the guarantees of the service. */
 internal class ExecutionHistory {
     data class UserResponse(
         val job: String,
@@ -34,11 +34,11 @@
     data class TaskStop(
         val task: String,
         val at: Double,
-        /** Tasks of a gang are also stopped when another of theirs is lost, which is no move. */
+        /** Whether the task belongs to a gang: its tasks are also stopped when another of them is lost, which is not a move. */
         val ofGang: Boolean,
     )
 
-    /** A drain that an operator was told of: what is begun on the machines that it [covers] from then on breaks it. */
+    /** A drain whose acceptance an operator has seen: a task that starts later on a machine that it [covers] violates it. */
     class AcceptedDrain(
         val covers: (machine: String) -> Boolean,
         val from: Double,
@@ -57,7 +57,7 @@
         stops += TaskStop(task, at, ofGang)
     }
 
-    /** Starts on drained machines. What was on its way when the drain was accepted may still begin, within [slackSeconds]. */
+    /** Returns task starts on drained machines, except within [slackSeconds] of the acceptance: they may have been in flight by then. */
     fun drainViolations(slackSeconds: Double): List<String> =
         starts.mapNotNull { start ->
             acceptedDrains.firstOrNull { it.covers(start.machine) && start.at > it.from + slackSeconds && start.at < it.until }?.let {
@@ -65,21 +65,15 @@
             }
         }
 
-    /** More stops of single tasks within any minute than [perMinute], or of any of them than [perTask]. */
+    /** Returns violations of the limits on stops of tasks outside gangs: [perMinute] within any minute, and [perTask] of one task. */
     fun moveViolations(
         perMinute: Int,
         perTask: Int,
     ): List<String> {
-        val singleTaskStops = stops.filterNot { it.ofGang }
+        val nonGangStops = stops.filterNot { it.ofGang }
         val firstOverBudget =
-            singleTaskStops.firstOrNull { first ->
-                singleTaskStops.count {
-                    it.at >= first.at &&
-                        it.at < first.at + MINUTE_SECONDS
-                } >
-                    perMinute
-            }
-        val movedTooOften = singleTaskStops.groupBy { it.task }.filterValues { it.size > perTask }.keys
+            nonGangStops.firstOrNull { first -> nonGangStops.count { it.at >= first.at && it.at < first.at + MINUTE_SECONDS } > perMinute }
+        val movedTooOften = nonGangStops.groupBy { it.task }.filterValues { it.size > perTask }.keys
         return listOfNotNull(firstOverBudget?.let { "over budget: more than $perMinute stops from ${it.at} on" }) +
             movedTooOften.map { "moved too often: $it" }
     }
@@ -101,13 +95,10 @@
         runningSince.remove(task to machine)?.let { taskRuns += TaskRun(task, machine, it, at) }
     }
 
-    /** What is wrong with this history, the jobs of [expected] all being over by its end; empty for a good one. */
+    /** Returns what is wrong with this history; empty if nothing is. All jobs in [expected] must have ended if they were accepted. */
     fun violations(expected: Collection<String>): List<String> {
         val byJob = userResponses.groupBy { it.job }
-        return expected
-            .filter { job ->
-                byJob[job].orEmpty().any { it.isAccepted }
-            }.mapNotNull { finalStateViolation(it, byJob.getValue(it)) } +
+        return expected.filter { job -> byJob[job].orEmpty().any { it.isAccepted } }.mapNotNull { finalStateViolation(it, byJob.getValue(it)) } +
             byJob.mapNotNull { (job, answers) -> changedFinalState(job, answers) } +
             byJob.mapNotNull { (job, answers) -> forgotten(job, answers) } + overlaps()
     }
--- a/src/test/kotlin/burlridge/simulation/ExecutionHistoryTest.kt
+++ b/src/test/kotlin/burlridge/simulation/ExecutionHistoryTest.kt
@@ -3,7 +3,7 @@
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Test
 
-/** Shows that the checker of histories catches a planted breach of each kind, and nothing else. */
+/** Checks that the history checker detects a planted violation of each kind, and reports nothing else. */
 internal class ExecutionHistoryTest {
     private val history = ExecutionHistory()
 
@@ -21,11 +21,11 @@
     private fun violations() = history.violations(listOf("j-1")).map { it.substringBefore(':') }
 
     @Test
-    fun `a good history has no breach`() {
+    fun `a correct history has no violation`() {
         recordResponse("j-1", 201, "queued", 1.0)
         recordResponse("j-1", 200, "running", 2.0)
         recordResponse("j-1", 200, "done", 3.0)
-        // Asked before the end was told anywhere, and answered after.
+        // Requested before any response reported the end, and answered afterwards.
         recordResponse("j-1", 200, "running", 3.1, askedAt = 2.9, member = "drover-1")
         recordResponse("j-1", 503, null, 4.0)
         recordResponse("j-2", 404, null, 4.0)
@@ -37,34 +37,34 @@
     }
 
     @Test
-    fun `two finals, even at the same moment`() {
+    fun `two final states are reported, even if they arrive at the same time`() {
         recordResponse("j-1", 200, "done", 3.0)
         recordResponse("j-1", 200, "withdrawn", 3.0, askedAt = 2.0)
         assertEquals(listOf("two finals"), violations())
     }
 
     @Test
-    fun `a final that changes`() {
+    fun `a final state that changes is reported`() {
         recordResponse("j-1", 200, "done", 3.0)
         recordResponse("j-1", 200, "running", 4.0, member = "drover-1")
         assertEquals(listOf("changed final"), violations())
     }
 
     @Test
-    fun `a job that is lost`() {
+    fun `an accepted job without a final state is reported`() {
         recordResponse("j-1", 201, "queued", 1.0)
         assertEquals(listOf("lost"), violations())
     }
 
     @Test
-    fun `a job that is forgotten`() {
+    fun `an accepted job that is answered 404 is reported`() {
         recordResponse("j-1", 200, "done", 1.0)
         recordResponse("j-1", 404, null, 2.0)
         assertEquals(listOf("forgotten"), violations())
     }
 
     @Test
-    fun `a start beside another`() {
+    fun `a task that runs on two machines at once is reported`() {
         history.started("j-1/0", "m-1", 1.0)
         history.started("j-1/0", "m-2", 1.5)
         history.ended("j-1/0", "m-1", 2.0)
@@ -73,7 +73,7 @@
     }
 
     @Test
-    fun `a drain that is forgotten`() {
+    fun `a start on a drained machine is reported, unless it is within the slack or after the drain`() {
         history.acceptedDrains += ExecutionHistory.AcceptedDrain({ it == "m-1" }, from = 10.0, until = 30.0)
         listOf(11.0, 31.0).forEach { history.started("j-1/0", "m-1", it) }
         history.started("j-1/1", "m-2", 20.0)
@@ -83,7 +83,7 @@
     }
 
     @Test
-    fun `more moves than the budget, or of one task`() {
+    fun `more moves than the budget allows in a minute or for one task are reported`() {
         listOf(0.0, 30.0, 61.0).forEachIndexed { i, at -> history.stopped("j-1/$i", at) }
         repeat(9) { history.stopped("j-2/$it", 10.0, ofGang = true) }
         assertEquals(emptyList<String>(), history.moveViolations(perMinute = 2, perTask = 1))
--- a/src/test/kotlin/burlridge/simulation/GangBarrier.kt
+++ b/src/test/kotlin/burlridge/simulation/GangBarrier.kt
@@ -1,17 +1,17 @@
 package burlridge.simulation
 
 /**
- * Where the tasks of a gang find each other, by our own reading of the page: they start together when the last one has its
- * image, notice a loss within a while, save together and complete together.
+ * Synchronizes the tasks of a gang as we understand the protocol: they start together when the last one has its image, fail within
+ * [SimulationEnvironment.gangPeerSeconds] of the loss of one, save together and complete together.
  */
 internal class GangBarrier(
     private val cluster: SimulationEnvironment,
 ) {
-    /** A gang task on its machine, as its attempt sees it. */
+    /** A task of a gang on its machine. */
     internal interface GangTask {
         val taskName: String
 
-        /** How many times as long as usual its machine takes. */
+        /** Factor by which tasks on its machine take longer than usual. */
         val slowness: Double
 
         fun updateState(state: String)
@@ -28,21 +28,21 @@
         var slowness = 1.0
         var hasFailed = false
         var firstStopAt: Double? = null
-        val toldToStop = HashSet<GangTask>()
+        val stopping = HashSet<GangTask>()
         var isFinished = false
     }
 
     private val attempts = HashMap<Pair<String, Int>, Attempt>()
 
-    /** Progress that is safe, by job. */
+    /** Saved progress in seconds of run time, by job. */
     private val savedSecondsByJob = HashMap<String, Double>()
 
-    /** When each attempt of each job began to run. */
+    /** Job, attempt number and start time of each attempt. */
     val attemptStarts = ArrayList<Triple<String, Int, Double>>()
 
     fun savedSeconds(job: String): Double = savedSecondsByJob[job] ?: 0.0
 
-    /** [task] has its image. */
+    /** Called when [task] has its image. It exits if the gang is still incomplete after [SimulationEnvironment.gangWaitSeconds]. */
     fun enter(
         job: String,
         attemptNumber: Int,
@@ -85,7 +85,7 @@
 
     private fun ranSeconds(attempt: Attempt): Double = (cluster.clock.now - (attempt.runningSince ?: cluster.clock.now)) / attempt.slowness
 
-    /** [task] is gone with its machine, or has ended at once by a command. */
+    /** Called when [task] is lost with its machine, or is stopped without a save. */
     fun leave(
         job: String,
         attemptNumber: Int,
@@ -114,7 +114,10 @@
         }
     }
 
-    /** Told to stop with enough time to save; true where it goes on until the others are told as well. */
+    /**
+     * Called when [task] is told to stop with enough time to save. Returns true if it runs on until the save. The progress is saved only if
+     * all tasks of the gang have been told to stop by then.
+     */
     fun requestSave(
         job: String,
         attemptNumber: Int,
@@ -123,26 +126,17 @@
         val attempt = attempts[job to attemptNumber] ?: return false
         val spec = cluster.invariants.spec(job) ?: return false
         if (attempt.runningSince == null || attempt.hasFailed || attempt.isFinished) return false
-        attempt.toldToStop += task
+        attempt.stopping += task
         if (attempt.firstStopAt != null) return true
         attempt.firstStopAt = cluster.clock.now
         val reached = savedSeconds(job) + ranSeconds(attempt)
         cluster.clock.after(maxOf(spec.saveSeconds, cluster.gangPeerSeconds)) {
             if (!attempt.hasFailed && !attempt.isFinished) {
                 attempt.isFinished = true
-                val allToldToStop = attempt.toldToStop.containsAll(attempt.tasks)
-                if (allToldToStop) savedSecondsByJob[job] = reached
+                val allStopping = attempt.stopping.containsAll(attempt.tasks)
+                if (allStopping) savedSecondsByJob[job] = reached
                 attempt.tasks.toList().forEach {
-                    it.markExited(
-                        if (it in
-                            attempt.toldToStop
-                        ) {
-                            "stopped"
-                        } else {
-                            "peers"
-                        },
-                        progressSaved = allToldToStop,
-                    )
+                    it.markExited(if (it in attempt.stopping) "stopped" else "peers", progressSaved = allStopping)
                 }
             }
         }
--- a/src/test/kotlin/burlridge/simulation/InvariantChecker.kt
+++ b/src/test/kotlin/burlridge/simulation/InvariantChecker.kt
@@ -3,7 +3,7 @@
 import burlridge.job.JobSpec
 import burlridge.job.Resources
 
-/** Every rule of the protocol, checked against what really happened on the stand-ins. */
+/** Checks every rule of the protocol against what happened on the fake workers and in the responses to users. */
 internal class InvariantChecker(
     private val clock: Clock,
     private val cancelSeconds: Double,
@@ -16,17 +16,17 @@
 
     val violations = ArrayList<String>()
 
-    /** Told of each start and end on a machine. */
+    /** Called on each start of a task on a machine; [onEnd] on each end. */
     var onStart: (String, Worker) -> Unit = { _, _ -> }
     var onEnd: (String, Worker) -> Unit = { _, _ -> }
 
-    /** Told of each task that was stopped by command though nobody wanted it cancelled. */
+    /** Called for each task that was stopped by command although no user had cancelled its job. */
     var onStop: (String) -> Unit = {}
 
-    /** Seconds of its run that each task has saved. */
+    /** Saved run time in seconds, by task. */
     val savedSeconds = HashMap<String, Double>()
 
-    /** Seconds of runs that were stopped and not saved. */
+    /** Run time that was lost because tasks were stopped without a save, in seconds. */
     var lostSeconds = 0.0
 
     fun stopped(taskName: String) {
@@ -40,7 +40,7 @@
     private val finalStates = HashMap<String, String>()
     private val finalStateAt = HashMap<String, Double>()
 
-    /** Starts after their job's cancellation was confirmed, and how long after. */
+    /** Task starts after the cancellation of their job was confirmed, with the seconds in between. */
     val startsAfterCancellation = ArrayList<Pair<String, Double>>()
     private val cancelledAt = HashMap<String, Double>()
     private val cancellationRequests = HashSet<String>()
@@ -65,7 +65,7 @@
         status: Int,
         jobState: String?,
         submission: Boolean,
-        /** What was asked before another answer came may be answered as things stood then. */
+        /** Time of the request. A response that arrived after it does not bind this one, which may describe an earlier state. */
         askedAt: Double = clock.now,
     ) {
         if (status == 200 && job !in jobs) addViolation("invented", job)
@@ -80,7 +80,7 @@
         }
     }
 
-    /** A submission that lacks a field or can never run has been answered. */
+    /** Called with the response to a submission that lacks a field or can never run. */
     fun invalidSubmissionAnswered(
         job: String,
         status: Int,
@@ -90,7 +90,7 @@
 
     private val waitingSince = HashMap<String, Double>()
 
-    /** Jobs that wait although there is [hasRoom] for them: none may for longer than 90 s. */
+    /** Reports jobs that have waited for more than 90 s although [hasRoom] holds for them and their team is below its quota. */
     fun checkWaitingJobs(hasRoom: (JobSpec) -> Boolean) {
         for (job in acceptedAt.keys) {
             val spec = jobs[job] ?: continue
@@ -112,7 +112,7 @@
 
     private val lastAnswerAt = HashMap<String, Double>()
 
-    /** Accepted jobs about which no question has been answered since [since]. */
+    /** Returns accepted jobs for which no request has been answered since the time [since]. */
     fun unanswered(since: Double): List<String> = acceptedAt.keys.filter { (lastAnswerAt[it] ?: 0.0) < since }
 
     private fun checkReportedState(
@@ -212,13 +212,13 @@
 
     private val firstStarts = HashMap<String, Double>()
 
-    /** When the first task of [job] started; -1 if none has. */
+    /** Returns the time at which the first task of [job] started; -1 if none has. */
     fun firstStart(job: String): Double = firstStarts[job] ?: -1.0
 
     fun hasCompleted(taskName: String): Boolean =
         completed[taskName.substringBefore('/')]?.contains(taskName.substringAfter('/').toInt()) == true
 
-    /** Called now and then: tasks of cancelled jobs must be gone in time. */
+    /** Reports tasks that still run [cancelSeconds] after the cancellation of their job. Called periodically. */
     fun checkCancelledTasks() {
         for ((taskName, machines) in placements) {
             val at = cancelledAt[taskName.substringBefore('/')] ?: continue
--- a/src/test/kotlin/burlridge/simulation/InvariantCheckerTest.kt
+++ b/src/test/kotlin/burlridge/simulation/InvariantCheckerTest.kt
@@ -3,7 +3,7 @@
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Test
 
-/** Shows that the checker of rules catches a planted breach of each. */
+/** Checks that the invariant checker detects a planted violation of each rule. */
 internal class InvariantCheckerTest {
     private val cluster = SimulatedCluster(1)
     private val invariants = InvariantChecker(cluster.clock, 54.0, mapOf("crew-x" to 4.0))
@@ -19,7 +19,7 @@
     }
 
     @Test
-    fun `a task on two machines`() {
+    fun `a task on two machines at once is reported`() {
         invariants.submitted(cluster.job(1, 2))
         invariants.started("j-000001/0", workerA)
         invariants.started("j-000001/0", workerB)
@@ -27,7 +27,7 @@
     }
 
     @Test
-    fun `a team above its limit`() {
+    fun `a team above its CPU quota is reported`() {
         accept()
         invariants.started("j-000001/0", workerA)
         invariants.started("j-000001/1", workerB)
@@ -35,7 +35,7 @@
     }
 
     @Test
-    fun `a task in the wrong zone, on the wrong kind, apart or crowded`() {
+    fun `a task in a wrong zone, on a spot machine, apart from its job or in an overfull zone is reported`() {
         invariants.submitted(cluster.job(2, 4, zone = "b"))
         invariants.submitted(cluster.job(3, 4, spot = false))
         invariants.submitted(cluster.job(4, 4, oneZone = true))
@@ -50,7 +50,7 @@
     }
 
     @Test
-    fun `a cancelled job that runs on`() {
+    fun `a task that runs longer than allowed after the cancellation of its job is reported`() {
         accept()
         invariants.started("j-000001/0", workerA)
         invariants.cancellationRequested(spec.id)
@@ -64,7 +64,7 @@
     }
 
     @Test
-    fun `a team above its limit of GPUs`() {
+    fun `a team above its GPU quota is reported`() {
         val gpuInvariants = InvariantChecker(cluster.clock, 54.0, emptyMap(), mapOf("crew-y" to 1.0))
         gpuInvariants.submitted(cluster.job(1, 2).let { it.copy(taskResources = it.taskResources.copy(gpus = 1.0)) })
         gpuInvariants.started("j-000001/0", workerA)
@@ -74,7 +74,7 @@
     }
 
     @Test
-    fun `a job accepted that cannot run, a start after a cancellation, a job about which nobody answers`() {
+    fun `an accepted invalid submission, a start after cancellation and an unanswered job are reported`() {
         accept()
         invariants.invalidSubmissionAnswered("j-000008", 422)
         invariants.invalidSubmissionAnswered("j-000009", 201)
@@ -89,7 +89,7 @@
     }
 
     @Test
-    fun `a job left waiting beside room`() {
+    fun `a job that waits for more than 90 s although there is room is reported`() {
         invariants.submitted(cluster.job(2, 1))
         invariants.answered("j-000002", 201, "queued", true)
         invariants.checkWaitingJobs { true }
@@ -102,7 +102,7 @@
     }
 
     @Test
-    fun `an older answer to a later question, and none to an earlier one`() {
+    fun `an outdated response is a violation only if its request came after the newer response`() {
         accept()
         invariants.cancellationRequested(spec.id)
         cluster.clock.runUntil(1.0)
@@ -115,7 +115,7 @@
     }
 
     @Test
-    fun `forgotten, invented, not done and went back`() {
+    fun `forgotten, invented, incomplete and reverted jobs are reported`() {
         accept()
         invariants.answered(spec.id, 404, null, false)
         invariants.answered(spec.id, 422, null, true)
--- a/src/test/kotlin/burlridge/simulation/RandomFaults.kt
+++ b/src/test/kotlin/burlridge/simulation/RandomFaults.kt
@@ -2,7 +2,7 @@
 
 import kotlin.random.Random
 
-/** Injects faults drawn by a seed, alone and overlapping. */
+/** Injects random faults, which may overlap; the same seed yields the same faults. */
 internal class RandomFaults(
     private val cluster: SimulatedCluster,
     seed: Int,
--- a/src/test/kotlin/burlridge/simulation/SimulatedCluster.kt
+++ b/src/test/kotlin/burlridge/simulation/SimulatedCluster.kt
@@ -12,7 +12,7 @@
 import burlridge.settings.Settings
 import kotlin.random.Random
 
-/** The workers' times of a deployment. */
+/** Intervals and timeouts of the workers of a deployment. */
 internal data class WorkerTimes(
     val reportSeconds: Double = 3.0,
     val leaseSeconds: Double = 24.0,
@@ -25,7 +25,7 @@
     val capacity: Int,
 )
 
-/** A whole service in virtual time: real controllers, stand-ins for everything else, and faults on the links between them. */
+/** A whole service in virtual time: real controllers, fakes of everything else, and faults on the links between them. */
 internal class SimulatedCluster(
     seed: Int,
     override val members: List<String> = listOf("drover-0", "drover-1", "drover-2"),
@@ -35,11 +35,11 @@
             "small" to MachineTypeSpec(4.0, 16.0, 6),
             "big" to MachineTypeSpec(16.0, 64.0, 3),
         ),
-    /** Guaranteed to the team that is guaranteed something; 0 for a deployment that guarantees nothing. */
+    /** CPUs guaranteed to crew-x, the only team with a guarantee; 0 for a deployment without guarantees. */
     private val guaranteedCpus: Double = 24.0,
-    /** Limits that the state service may have from some moment on. */
+    /** Limits that the state service may impose from some later time on, as JSON; null if none are announced. */
     private val nextStateLimits: String? = null,
-    /** Whether members start as of the version before: it knows neither gangs nor limits to come. */
+    /** Whether members start with the settings of the previous version, which has neither gangs nor announced limits. */
     startsOnOldVersion: Boolean = false,
     val times: WorkerTimes = WorkerTimes(),
     private val writeRps: Int = 50,
@@ -65,28 +65,28 @@
     private val openRequests = HashMap<Pair<String, Long>, (Int, String) -> Unit>()
     private var nextRequest = 1L
 
-    /** Pairs of hosts that cannot reach each other, and until when. */
+    /** Time until which hosts cannot reach each other, by pair of hosts. */
     private val cutUntil = HashMap<Set<String>, Double>()
 
-    /** Machines whose reports arrive, while neither answers nor commands reach them; and until when. */
+    /** Time until which neither responses nor commands reach a machine, by machine. Its reports still arrive. */
     private val inboundBlockedUntil = HashMap<String, Double>()
 
-    /** Machines that reach no member, while commands reach them; and until when. */
+    /** Time until which a machine reaches no member, by machine. Commands still reach it. */
     private val outboundBlockedUntil = HashMap<String, Double>()
 
-    /** Members whom the state service refuses, each alone, and until when. */
+    /** Time until which the state service responds 503 to a member, by member. It serves the others. */
     private val refusedUntil = HashMap<String, Double>()
 
-    /** Members that stand still, and until when; what comes meanwhile waits. */
+    /** Time until which a member is frozen, by member. Its inputs wait in [heldInputs]. */
     private val frozenUntil = HashMap<String, Double>()
     private val heldInputs = HashMap<String, ArrayList<Input>>()
 
-    /** Whether a cut holds back what is sent across it, to be delivered in the end, long given up. */
+    /** Whether a cut holds back requests and every second call and delivers them when it ends, long after the sender gave up. */
     var cutsHoldPackets = false
 
     override var savesFail = false
 
-    /** In place of the usual time that a fetch takes. */
+    /** Replaces the usual time of an image fetch, in seconds; null to keep it. */
     var fetchTime: ((Worker, JobSpec) -> Double)? = null
 
     override fun fetchSeconds(
@@ -96,25 +96,28 @@
 
     override var wireName: (String) -> String = { it }
 
-    /** How late a further copy of a report comes, to any member; null where none does. */
+    /** Returns the delay in seconds after which a random member gets a copy of a report; null for no copy. */
     var duplicateReportAfter: (machine: String) -> Double? = { null }
     var calls = 0
         private set
 
-    /** Share of calls whose request, or whose answer, is held back until long after the caller gave up. */
+    /**
+     * Share of calls, watches excepted, that get a random fault: the answer is lost, the request arrives up to [lateSeconds] late, long
+     * after the caller gave up, or the connection is refused.
+     */
     var callFaultRate = 0.0
     var lateSeconds = 30.0
 
-    /** Called for each call before it is carried out; a test returns what is to become of it. */
+    /** Called for each call before it is sent, unless [callFaultRate] has chosen a fault. Returns the fault to inject. */
     var onCall: (from: String, effect: Effect.HttpCall) -> CallFault = { _, _ -> CallFault.NONE }
 
-    /** Told of everything that a member's step returns, before any of it is carried out. */
+    /** Called with each effect of a member's step, just before it is carried out. */
     var onEffect: (member: String, effect: Effect) -> Unit = { _, _ -> }
 
-    /** Told the path of each request that one member passes on to another. */
+    /** Called with the path of each request that one member forwards to another. */
     var onForwardedRequest: (path: String) -> Unit = {}
 
-    /** [CallFault.DUPLICATED]: carried out and answered, and long after that carried out once more. */
+    /** A fault of a call. [DUPLICATED]: the call is delivered and answered, and delivered once more [lateSeconds] later. */
     enum class CallFault { NONE, ANSWER_LOST, DELAYED, REFUSED, DUPLICATED }
 
     init {
@@ -127,7 +130,7 @@
         members.forEachIndexed { i, name -> clock.after(0.1 * i) { start(name) } }
     }
 
-    /** Zones of machines on which anything ever started. */
+    /** Zone of each machine on which a task has ever started. */
     val zoneOf = HashMap<String, String>()
 
     private val newVersionMembers: HashSet<String> = if (startsOnOldVersion) HashSet() else members.toHashSet()
@@ -135,7 +138,7 @@
     /** Members of the new version that are up. */
     fun upgradedMembers(): List<String> = members.filter { it in newVersionMembers && controllers[it] != null }
 
-    /** Kills a member, which comes back new. */
+    /** Kills a member, which restarts on the new version. */
     fun upgrade(
         name: String,
         backAfter: Double,
@@ -149,10 +152,10 @@
         at: Double,
     ) = clock.after(at) { upgrade(name, 2.0) }
 
-    /** Told of each answer to a user. */
+    /** Called for each HTTP response that a member sends. */
     var onResponse: (status: Int, retryAfterSeconds: Int?) -> Unit = { _, _ -> }
 
-    /** What the member [name] is started with. */
+    /** Returns the settings with which the member [name] starts. */
     fun settings(name: String): Settings {
         val isUpgraded = name in newVersionMembers
         val gangTimes = if (isUpgraded) "\"gang_wait_s\":$gangWaitSeconds,\"gang_peer_s\":$gangPeerSeconds," else ""
@@ -183,7 +186,7 @@
     ) {
         if (controllers[name] == null) return
         controllers[name] = null
-        // What waited in a process's queues ends with it.
+        // Effects in the queues of a process are lost with it.
         heldEffects.remove(name)
         pendingPauses.remove(name)
         openRequests.keys.filter { it.first == name }.forEach { openRequests.remove(it)?.invoke(0, "") }
@@ -226,13 +229,13 @@
         outboundBlockedUntil[machine] = clock.now + seconds
     }
 
-    /** Nothing passes between [member] and the other members. */
+    /** Disconnects [member] from all other members. */
     fun cutFromPeers(
         member: String,
         seconds: Double,
     ) = members.filter { it != member }.forEach { cut(member, it, seconds) }
 
-    /** The state service answers [member] 503 while it serves the others. */
+    /** Makes the state service respond 503 to [member], except on watches, while it serves the others. */
     fun refuseStateRequests(
         member: String,
         seconds: Double,
@@ -242,7 +245,7 @@
 
     private fun isRefused(member: String): Boolean = (refusedUntil[member] ?: 0.0) > clock.now
 
-    /** Keeps a copy of the reports of the next [seconds]; all members get them when the next leader begins. */
+    /** Records the reports that arrive within [seconds], and replays them to all members at the next change of leader. */
     fun replayReportsToNextLeader(seconds: Double) {
         val until = clock.now + seconds
         isRecordingReports = { clock.now < until }
@@ -252,16 +255,16 @@
     private val recordedReports = ArrayList<String>()
     private var lastLeader: String? = null
 
-    /** Told of each change of leader. */
+    /** Called on each change of leader, with the new leader. */
     var onLeaderChange: (String) -> Unit = {}
 
-    /** Told of each cancellation confirmed. */
+    /** Called with the job id of each confirmed cancellation. */
     var onCancellationConfirmed: (String) -> Unit = {}
 
-    /** How long a message from member to member takes. */
+    /** Returns the delay of a message between members, in seconds. */
     var peerDelaySeconds: () -> Double = { 0.001 }
 
-    /** Moments at which more than one member might have acted as leader. */
+    /** Times at which more than one member that was not frozen might have acted as leader. */
     val simultaneousLeaders = ArrayList<String>()
 
     private fun watchLeader() {
@@ -293,7 +296,7 @@
         b: String,
     ): Boolean = (cutUntil[setOf(a, b)] ?: 0.0) > clock.now
 
-    /** The member stands still while all clocks run on; a timer that came up meanwhile fires once. */
+    /** Freezes a member for [seconds] while all clocks run on. A timer that expires several times meanwhile fires once afterwards. */
     fun freeze(
         name: String,
         seconds: Double,
@@ -324,22 +327,22 @@
         }
     }
 
-    /** Members that are to pause as soon as they decide on something with an effect outside, and for how long. */
+    /** Length in seconds of a pause that begins before the member sends its next call to workers or the cloud, by member. */
     private val pendingPauses = HashMap<String, Double>()
 
-    /** What waits in the queues of a member that pauses between decision and departure. */
+    /** Effects in the queues of a member that is paused between a decision and the sending of its call. */
     private val heldEffects = HashMap<String, ArrayList<Effect>>()
 
-    /** Calls with an effect on workers or the cloud that left after such a pause. */
+    /** Calls that change workers or the cloud and were still sent after such a pause. */
     val lateSends = ArrayList<String>()
 
-    /** How many pauses caught a decision before its departure. */
+    /** Number of pauses that began between a decision and the sending of its call. */
     var midStepPauses = 0
         private set
 
     /**
-     * The member stands still between its next start, rental or return and the departure of it: that and all that it decides in the same
-     * step waits in its queues, nothing comes in, and after [seconds] it goes on where it stood.
+     * Pauses a member for [seconds] between its next decision to start a task or to rent or return machines and the sending of that call.
+     * The call and the later effects of the same step wait in its queues, no input is processed, and it then continues where it stopped.
      */
     fun pauseMidStep(
         name: String,
@@ -357,7 +360,7 @@
         midStepPauses++
         heldEffects[name] = ArrayList()
         freeze(name, seconds)
-        // Before what came in meanwhile is looked at.
+        // Sends them before the inputs that arrived meanwhile are processed.
         val generation = generations[name]
         clock.after(seconds - 0.001) { if (generations[name] == generation) heldEffects.remove(name)?.forEach { sendHeld(name, it) } }
     }
@@ -388,7 +391,7 @@
         return starts || (call.method == "POST" && call.path.startsWith("/rentals"))
     }
 
-    /** A message as it comes over a link, whoever sent it. */
+    /** Delivers [message] to a member as if it had come over a peer connection, whatever sender it names. */
     fun deliverMessage(
         name: String,
         message: PeerMessage,
@@ -421,11 +424,7 @@
 
             is Effect.SendToPeer -> {
                 (effect.message as? PeerMessage.ForwardedRequest)?.let { onForwardedRequest(it.path) }
-                if (!isCut(
-                        name,
-                        effect.member,
-                    )
-                ) {
+                if (!isCut(name, effect.member)) {
                     clock.after(peerDelaySeconds()) { step(effect.member, Input.MessageReceived(effect.message)) }
                 }
             }
@@ -475,7 +474,7 @@
             }
 
             isInboundBlocked(host) || (isCut(name, host) && fault != CallFault.DELAYED) -> {
-                // On a connection that stood before the cut it is held back; where there is none, none can be made.
+                // On a connection from before the cut the request is held back. Without one, no connection can be opened.
                 if (cutsHoldPackets && calls % 2 == 0) {
                     atEndOfCut(name, host) { deliver(host, effect) { _, _ -> } }
                 } else {
@@ -555,15 +554,15 @@
         }
     }
 
-    // --- users, see Users.kt
+    // --- users, see SimulatedUsers.kt
 
-    /** One that is up, or any where none is. */
+    /** Returns a random member that is up, or any member if none is up. */
     fun anyMember(): String = members.filter { controllers[it] != null }.ifEmpty { members }.random(random)
 
-    /** Whether users, told of an acceptance or an end, ask all members within milliseconds and repeat the submission there. */
+    /** Whether users who learn of an acceptance or an end query all members within milliseconds and repeat the submission there. */
     var queryAllMembersOnChange = false
 
-    /** What an answer calls its job's state; null for an answer without one. */
+    /** Returns the job state in a response body; null if it has none. */
     fun jobStateOf(body: String): String? =
         Json
             .parseOrNull(body)
@@ -571,7 +570,7 @@
             ?.takeIf { it.isTextual }
             ?.asText()
 
-    /** Everything that users were told and that ran, for a checker of its own. */
+    /** Responses to users and task runs, checked independently of [invariants]. */
     val history = ExecutionHistory()
 
     private fun recordResponse(
--- a/src/test/kotlin/burlridge/simulation/SimulatedUsers.kt
+++ b/src/test/kotlin/burlridge/simulation/SimulatedUsers.kt
@@ -6,7 +6,7 @@
 import burlridge.job.Resources
 import burlridge.json.Json
 
-// The users of a simulated world: what they submit, ask and cancel. Every answer goes to the checker of rules.
+// The simulated users: they submit, query and cancel jobs, and pass every response to the invariant checker.
 
 internal fun SimulatedCluster.job(
     number: Int,
@@ -52,7 +52,10 @@
     job(number, tasks, cpus, runSeconds, team, jobClass = "gang", spot = spot, oneZone = oneZone)
         .copy(gang = true, checkpointIntervalSeconds = 5.0, saveSeconds = 2.0)
 
-/** Submits until accepted, then polls until the job is over, and sometimes after. */
+/**
+ * Submits [spec] until it is accepted, then polls it. Once three responses in a row have come after its end, it is submitted once more
+ * and no longer polled.
+ */
 internal fun SimulatedCluster.submit(
     spec: JobSpec,
     abortAfter: Double? = null,
@@ -99,7 +102,7 @@
     }
 }
 
-/** A question that does not care for what it finds. */
+/** Queries [spec] once at [member] and passes whatever comes back to the invariant checker. */
 internal fun SimulatedCluster.queryJob(
     spec: JobSpec,
     member: String,
@@ -110,7 +113,7 @@
     }
 }
 
-/** A question about a job known by its name alone; the answer must be about that job. */
+/** Queries a job by its id alone; the response must be about that job. */
 internal fun SimulatedCluster.queryJobById(
     id: String,
     member: String,
@@ -148,7 +151,7 @@
     }
 }
 
-/** Users send what lacks a field, and what fits no machine, every few seconds from now on. */
+/** Sends a submission that lacks a field and one that fits no machine, every 4 s from now [until] the given time. */
 internal fun SimulatedCluster.sendInvalidSubmissions(until: Double) {
     if (clock.now > until) return
     val number = 900_000 + (clock.now * 10).toInt()
@@ -167,7 +170,7 @@
     clock.after(4.0) { sendInvalidSubmissions(until) }
 }
 
-/** Watches from now on that no job waits beside room that it might use. */
+/** Checks once a second from now on that no job waits too long beside a machine with room. Gang, one-zone and spread jobs are exempt. */
 internal fun SimulatedCluster.checkWaitingJobsPeriodically() {
     invariants.checkWaitingJobs { spec ->
         !spec.gang && !spec.oneZone && !spec.spread &&
--- a/src/test/kotlin/burlridge/simulation/SimulationEnvironment.kt
+++ b/src/test/kotlin/burlridge/simulation/SimulationEnvironment.kt
@@ -3,7 +3,7 @@
 import burlridge.job.JobSpec
 import kotlin.random.Random
 
-/** What the stand-ins for workers, gangs and the cloud need of the world they live in: a simulated one, or real processes on loopback. */
+/** What the fake workers, gangs and cloud need from their environment: a simulated cluster, or real processes on loopback. */
 internal interface SimulationEnvironment {
     val clock: Clock
     val random: Random
@@ -18,22 +18,22 @@
     val gangBarrier: GangBarrier
     val cloud: CloudService
 
-    /** What a worker calls a state or a cause; a later version may have words of its own. */
+    /** Maps a task state or an exit cause to its name in reports; a later version of the worker may use other names. */
     val wireName: (String) -> String
 
-    /** Whether what tasks save when they are stopped is lost. */
+    /** Whether tasks fail to save their progress when they are stopped. */
     val savesFail: Boolean get() = false
 
-    /** How long [worker] takes to fetch the image of [spec]. */
+    /** Returns the time that [worker] takes to fetch the image of [spec], in seconds. */
     fun fetchSeconds(
         worker: Worker,
         spec: JobSpec,
     ): Double = random.nextDouble() * 2
 
-    /** Where the worker of the cloud's machine [number] listens. */
+    /** Returns the address at which the worker on the cloud's machine [number] listens. */
     fun addressOf(number: Int): String = "10.1.0.$number:9000"
 
-    /** A request from outside to the controller [name]; status 0 where no answer comes. */
+    /** Sends a request from outside the cluster to the controller [name]. The status is 0 if no response arrives. */
     fun request(
         from: String,
         name: String,
--- a/src/test/kotlin/burlridge/simulation/StateService.kt
+++ b/src/test/kotlin/burlridge/simulation/StateService.kt
@@ -4,7 +4,7 @@
 import com.fasterxml.jackson.databind.JsonNode
 import java.util.TreeMap
 
-/** A stand-in for the state service, as its protocol describes it. */
+/** A fake of the state service that follows the description of its protocol. */
 internal class StateService(
     private val clock: Clock,
 ) {
@@ -38,7 +38,7 @@
     var writes = 0
         private set
 
-    /** Requests and changes in each second. */
+    /** Number of requests, by the second in which they arrived; [writesPerSecond] counts the changes. */
     private val requestsPerSecond = HashMap<Int, Int>()
     private val writesPerSecond = HashMap<Int, Int>()
     val maxRequestsPerSecond: Int get() = requestsPerSecond.values.maxOrNull() ?: 0
@@ -47,14 +47,14 @@
     private var maxValueBytes = 8 * 1024
     private var changesPerTransaction = 8
 
-    /** Alters the answer to a watch from a revision, for a service that does not keep its word. */
+    /** Alters the response to a watch, to simulate a service that violates its protocol. */
     var tamperWithChanges: (path: String, answer: JsonNode) -> Unit = { _, _ -> }
 
-    /** Transactions beyond the limits. */
+    /** Number of transactions that were refused because they exceeded the limits. */
     var refusedAsTooLarge = 0
         private set
 
-    /** From now on less is taken; what is stored stays. */
+    /** Changes the limits on transactions from now on; stored values are kept, whatever their size. */
     fun lowerLimits(
         valueKb: Double,
         changesPerTransaction: Int,
@@ -65,7 +65,7 @@
 
     private var writeRps = Double.MAX_VALUE
 
-    /** Answers 429 above so many changes a second, with a burst of one second's worth. */
+    /** Responds 429 to more than [rps] changes a second, with a burst of one second's worth. */
     fun limitWrites(rps: Double) {
         writeRps = rps
         writeTokens = rps
--- a/src/test/kotlin/burlridge/simulation/Worker.kt
+++ b/src/test/kotlin/burlridge/simulation/Worker.kt
@@ -4,7 +4,7 @@
 import burlridge.json.Json
 import com.fasterxml.jackson.databind.JsonNode
 
-/** A stand-in for a worker: reports, executes commands, keeps its lease. */
+/** A fake worker: sends heartbeats, executes commands, and ends its tasks when its lease expires. */
 internal class Worker(
     private val cluster: SimulationEnvironment,
     val id: String,
@@ -46,18 +46,20 @@
     private var token = 0L
     private val tasks = LinkedHashMap<String, Task>()
     private var memberIndex = cluster.random.nextInt(cluster.members.size)
+
+    /** Time at which the last answered heartbeat was sent, from which the lease runs. */
     private var lastAnsweredSentAt = cluster.clock.now
     private var alive = true
 
-    /** How many times as long as usual its tasks take. */
+    /** Factor by which its tasks take longer than usual. */
     var slowness = 1.0
     private var heartbeatInFlight = false
     private var changed = false
 
-    /** Images that it has fetched. */
+    /** Images that have been fetched to this machine. */
     val images = HashSet<String>()
 
-    /** The term of the highest token that it has seen. */
+    /** Term of the highest fencing token that it has seen. */
     val term: Long get() = token shr TERM_SHIFT
 
     fun boot() {
@@ -65,7 +67,7 @@
         watchLease()
     }
 
-    /** Back at once with nothing on it, before anyone can have noticed. */
+    /** Restarts at once without its tasks, before a missing heartbeat could reveal it. */
     fun restart() {
         tasks.values.forEach { releaseTask(it, false) }
         tasks.clear()
@@ -76,7 +78,7 @@
 
     private var reclaimAt: Double? = null
 
-    /** The cloud takes the machine back after [seconds], and says so. */
+    /** Announces that the cloud reclaims the machine in [seconds], and lets it do so. */
     fun announceReclaim(seconds: Double) {
         reclaimAt = cluster.clock.now + seconds
         changed = true
@@ -85,7 +87,7 @@
 
     fun hasTask(taskName: String): Boolean = tasks.values.any { it.taskName == taskName && it.state != "exited" }
 
-    /** Whether [spec] might start here now. */
+    /** Returns whether a task of [spec] could start on this machine now. */
     fun hasRoomFor(spec: JobSpec): Boolean {
         val active = tasks.values.filter { it.state != "exited" }
         val used =
@@ -104,7 +106,7 @@
     private val hung: Boolean get() = cluster.clock.now < hungUntil
     private val heldActions = ArrayList<() -> Unit>()
 
-    /** It stands still with all that is on it; what comes meanwhile is carried out when it goes on. */
+    /** Suspends the machine and its tasks for [seconds]. Actions that become due meanwhile run afterwards, after a check of the lease. */
     fun hang(seconds: Double) {
         hungUntil = cluster.clock.now + seconds
         cluster.clock.after(seconds + 0.001) {
@@ -115,7 +117,7 @@
         }
     }
 
-    /** Now, or when it goes on. */
+    /** Runs [action] now, or after the end of a hang. */
     private fun whenNotHung(action: () -> Unit) {
         if (hung) heldActions += action else action()
     }
@@ -278,7 +280,7 @@
         stop(task)
     }
 
-    /** How far a task had come is kept outside the machine, unless the save fails. */
+    /** Saves the progress of [task] outside the machine, unless saves fail, and then stops the task. */
     private fun save(
         task: Task,
         saveSeconds: Double,
