--- a/src/main/kotlin/burlridge/app/Service.kt
+++ b/src/main/kotlin/burlridge/app/Service.kt
@@ -32,7 +32,15 @@
     private val scope =
         CoroutineScope(loop + SupervisorJob() + CoroutineExceptionHandler { _, unexpected -> log.error("coroutine failed", unexpected) })
     private val budget = ConnectionBudget(settings.processLimits.maxConnections)
-    private val client = HttpClient(loop, scope, budget.maxCalls, budget.maxIdle, setOf(settings.stateEndpoint, settings.cloudEndpoint), settings.stateEndpoint)
+    private val client =
+        HttpClient(
+            loop,
+            scope,
+            budget.maxCalls,
+            budget.maxIdle,
+            setOf(settings.stateEndpoint, settings.cloudEndpoint),
+            settings.stateEndpoint,
+        )
     private val server = HttpServer(loop, budget, settings.workers.reportSeconds * RECLAIM_AFTER_INTERVALS) { step(it) }
     private val metrics = Metrics()
     private val peers = PeerTransport(settings, loop, metrics::onUnknownPeerMessage) { step(Input.MessageReceived(it)) }
--- a/src/test/kotlin/burlridge/balance/BalanceScheduleTest.kt
+++ b/src/test/kotlin/burlridge/balance/BalanceScheduleTest.kt
@@ -61,7 +61,7 @@
         cluster.cutsHoldPackets = seededRandom.nextBoolean()
         cluster.savesFail = seededRandom.nextInt(4) == 0
         val leaders = HashSet<String>()
-        cluster.onLeader = { leaders += it }
+        cluster.onLeaderChange = { leaders += it }
         val isCancelled = seededRandom.nextInt(3) == 0
         cluster.clock.after(30.0 + seededRandom.nextDouble() * 10) {
             cluster.drainZone("a") { if (isCancelled) cluster.clock.after(seededRandom.nextDouble() * 20) { cluster.undrainZone("a") } }
@@ -74,11 +74,11 @@
         }
         cluster.run(300.0)
         val failureMessage = "seed $seed $settings\n${cluster.recentLog()}"
-        assertEquals(emptyList<String>(), cluster.invariants.broken, failureMessage)
+        assertEquals(emptyList<String>(), cluster.invariants.violations, failureMessage)
         assertEquals(emptyList<String>(), cluster.simultaneousLeaders, failureMessage)
-        assertEquals(emptyList<String>(), cluster.history.breaches(jobs.map { it.id }), failureMessage)
-        assertEquals(emptyList<String>(), cluster.history.drainBreaches(DRAIN_SLACK_SECONDS), failureMessage)
-        assertEquals(emptyList<String>(), cluster.history.moveBreaches(settings.movesPerMinute, settings.movesPerTask), failureMessage)
+        assertEquals(emptyList<String>(), cluster.history.violations(jobs.map { it.id }), failureMessage)
+        assertEquals(emptyList<String>(), cluster.history.drainViolations(DRAIN_SLACK_SECONDS), failureMessage)
+        assertEquals(emptyList<String>(), cluster.history.moveViolations(settings.movesPerMinute, settings.movesPerTask), failureMessage)
         assertEquals(if (isCancelled) "cancelled" else "drained", cluster.drainStateOf("zone/a") ?: "cancelled", failureMessage)
         return Outcome(cluster.history.stops.size, if (isCancelled) 0 else 1, leaders.size)
     }
@@ -87,7 +87,7 @@
         cluster: SimulatedCluster,
         seededRandom: Random,
     ) {
-        val machine = cluster.cloud.names().random(seededRandom)
+        val machine = cluster.cloud.machineIds().random(seededRandom)
         cluster.sendRequest(cluster.anyMember(), "POST", MachineRequests.DRAIN, """{"machine":"$machine","force":true}""") { status, _ ->
             if (status == 200) cluster.expectDrained(machine)
         }
@@ -104,12 +104,12 @@
             1 -> cluster.freeze(member, 0.2 + seededRandom.nextDouble() * 10)
             2 -> cluster.pauseMidStep(member, 1.0 + seededRandom.nextDouble() * 30)
             3 -> cluster.cut(member, "state", 1.0 + seededRandom.nextDouble() * 15)
-            4 -> cluster.peersCut(member, 1.0 + seededRandom.nextDouble() * 15)
-            5 -> cluster.refuse(member, 1.0 + seededRandom.nextDouble() * 10)
+            4 -> cluster.cutFromPeers(member, 1.0 + seededRandom.nextDouble() * 15)
+            5 -> cluster.refuseStateRequests(member, 1.0 + seededRandom.nextDouble() * 10)
             6 -> cluster.state.outage(0.5 + seededRandom.nextDouble() * 10)
             7 -> loseResponses(cluster, seededRandom)
             8 -> cluster.members.forEach { cluster.crash(it, seededRandom.nextDouble() * 3) }
-            9 -> cluster.cloud.take(cluster.cloud.names().random(seededRandom))
+            9 -> cluster.cloud.reclaim(cluster.cloud.machineIds().random(seededRandom))
             else -> delayHeartbeats(cluster, seededRandom)
         }
     }
@@ -119,7 +119,7 @@
         seededRandom: Random,
     ) {
         val until = cluster.clock.now + 10.0
-        cluster.copyAfter = { if (cluster.clock.now < until) 2.0 + seededRandom.nextDouble() * 30 else null }
+        cluster.duplicateReportAfter = { if (cluster.clock.now < until) 2.0 + seededRandom.nextDouble() * 30 else null }
     }
 
     private fun loseResponses(
@@ -131,12 +131,12 @@
             val isAffected = cluster.clock.now < until && !call.path.startsWith("/follow") && seededRandom.nextBoolean()
             if (isAffected) {
                 listOf(
-                    SimulatedCluster.CallFate.ANSWER_LOST,
-                    SimulatedCluster.CallFate.LATE,
-                    SimulatedCluster.CallFate.REFUSED,
+                    SimulatedCluster.CallFault.ANSWER_LOST,
+                    SimulatedCluster.CallFault.DELAYED,
+                    SimulatedCluster.CallFault.REFUSED,
                 ).random(seededRandom)
             } else {
-                SimulatedCluster.CallFate.FINE
+                SimulatedCluster.CallFault.NONE
             }
         }
     }
--- a/src/test/kotlin/burlridge/balance/HotspotMitigationTest.kt
+++ b/src/test/kotlin/burlridge/balance/HotspotMitigationTest.kt
@@ -157,7 +157,7 @@
     fun `no task is moved if much of the fleet looks hot, and none to a partitioned zone`() {
         val cluster = clusterWithBalance(5, BalanceSettings())
         val (_, jobs) = cluster.startWithSlowMachines(slowness = 1.5, slowCount = 1)
-        cluster.cloud.names().forEach { cluster.cloud.worker(it)?.slowness = 1.5 }
+        cluster.cloud.machineIds().forEach { cluster.cloud.worker(it)?.slowness = 1.5 }
         cluster.run(60.0)
         assertEquals(emptyList<Any>(), cluster.movesWithReason(MoveReason.HOT))
         assertEquals(0, cluster.report().path("hot_machines").size())
@@ -167,7 +167,7 @@
         val partitionedCluster = clusterWithBalance(6, BalanceSettings())
         val (_, others) = partitionedCluster.startWithSlowMachines(slowness = 1.55, slowCount = 2)
         partitionedCluster.run(36.0)
-        val zone = partitionedCluster.cloud.names().filter { partitionedCluster.cloud.worker(it)?.zone == "b" }
+        val zone = partitionedCluster.cloud.machineIds().filter { partitionedCluster.cloud.worker(it)?.zone == "b" }
         zone.forEach { machine -> partitionedCluster.members.forEach { partitionedCluster.cut(machine, it, 30.0) } }
         partitionedCluster.run(60.0)
         assertTrue(
@@ -185,12 +185,12 @@
     fun `a job that fits nowhere else is placed on the hot machine in time`() {
         val cluster = clusterWithBalance(7, BalanceSettings(relieveHot = false))
         val (slowMachines, jobs) = cluster.startWithSlowMachines(slowness = 1.5, slowCount = 1)
-        val other = cluster.cloud.names().filter { it !in slowMachines }
+        val other = cluster.cloud.machineIds().filter { it !in slowMachines }
         // All other machines are full for a long time.
         val full = cluster.submitAll((200 until 230).map { cluster.checkpointingJob(it, 12, runSeconds = 200.0) }, 37.0, everySeconds = 0.1)
         cluster.run(320.0)
         assertTrue(other.isNotEmpty())
-        assertEquals(emptyList<String>(), cluster.invariants.broken, cluster.recentLog())
+        assertEquals(emptyList<String>(), cluster.invariants.violations, cluster.recentLog())
         assertTrue(cluster.history.starts.any { it.machine in slowMachines && it.at > 60.0 }, "the hot machine was never used again")
         cluster.run(700.0)
         cluster.assertNoViolations(jobs + full, BalanceSettings())
--- a/src/test/kotlin/burlridge/balance/MoveTest.kt
+++ b/src/test/kotlin/burlridge/balance/MoveTest.kt
@@ -34,7 +34,7 @@
             Fault.KILLED -> crash(name, 4.0)
             Fault.FROZEN -> freeze(name, 9.0)
             Fault.CUT_OFF -> listOf("state").plus(members.filter { it != name }).forEach { cut(name, it, 12.0) }
-            Fault.REFUSED -> refuse(name, 8.0)
+            Fault.REFUSED -> refuseStateRequests(name, 8.0)
             else -> Unit
         }
     }
@@ -54,9 +54,9 @@
             val isHit = cluster.clock.now > 40.0 && step.matches(call) && affectedMembers.size < 2 && affectedMembers.add(name)
             if (isHit) cluster.clock.after(if (before) 0.0 else 0.004) { cluster.injectFault(name, fault) }
             when {
-                isHit && fault == Fault.ANSWER_LOST -> SimulatedCluster.CallFate.ANSWER_LOST
-                isHit && fault == Fault.LATE -> SimulatedCluster.CallFate.LATE
-                else -> SimulatedCluster.CallFate.FINE
+                isHit && fault == Fault.ANSWER_LOST -> SimulatedCluster.CallFault.ANSWER_LOST
+                isHit && fault == Fault.LATE -> SimulatedCluster.CallFault.DELAYED
+                else -> SimulatedCluster.CallFault.NONE
             }
         }
         return { affectedMembers.size }
@@ -125,7 +125,7 @@
         cluster.run(300.0)
         cluster.assertNoViolations(waitingJobs + moved)
         val longest =
-            cluster.history.ran
+            cluster.history.taskRuns
                 .filter { it.task.startsWith(moved.id) }
                 .maxOf { it.until }
         assertTrue(longest < 20.0 + 60.0 + 20.0, "a task ended only at $longest: its progress was lost")
@@ -143,9 +143,9 @@
                 if (Step.STOP.matches(call) &&
                     stopCount++ % 2 == 0
                 ) {
-                    SimulatedCluster.CallFate.ANSWER_LOST
+                    SimulatedCluster.CallFault.ANSWER_LOST
                 } else {
-                    SimulatedCluster.CallFate.FINE
+                    SimulatedCluster.CallFault.NONE
                 }
             }
         cluster.run(220.0)
@@ -170,12 +170,12 @@
                         """{"machine":"$target","force":true}""",
                     ) { _, _ -> }
                 }
-                targets.drop(2).take(2).forEach { cluster.cloud.take(it) }
+                targets.drop(2).take(2).forEach { cluster.cloud.reclaim(it) }
                 cluster.cloud
-                    .names()
+                    .machineIds()
                     .filter { cluster.cloud.worker(it)?.zone == "a" }
                     .take(3)
-                    .forEach { cluster.cloud.take(it) }
+                    .forEach { cluster.cloud.reclaim(it) }
                 cluster.leader()?.let { cluster.crash(it, 5.0) }
             }
             cluster.run(240.0)
@@ -188,7 +188,7 @@
     @Test
     fun `heartbeats of the source that arrive a lease late change nothing`() {
         val cluster = clusterWithBalance(3)
-        cluster.copyAfter = { if (cluster.clock.now in 38.0..60.0) 2.0 + cluster.random.nextDouble() * 30 else null }
+        cluster.duplicateReportAfter = { if (cluster.clock.now in 38.0..60.0) 2.0 + cluster.random.nextDouble() * 30 else null }
         val jobs = cluster.submitAll((0 until 8).map { cluster.checkpointingJob(it, 4) }, 20.0)
         cluster.clock.after(40.0) { cluster.drainZone("a") }
         cluster.clock.after(44.0) { cluster.leader()?.let { cluster.freeze(it, 10.0) } }
@@ -205,7 +205,12 @@
     /** Guards the charging of moves in the rows of earlier leaders: a new leader may use only what is left of the budget. */
     @Test
     fun `move budgets hold across leaders, and the permission of a job class is respected`() {
-        val settings = EAGER_MOVES.copy(movesPerMinute = 6, movesPerTask = 1, classMovePermissions = mapOf("urgent" to MovePermission.SAVED))
+        val settings =
+            EAGER_MOVES.copy(
+                movesPerMinute = 6,
+                movesPerTask = 1,
+                classMovePermissions = mapOf("urgent" to MovePermission.SAVED),
+            )
         val cluster = clusterWithBalance(4, settings)
         val jobs = cluster.submitAll((0 until 10).map { cluster.checkpointingJob(it, 4, runSeconds = 100.0) }, 20.0)
         val jobsWithoutCheckpoints =
@@ -264,7 +269,7 @@
             repeat(8) { turn ->
                 cluster.clock.after(40.0 + turn * 0.2) {
                     cluster.cloud
-                        .names()
+                        .machineIds()
                         .mapNotNull { cluster.cloud.worker(it) }
                         .filter { it.zone == "b" }
                         .random(cluster.random)
--- a/src/test/kotlin/burlridge/balance/OperatorActions.kt
+++ b/src/test/kotlin/burlridge/balance/OperatorActions.kt
@@ -31,7 +31,7 @@
     failover: Boolean = false,
     types: Map<String, MachineTypeSpec> = mapOf("small" to MachineTypeSpec(4.0, 16.0, 6), "big" to MachineTypeSpec(16.0, 64.0, 3)),
     operatorOf: (String) -> OperatorSettings = { operatorSettingsWithBalance(settings, failover) },
-) = SimulatedCluster(seed, members = (0 until members).map { "drover-$it" }, types = types, guaranteed = 0.0, operatorOf = operatorOf)
+) = SimulatedCluster(seed, members = (0 until members).map { "drover-$it" }, types = types, guaranteedCpus = 0.0, operatorOf = operatorOf)
 
 /** Creates a job whose tasks save their progress when they are stopped. */
 internal fun SimulatedCluster.checkpointingJob(
@@ -59,11 +59,11 @@
 internal fun SimulatedCluster.drainZone(
     zone: String,
     member: () -> String = ::anyMember,
-    onAccepted: (ExecutionHistory.Drained) -> Unit = {},
+    onAccepted: (ExecutionHistory.AcceptedDrain) -> Unit = {},
 ) {
     sendRequest(member(), "POST", MachineRequests.DRAIN, """{"zone":"$zone","force":true,"asked_ms":${nowMillis()}}""") { status, _ ->
         if (status == 200) {
-            history.drained += ExecutionHistory.Drained({ zoneOf[it] == zone }, clock.now).also(onAccepted)
+            history.acceptedDrains += ExecutionHistory.AcceptedDrain({ zoneOf[it] == zone }, clock.now).also(onAccepted)
         } else {
             clock.after(1.0) { drainZone(zone, member, onAccepted) }
         }
@@ -72,7 +72,7 @@
 
 /** Expects from now on that nothing starts on [machine]. */
 internal fun SimulatedCluster.expectDrained(machine: String) {
-    history.drained += ExecutionHistory.Drained({ it == machine }, clock.now)
+    history.acceptedDrains += ExecutionHistory.AcceptedDrain({ it == machine }, clock.now)
 }
 
 internal fun SimulatedCluster.undrainZone(
@@ -81,7 +81,7 @@
     onAccepted: () -> Unit = {},
 ) {
     // The cancellation may take effect at any time after the request was sent.
-    history.drained.forEach { it.until = minOf(it.until, clock.now) }
+    history.acceptedDrains.forEach { it.until = minOf(it.until, clock.now) }
     sendRequest(member(), "POST", MachineRequests.UNDRAIN, """{"zone":"$zone","asked_ms":${nowMillis()}}""") { status, _ ->
         if (status == 200) onAccepted() else clock.after(1.0) { undrainZone(zone, member, onAccepted) }
     }
@@ -112,11 +112,11 @@
     jobs: List<JobSpec>,
     settings: BalanceSettings = EAGER_MOVES,
 ) {
-    assertEquals(emptyList<String>(), invariants.broken, recentLog())
+    assertEquals(emptyList<String>(), invariants.violations, recentLog())
     assertEquals(emptyList<String>(), simultaneousLeaders, recentLog())
-    assertEquals(emptyList<String>(), history.breaches(jobs.map { it.id }), recentLog())
-    assertEquals(emptyList<String>(), history.drainBreaches(SLACK_SECONDS), recentLog())
-    assertEquals(emptyList<String>(), history.moveBreaches(settings.movesPerMinute, settings.movesPerTask), recentLog())
+    assertEquals(emptyList<String>(), history.violations(jobs.map { it.id }), recentLog())
+    assertEquals(emptyList<String>(), history.drainViolations(SLACK_SECONDS), recentLog())
+    assertEquals(emptyList<String>(), history.moveViolations(settings.movesPerMinute, settings.movesPerTask), recentLog())
 }
 
 /** A start command sent before the drain takes effect after its image is fetched, at most two seconds, plus the time of the response. */
--- a/src/test/kotlin/burlridge/loopback/BalanceLoopbackTest.kt
+++ b/src/test/kotlin/burlridge/loopback/BalanceLoopbackTest.kt
@@ -34,7 +34,9 @@
             await("jobs are running") { cluster.onLoop { recentlyUsedMachines(cluster).size == DRAINED_MACHINE_COUNT }.takeIf { it } }
             val drainedMachines = cluster.onLoop { recentlyUsedMachines(cluster) }
             cluster.onLoop { drainedMachines.forEach { drain(cluster, it) } }
-            await("the drains are accepted") { cluster.onLoop { cluster.history.drained.size == drainedMachines.size }.takeIf { it } }
+            await(
+                "the drains are accepted",
+            ) { cluster.onLoop { cluster.history.acceptedDrains.size == drainedMachines.size }.takeIf { it } }
             // The tasks run for long enough that some are left to be moved even if the test host is slow.
             await("the first move") { cluster.onLoop { cluster.history.stops.isNotEmpty() }.takeIf { it } }
             val firstLeader = leaderOf(cluster)
@@ -45,15 +47,15 @@
             await("a leader after the freeze") { leaderOrNull(cluster)?.takeIf { it != secondLeader } }
             await(
                 "the drained machines are returned",
-            ) { cluster.onLoop { cluster.cloud.names().none { it in drainedMachines } }.takeIf { it } }
+            ) { cluster.onLoop { cluster.cloud.machineIds().none { it in drainedMachines } }.takeIf { it } }
             cluster.process(secondLeader).resume()
             await("all jobs have ended") { cluster.onLoop { cluster.unfinished.isEmpty() && cluster.jobs.size == JOB_COUNT }.takeIf { it } }
             await("all controllers answer") { cluster.controllers.all { it.isUp }.takeIf { it } }
             cluster.onLoop { cluster.queryAllControllers() }
             val breaches =
                 cluster.onLoop {
-                    cluster.invariants.broken + cluster.history.breaches(cluster.jobs) +
-                        cluster.history.drainBreaches(SLACK_SECONDS)
+                    cluster.invariants.violations + cluster.history.violations(cluster.jobs) +
+                        cluster.history.drainViolations(SLACK_SECONDS)
                 }
             assertEquals(emptyList<String>(), breaches)
         }
@@ -87,7 +89,7 @@
             RESPONSE_TIMEOUT_SECONDS,
         ) { status, _ ->
             if (status == OK) {
-                cluster.history.drained += ExecutionHistory.Drained({ it == machine }, cluster.clock.now)
+                cluster.history.acceptedDrains += ExecutionHistory.AcceptedDrain({ it == machine }, cluster.clock.now)
             } else {
                 cluster.clock.after(0.5) { drain(cluster, machine) }
             }
--- a/src/test/kotlin/burlridge/simulation/AnswersTest.kt
+++ b/src/test/kotlin/burlridge/simulation/AnswersTest.kt
@@ -1,6 +1,6 @@
 package burlridge.simulation
 
-import burlridge.simulation.SimulatedCluster.CallFate
+import burlridge.simulation.SimulatedCluster.CallFault
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Assertions.assertTrue
 import org.junit.jupiter.api.Test
@@ -13,7 +13,7 @@
     private val cluster = SimulatedCluster(17)
 
     private fun assertFinishedWithoutViolations(vararg jobIds: String) {
-        assertEquals(emptyList<String>(), cluster.invariants.broken, cluster.log.takeLast(30).joinToString("\n"))
+        assertEquals(emptyList<String>(), cluster.invariants.violations, cluster.log.takeLast(30).joinToString("\n"))
         assertEquals(emptyList<String>(), jobIds.filterNot { cluster.invariants.finished(it) }, "not finished")
     }
 
@@ -28,15 +28,15 @@
         cluster.onCall = { _, call ->
             val isFinish = call.path == "/multi" && "\"over/" in call.body.orEmpty() && "\"$state\"" in call.body.orEmpty()
             if (!isFinish || lostAnswers > 0) {
-                CallFate.FINE
+                CallFault.NONE
             } else {
                 lostAnswers++
                 val leader = cluster.leader()
                 cluster.members.forEach { if (it != leader && leader != null) cluster.cut(it, leader, cutSeconds) }
                 // Queries each member repeatedly: those cut off answer from the rows, the leader from its own state.
-                repeat(40) { i -> cluster.members.forEach { m -> cluster.clock.after(0.05 * i) { cluster.look(job, m) } } }
+                repeat(40) { i -> cluster.members.forEach { m -> cluster.clock.after(0.05 * i) { cluster.queryJob(job, m) } } }
                 repeat(5) { i -> cluster.members.forEach { m -> cluster.clock.after(0.3 * i) { cluster.submitOnce(job, m) } } }
-                CallFate.ANSWER_LOST
+                CallFault.ANSWER_LOST
             }
         }
     }
@@ -80,11 +80,12 @@
 
     @Test
     fun `answers of all members are consistent while answers of the state service are lost and leaders change`() {
-        cluster.closeLooks = true
-        cluster.onCall = { _, call -> if (call.path == "/multi" && cluster.random.nextInt(4) == 0) CallFate.ANSWER_LOST else CallFate.FINE }
+        cluster.queryAllMembersOnChange = true
+        cluster.onCall =
+            { _, call -> if (call.path == "/multi" && cluster.random.nextInt(4) == 0) CallFault.ANSWER_LOST else CallFault.NONE }
         val jobs = submitJobs(1.0, 70)
         repeat(6) { i -> cluster.clock.after(30.0 + 10 * i) { cluster.leader()?.let { cluster.crash(it, 0.3) } } }
-        cluster.clock.after(110.0) { cluster.onCall = { _, _ -> CallFate.FINE } }
+        cluster.clock.after(110.0) { cluster.onCall = { _, _ -> CallFault.NONE } }
         cluster.run(200.0)
         assertFinishedWithoutViolations(*jobs.toTypedArray())
     }
@@ -95,19 +96,19 @@
      */
     @Test
     fun `answers of all members are consistent while transactions are executed late, after newer ones`() {
-        cluster.closeLooks = true
+        cluster.queryAllMembersOnChange = true
         cluster.lateSeconds = 12.0
-        cluster.onCall = { _, call -> if (call.path == "/multi" && cluster.random.nextInt(5) == 0) CallFate.LATE else CallFate.FINE }
+        cluster.onCall = { _, call -> if (call.path == "/multi" && cluster.random.nextInt(5) == 0) CallFault.DELAYED else CallFault.NONE }
         val jobs = submitJobs(1.0, 60)
         repeat(3) { i -> cluster.clock.after(35.0 + 17 * i) { cluster.leader()?.let { cluster.crash(it, 1.0) } } }
-        cluster.clock.after(110.0) { cluster.onCall = { _, _ -> CallFate.FINE } }
+        cluster.clock.after(110.0) { cluster.onCall = { _, _ -> CallFault.NONE } }
         cluster.run(220.0)
         assertFinishedWithoutViolations(*jobs.toTypedArray())
     }
 
     @Test
     fun `answers are consistent when cancellations, queries and repeated submissions coincide with the end of a job`() {
-        cluster.closeLooks = true
+        cluster.queryAllMembersOnChange = true
         val jobs =
             (0 until 40).map { i ->
                 val spec = cluster.job(i, 1, runSeconds = 3.0)
@@ -120,7 +121,7 @@
 
     @Test
     fun `answers are consistent when a job is cancelled right after its acceptance and its submission is repeated`() {
-        cluster.closeLooks = true
+        cluster.queryAllMembersOnChange = true
         val jobs =
             (0 until 30).map { i ->
                 val spec = cluster.job(i, 2, runSeconds = 10.0)
@@ -138,13 +139,13 @@
      */
     @Test
     fun `a member that restarts at once ignores responses to requests of its previous process`() {
-        cluster.peerSeconds = { if (cluster.random.nextInt(3) == 0) 0.4 else 0.001 }
+        cluster.peerDelaySeconds = { if (cluster.random.nextInt(3) == 0) 0.4 else 0.001 }
         val jobs = submitJobs(0.5, 80)
         repeat(150) { i ->
             cluster.clock.after(22.0 + 0.31 * i) {
                 val member = cluster.members.first { it != cluster.leader() }
                 cluster.crash(member, 0.05)
-                jobs.forEach { id -> cluster.clock.after(0.1) { cluster.lookAt(id, member) } }
+                jobs.forEach { id -> cluster.clock.after(0.1) { cluster.queryJobById(id, member) } }
             }
         }
         cluster.run(150.0)
--- a/src/test/kotlin/burlridge/simulation/FailureTest.kt
+++ b/src/test/kotlin/burlridge/simulation/FailureTest.kt
@@ -1,6 +1,6 @@
 package burlridge.simulation
 
-import burlridge.simulation.SimulatedCluster.CallFate
+import burlridge.simulation.SimulatedCluster.CallFault
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Assertions.assertTrue
 import org.junit.jupiter.api.Test
@@ -14,7 +14,7 @@
      * or 1.
      */
     private fun applyOnce(
-        fate: CallFate,
+        fate: CallFault,
         matches: (String, String) -> Boolean,
     ): () -> Int {
         var affectedCalls = 0
@@ -23,14 +23,14 @@
                 affectedCalls++
                 fate
             } else {
-                CallFate.FINE
+                CallFault.NONE
             }
         }
         return { affectedCalls }
     }
 
     private fun assertFinishedWithoutViolations(vararg jobIds: String) {
-        assertEquals(emptyList<String>(), cluster.invariants.broken)
+        assertEquals(emptyList<String>(), cluster.invariants.violations)
         assertEquals(emptyList<String>(), jobIds.filterNot { cluster.invariants.finished(it) }, "not finished")
     }
 
@@ -42,7 +42,7 @@
 
     @Test
     fun `no task starts twice when a start command is executed but its answer is lost`() {
-        val affectedCalls = applyOnce(CallFate.ANSWER_LOST) { path, body -> path == "/do" && "run" in body }
+        val affectedCalls = applyOnce(CallFault.ANSWER_LOST) { path, body -> path == "/do" && "run" in body }
         runThreeTasks()
         assertEquals(1, affectedCalls())
         assertEquals(3, cluster.invariants.starts)
@@ -50,7 +50,7 @@
 
     @Test
     fun `a start command that arrives late is not executed`() {
-        val affectedCalls = applyOnce(CallFate.LATE) { path, body -> path == "/do" && "run" in body }
+        val affectedCalls = applyOnce(CallFault.DELAYED) { path, body -> path == "/do" && "run" in body }
         runThreeTasks()
         assertEquals(1, affectedCalls())
         assertEquals(3, cluster.invariants.starts)
@@ -58,7 +58,7 @@
 
     @Test
     fun `an allocation batch whose answer is lost is recognized as the leader's own`() {
-        val affectedCalls = applyOnce(CallFate.ANSWER_LOST) { path, body -> path == "/multi" && "round/" in body }
+        val affectedCalls = applyOnce(CallFault.ANSWER_LOST) { path, body -> path == "/multi" && "round/" in body }
         runThreeTasks()
         assertEquals(1, affectedCalls())
         assertEquals(3, cluster.invariants.starts)
@@ -66,7 +66,7 @@
 
     @Test
     fun `an allocation batch that is applied late changes nothing`() {
-        val affectedCalls = applyOnce(CallFate.LATE) { path, body -> path == "/multi" && "round/" in body }
+        val affectedCalls = applyOnce(CallFault.DELAYED) { path, body -> path == "/multi" && "round/" in body }
         runThreeTasks()
         assertEquals(1, affectedCalls())
         assertEquals(3, cluster.invariants.starts)
@@ -74,21 +74,21 @@
 
     @Test
     fun `machines of a rental that is executed late are used or returned`() {
-        val affectedCalls = applyOnce(CallFate.LATE) { path, _ -> path == "/rentals" }
+        val affectedCalls = applyOnce(CallFault.DELAYED) { path, _ -> path == "/rentals" }
         runThreeTasks(240.0)
         assertEquals(1, affectedCalls())
     }
 
     @Test
     fun `a leader whose machines do not boot does not rent again before they are overdue`() {
-        cluster.cloud.silentBoots = true
+        cluster.cloud.bootsFail = true
         cluster.clock.after(5.0) { cluster.submit(cluster.job(1, 3)) }
         cluster.run(25.0)
         assertTrue(
-            cluster.cloud.requests.size <= 2,
-            "rented again before a failed boot could be distinguished from a lagging list: ${cluster.cloud.requests}",
+            cluster.cloud.rentalRequests.size <= 2,
+            "rented again before a failed boot could be distinguished from a lagging list: ${cluster.cloud.rentalRequests}",
         )
-        cluster.cloud.silentBoots = false
+        cluster.cloud.bootsFail = false
         cluster.run(240.0)
         assertFinishedWithoutViolations("j-000001")
     }
@@ -148,7 +148,7 @@
         cluster.clock.after(5.0) { cluster.submit(cluster.job(1, 3, runSeconds = 60.0)) }
         cluster.clock.after(30.0) {
             val leader = cluster.leader() ?: return@after
-            cluster.cloud.names().forEach { cluster.cut(it, leader, 50.0) }
+            cluster.cloud.machineIds().forEach { cluster.cut(it, leader, 50.0) }
         }
         cluster.run(200.0)
         assertFinishedWithoutViolations("j-000001")
@@ -161,13 +161,13 @@
      */
     @Test
     fun `workers of a partitioned zone are relayed once the leader misses them, and reach it directly afterwards`() {
-        val largeCluster = SimulatedCluster(8, types = mapOf("small" to MachineTypeSpec(4.0, 16.0, 20)), guaranteed = 0.0)
+        val largeCluster = SimulatedCluster(8, types = mapOf("small" to MachineTypeSpec(4.0, 16.0, 20)), guaranteedCpus = 0.0)
         var relayed = 0
         largeCluster.clock.after(40.0) {
             val leader = largeCluster.leader() ?: return@after
-            val partitionedMachines = largeCluster.cloud.names().filter { largeCluster.cloud.worker(it)?.zone == "b" }
+            val partitionedMachines = largeCluster.cloud.machineIds().filter { largeCluster.cloud.worker(it)?.zone == "b" }
             partitionedMachines.forEach { largeCluster.cut(it, leader, 30.0) }
-            largeCluster.onAsk = { path ->
+            largeCluster.onForwardedRequest = { path ->
                 if (path == "/agent/beat" && relayed++ == 0) largeCluster.log += "%8.3f first relayed".format(largeCluster.clock.now)
             }
         }
@@ -193,7 +193,7 @@
         cluster.clock.after(5.0) { cluster.submit(cluster.job(1, 8, runSeconds = 60.0)) }
         cluster.clock.after(40.0) {
             cluster.cloud
-                .names()
+                .machineIds()
                 .take(2)
                 .forEach { cluster.cloud.worker(it)?.kill() }
         }
@@ -219,9 +219,9 @@
         cluster.clock.after(40.0) {
             cluster.leader()?.let { cluster.cut(it, "cloud", 60.0) }
             cluster.cloud
-                .names()
+                .machineIds()
                 .take(3)
-                .forEach { cluster.cloud.take(it) }
+                .forEach { cluster.cloud.reclaim(it) }
         }
         cluster.clock.after(48.0) { cluster.leader()?.let { cluster.crash(it, 5.0) } }
         cluster.run(200.0)
@@ -244,7 +244,7 @@
         cluster.clock.after(35.0) {
             val neverLeader = cluster.members.first { it != cluster.leader() }
             (cluster.members + "state").forEach { if (it != neverLeader) cluster.cut(neverLeader, it, 100.0) }
-            val partitionedMachines = cluster.cloud.names().filter { cluster.cloud.worker(it)?.zone == "b" }
+            val partitionedMachines = cluster.cloud.machineIds().filter { cluster.cloud.worker(it)?.zone == "b" }
             partitionedMachines.forEach { machine -> cluster.members.forEach { cluster.cut(machine, it, 100.0) } }
         }
         cluster.clock.after(40.0) { cluster.leader()?.let { cluster.crash(it, 3.0) } }
@@ -266,7 +266,7 @@
         val largeCluster = SimulatedCluster(9, types = mapOf("small" to MachineTypeSpec(4.0, 16.0, 150)))
         largeCluster.clock.after(20.0) { largeCluster.submit(largeCluster.job(1, 250, cpus = 4.0, runSeconds = 20.0)) }
         largeCluster.run(23.0)
-        assertTrue(largeCluster.cloud.names().size >= 250, "${largeCluster.cloud.names().size} machines after three seconds")
+        assertTrue(largeCluster.cloud.machineIds().size >= 250, "${largeCluster.cloud.machineIds().size} machines after three seconds")
     }
 
     /** Guards the headroom of a job class: it was paid for long after the last job of the class. */
@@ -274,10 +274,10 @@
     fun `headroom is kept while jobs of a class arrive, and returned when they stop`() {
         repeat(20) { i -> cluster.clock.after(5.0 + 3 * i) { cluster.submit(cluster.job(i, 3, runSeconds = 4.0)) } }
         cluster.run(62.0)
-        assertTrue(cluster.cloud.names().isNotEmpty())
+        assertTrue(cluster.cloud.machineIds().isNotEmpty())
         cluster.run(230.0)
         assertFinishedWithoutViolations("j-000000", "j-000019")
-        assertEquals(emptyList<String>(), cluster.cloud.names())
+        assertEquals(emptyList<String>(), cluster.cloud.machineIds())
     }
 
     /** Guards the comparison of run times: without it the job waits for the tasks on slow machines. */
@@ -286,7 +286,7 @@
         cluster.clock.after(5.0) { cluster.submit(cluster.job(1, 2, runSeconds = 2.0)) }
         cluster.clock.after(30.0) {
             cluster.cloud
-                .names()
+                .machineIds()
                 .take(1)
                 .forEach { cluster.cloud.worker(it)?.slowness = 20.0 }
         }
--- a/src/test/kotlin/burlridge/simulation/OverlappingFailuresTest.kt
+++ b/src/test/kotlin/burlridge/simulation/OverlappingFailuresTest.kt
@@ -1,6 +1,6 @@
 package burlridge.simulation
 
-import burlridge.simulation.SimulatedCluster.CallFate
+import burlridge.simulation.SimulatedCluster.CallFault
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Assertions.assertTrue
 import org.junit.jupiter.api.Test
@@ -17,21 +17,21 @@
         for (seed in seeds) {
             val cluster = newCluster(seed)
             val jobs = cluster.scenario()
-            cluster.sendWrongOnes(until - 20.0)
-            cluster.at(until - WATCHED_SECONDS) { cluster.watchWaiting() }
+            cluster.sendInvalidSubmissions(until - 20.0)
+            cluster.at(until - WATCHED_SECONDS) { cluster.checkWaitingJobsPeriodically() }
             // The failures have ended long before: every member is queried about every job, and at least one answers for each.
             jobs.forEachIndexed { i, id ->
                 cluster.members.forEachIndexed {
                     m,
                     member,
                     ->
-                    cluster.at(until - QUERIED_SECONDS + m * 5.0 + i * 0.01) { cluster.lookAt(id, member) }
+                    cluster.at(until - QUERIED_SECONDS + m * 5.0 + i * 0.01) { cluster.queryJobById(id, member) }
                 }
             }
             cluster.run(until)
             assertEquals(emptyList<String>(), cluster.invariants.unanswered(until - QUERIED_SECONDS).filter { it in jobs }, "unanswered")
             val tail = "seed $seed\n" + cluster.log.takeLast(40).joinToString("\n")
-            assertEquals(emptyList<String>(), cluster.invariants.broken, tail)
+            assertEquals(emptyList<String>(), cluster.invariants.violations, tail)
             assertEquals(emptyList<String>(), jobs.filterNot { cluster.invariants.finished(it) }, "not finished, $tail")
             assertTrue(cluster.invariants.starts > 0, "nothing ran")
         }
@@ -42,7 +42,7 @@
         action: () -> Unit,
     ) = clock.after(seconds, action)
 
-    private fun SimulatedCluster.machines(): List<String> = cloud.names()
+    private fun SimulatedCluster.machines(): List<String> = cloud.machineIds()
 
     private fun SimulatedCluster.crashLeader(restartAfterSeconds: Double) {
         leader()?.let { crash(it, restartAfterSeconds) }
@@ -73,7 +73,7 @@
                 members.forEach { if (it != oldLeader) cut(oldLeader, it, 60.0) }
                 jobs.forEachIndexed { i, spec ->
                     at(4.0 + i * 0.3) { abort(spec, members.first { it != oldLeader }) }
-                    repeat(30) { at(4.0 + it * 0.5) { look(spec, oldLeader) } }
+                    repeat(30) { at(4.0 + it * 0.5) { queryJob(spec, oldLeader) } }
                 }
             }
             jobs.map { it.id }
@@ -96,7 +96,7 @@
     @Test
     fun `jobs finish when leaders change in quick succession, and then all members crash and one restarts within a second`() =
         runWithSeeds(1..5) {
-            closeLooks = true
+            queryAllMembersOnChange = true
             val jobs = submitJobsOfBothTeams(14, 15.0, cancelAt = 40.0)
             repeat(6) { i -> at(30.0 + 6 * i) { crashLeader(0.15) } }
             at(70.0) { members.forEachIndexed { i, member -> crash(member, if (i == 0) 0.4 else 7.0) } }
@@ -123,11 +123,11 @@
         runWithSeeds(1..8) {
             cloud.bootSeconds = { 0.2 + random.nextDouble() * 1.8 }
             lateSeconds = 12.0
-            onCall = { _, call -> if (call.path == "/multi" && random.nextInt(4) == 0) CallFate.LATE else CallFate.FINE }
+            onCall = { _, call -> if (call.path == "/multi" && random.nextInt(4) == 0) CallFault.DELAYED else CallFault.NONE }
             val jobs = (0 until 10).map { job(it, 4, cpus = 4.0, runSeconds = 20.0) }
             jobs.forEachIndexed { i, spec -> at(5.0 + 6 * i) { submit(spec) } }
             repeat(8) { i -> at(7.5 + 6 * i + random.nextDouble() * 2) { crashLeader(0.5) } }
-            at(90.0) { onCall = { _, _ -> CallFate.FINE } }
+            at(90.0) { onCall = { _, _ -> CallFault.NONE } }
             jobs.map { it.id }
         }
 
@@ -148,7 +148,7 @@
             jobs.forEach { at(5.0) { submit(it) } }
             at(50.0) {
                 machines().forEachIndexed { i, machine ->
-                    if (i % 3 == 0) deafen(machine, 20.0)
+                    if (i % 3 == 0) blockTrafficTo(machine, 20.0)
                     if (i % 3 == 1) members.forEach { cut(machine, it, 22.0) }
                 }
                 crashLeader(3.0)
@@ -171,7 +171,7 @@
                         if ((m + i) % 2 ==
                             0
                         ) {
-                            mute(name, 28.0 + random.nextDouble() * 30)
+                            blockTrafficFrom(name, 28.0 + random.nextDouble() * 30)
                         }
                     }
                 }
@@ -184,7 +184,7 @@
         runWithSeeds(1..8) {
             val jobs = submitJobsOfBothTeams(12, 14.0, cancelAt = 44.0)
             repeat(5) { i ->
-                at(20.0 + 16 * i) { keepReportsForNextLeader(8.0) }
+                at(20.0 + 16 * i) { replayReportsToNextLeader(8.0) }
                 // Since those heartbeats, tasks have ended, started and been removed, and agent epochs have ended.
                 at(24.0 + 16 * i) { machines().filterIndexed { m, _ -> m % 4 == i % 4 }.forEach { cloud.worker(it)?.restart() } }
                 at(29.0 + 16 * i) { crashLeader(1.0) }
@@ -195,17 +195,17 @@
     @Test
     fun `jobs finish when late copies of heartbeats arrive after the next leader has acted`() =
         runWithSeeds(1..6) {
-            copyAfter = { if (random.nextInt(3) == 0) 4.0 + random.nextDouble() * 40 else null }
+            duplicateReportAfter = { if (random.nextInt(3) == 0) 4.0 + random.nextDouble() * 40 else null }
             val jobs = submitJobsOfBothTeams(12, 12.0, cancelAt = 38.0)
             repeat(6) { i -> at(22.0 + 13 * i) { crashLeader(0.5 + i % 3) } }
-            at(120.0) { copyAfter = { null } }
+            at(120.0) { duplicateReportAfter = { null } }
             jobs
         }
 
     @Test
     fun `urgent and bulk jobs beyond the capacity finish over slow links`() =
         runWithSeeds(1..3, until = 420.0) {
-            peerSeconds = { 0.05 + random.nextDouble() * 0.4 }
+            peerDelaySeconds = { 0.05 + random.nextDouble() * 0.4 }
             val jobs =
                 (0 until 40).map { i ->
                     val spec = job(i, 10, cpus = 4.0, runSeconds = 12.0, jobClass = if (i % 2 == 0) "urgent" else "bulk")
@@ -225,7 +225,7 @@
                     spec.id
                 }
             repeat(5) { i ->
-                at(32.0 + 9 * i) { machines().filter { cloud.worker(it)?.zone == zones[i % 2] }.take(3).forEach { cloud.take(it) } }
+                at(32.0 + 9 * i) { machines().filter { cloud.worker(it)?.zone == zones[i % 2] }.take(3).forEach { cloud.reclaim(it) } }
             }
             at(50.0) { crashLeader(2.0) }
             jobs
@@ -263,9 +263,9 @@
                     if (call.path == "/do" &&
                         random.nextInt(4) == 0
                     ) {
-                        listOf(CallFate.LATE, CallFate.ANSWER_LOST).random(random)
+                        listOf(CallFault.DELAYED, CallFault.ANSWER_LOST).random(random)
                     } else {
-                        CallFate.FINE
+                        CallFault.NONE
                     }
                 }
             val jobs = submitJobsOfBothTeams(12, 14.0, cancelAt = 40.0)
@@ -277,7 +277,7 @@
                 }
             }
             at(60.0) { crashLeader(1.0) }
-            at(110.0) { onCall = { _, _ -> CallFate.FINE } }
+            at(110.0) { onCall = { _, _ -> CallFault.NONE } }
             jobs
         }
 
@@ -301,7 +301,7 @@
         runWithSeeds(1..10) {
             val jobs = submitJobsOfBothTeams(10, 30.0)
             at(50.0) {
-                machines().filterIndexed { m, _ -> m % 2 == 0 }.forEach { deafen(it, 20.0) }
+                machines().filterIndexed { m, _ -> m % 2 == 0 }.forEach { blockTrafficTo(it, 20.0) }
                 crashLeader(4.0)
             }
             jobs.indices.filter { it % 2 == 0 }.forEach { i -> at(52.0 + i) { abort(job(i, 6)) } }
--- a/src/test/kotlin/burlridge/simulation/SubmissionTest.kt
+++ b/src/test/kotlin/burlridge/simulation/SubmissionTest.kt
@@ -27,7 +27,7 @@
         return statuses
     }
 
-    private fun newCluster() = SimulatedCluster(41, next = """{"value_kb":2,"txn_ops":4}""")
+    private fun newCluster() = SimulatedCluster(41, nextStateLimits = """{"value_kb":2,"txn_ops":4}""")
 
     @Test
     fun `a gang that needs more than its team's limit is refused, an array of the same size is accepted`() {
@@ -50,6 +50,6 @@
 
     @Test
     fun `gangs are refused by a deployment that does not support them`() {
-        assertEquals(setOf(400), SimulatedCluster(42, old = true).submissionStatuses(newCluster().gang(1, 2)))
+        assertEquals(setOf(400), SimulatedCluster(42, startsOnOldVersion = true).submissionStatuses(newCluster().gang(1, 2)))
     }
 }
