--- a/src/main/kotlin/burlridge/api/JobQuery.kt
+++ b/src/main/kotlin/burlridge/api/JobQuery.kt
@@ -9,7 +9,7 @@
 import burlridge.leadership.Leadership
 import burlridge.peer.PeerRequests
 
-/** Serves queries: from memory, by the leader, or from the job's rows. */
+/** Serves queries: from memory if possible, otherwise by forwarding to another member, usually the leader, or from the job's rows. */
 internal class JobQuery(
     private val context: StepContext,
     private val leadership: Leadership,
@@ -19,7 +19,7 @@
     private val rows: StoredJobReader,
     private val responses: JobResponses,
 ) {
-    /** Responds with the state of [id]; a request that [isForwarded] is not forwarded again. */
+    /** Responds with the state of the job [id]; a request that [isForwarded] is not forwarded again. */
     fun query(
         id: String,
         isForwarded: Boolean,
@@ -28,7 +28,7 @@
         if (!JobSpec.isValidId(id)) return respond(responses.notFound())
         lookup.responseToQuery(id)?.let { return respond(it) }
         val target = if (leadership.isLeader) peers.memberReachingStore() else leadership.knownLeader ?: peers.memberReachingStore()
-        val mustReadRows = isForwarded || (lookup.isDeciding && lookup.isEndUncertain(id))
+        val mustReadRows = isForwarded || (lookup.mayDecide && lookup.isEndUncertain(id))
         if (mustReadRows || target == null || target == context.settings.member) return queryRows(id, respond)
         peers.forward(target, "GET", "${JobApi.PATH}/$id", "", FORWARD_TIMEOUT_SECONDS) { response ->
             if (response == null || response.status == HttpStatus.SERVICE_UNAVAILABLE) {
--- a/src/main/kotlin/burlridge/app/BalanceReportFormatter.kt
+++ b/src/main/kotlin/burlridge/app/BalanceReportFormatter.kt
@@ -5,12 +5,12 @@
 
 /** Formats the leader's report about drains and moves for a terminal. */
 internal object BalanceReportFormatter {
-    /** All drains, hot machines and open moves. */
+    /** Formats all drains, hot machines and open moves. */
     fun describe(report: JsonNode): String =
         buildString {
-            val lately = "${report.path("moved_lately").asInt()} of ${report.path("moves_per_minute").asInt()} lately"
+            val recent = "${report.path("moved_lately").asInt()} of ${report.path("moves_per_minute").asInt()} lately"
             appendLine(
-                "machines, as ${report.path("leader").asText()} sees them: ${report.path("open_moves").asInt()} moves under way, $lately",
+                "machines, as ${report.path("leader").asText()} sees them: ${report.path("open_moves").asInt()} moves under way, $recent",
             )
             report.path("drains").forEach { appendLine("  ${drain(it)}") }
             report.path("machines_with_notice").takeIf { it.size() > 0 }?.let { list ->
@@ -23,30 +23,30 @@
             report.path("damaged_rows").forEach { appendLine("  damaged row, left as it is: ${it.asText()}") }
         }.trimEnd()
 
-    /** One drain, in a line. */
+    /** Formats one drain as one line. */
     fun drain(report: JsonNode): String {
         val kind = listOf("machine", "network", "zone").first { report.has(it) }
-        val known = report.has("machines_left")
+        val isKnown = report.has("machines_left")
         val left =
-            if (known) ", ${report.path("machines_left").asInt()} machines and ${report.path("tasks_left").asInt()} tasks left" else ""
-        val waits = report.path("waits_for").properties().joinToString { (reason, count) -> "${count.asInt()} $reason" }
-        val why = if (waits.isEmpty()) "" else ": $waits"
+            if (isKnown) ", ${report.path("machines_left").asInt()} machines and ${report.path("tasks_left").asInt()} tasks left" else ""
+        val waitReasons = report.path("waits_for").properties().joinToString { (reason, count) -> "${count.asInt()} $reason" }
+        val waitText = if (waitReasons.isEmpty()) "" else ": $waitReasons"
         val cause = report.path("cause").asText()
-        return "drain of $kind ${report.path(kind).asText()} ($cause): ${report.path("state").asText()}$left$why"
+        return "drain of $kind ${report.path(kind).asText()} ($cause): ${report.path("state").asText()}$left$waitText"
     }
 
-    /** Decisions about a task or machine, a line each. */
+    /** Formats the decisions about a task or machine, one line each. */
     fun explain(answer: JsonNode): String {
         val decisions = answer.path("decisions").map { "  ${Instant.ofEpochMilli(it.path("at_ms").asLong())} ${it.path("text").asText()}" }
         val since = Instant.ofEpochMilli(answer.path("since_ms").asLong())
         val dropped = answer.path("dropped").asLong().let { if (it > 0) "; $it older decisions are dropped" else "" }
-        val head = "${answer.path("subject").asText()}, as ${answer.path("member").asText()} decided since $since$dropped:"
-        return (listOf(head) + decisions.ifEmpty { listOf("  nothing off the ordinary path") }).joinToString("\n")
+        val heading = "${answer.path("subject").asText()}, as ${answer.path("member").asText()} decided since $since$dropped:"
+        return (listOf(heading) + decisions.ifEmpty { listOf("  nothing off the ordinary path") }).joinToString("\n")
     }
 
     private fun move(move: JsonNode): String {
-        val to = move.path("to").takeIf { it.isTextual }?.asText() ?: "wherever there is room"
+        val target = move.path("to").takeIf { it.isTextual }?.asText() ?: "wherever there is room"
         return "move ${move.path("time").asInt()} of ${move.path("task").asText()} run ${move.path("run").asInt()}: " +
-            "${move.path("from").asText()} to $to (${move.path("reason").asText()})"
+            "${move.path("from").asText()} to $target (${move.path("reason").asText()})"
     }
 }
--- a/src/main/kotlin/burlridge/app/SubmissionWatch.kt
+++ b/src/main/kotlin/burlridge/app/SubmissionWatch.kt
@@ -10,15 +10,15 @@
 import burlridge.store.WatchEvent
 import burlridge.store.WatchResult
 
-/** Notices the jobs that other members accept, should their messages be lost, by a watch of the rows of active jobs. */
+/** Detects the jobs that other members accept by watching the rows of active jobs, in case the members' messages are lost. */
 internal class SubmissionWatch(
     private val context: StepContext,
     private val store: StoreClient,
     private val registry: JobRegistry,
     /** Called after rows have changed. */
-    private val onSubmissions: () -> Unit,
+    private val onJobsChanged: () -> Unit,
 ) {
-    /** Changes after this revision have not been seen yet. */
+    /** The last revision whose changes have been processed. */
     private var revision = 0L
 
     /** Watches the changes after [revision] for as long as [isStillLeading]. */
@@ -36,10 +36,10 @@
             if (!isStillLeading()) return@watch
             when (result) {
                 is WatchResult.Changes -> onChanges(result)
-                WatchResult.Compacted -> listAgain(isStillLeading)
+                WatchResult.Compacted -> relist(isStillLeading)
                 is WatchResult.Failed -> Unit
             }
-            context.schedule(PAUSE_SECONDS) { watch(isStillLeading) }
+            context.schedule(WATCH_RESTART_DELAY_SECONDS) { watch(isStillLeading) }
         }
     }
 
@@ -50,11 +50,11 @@
             }
         }
         revision = maxOf(revision, changes.revision)
-        if (changes.hasEvents) onSubmissions()
+        if (changes.hasEvents) onJobsChanged()
     }
 
-    /** The state service no longer keeps the changes since [revision]. */
-    private fun listAgain(isStillLeading: () -> Boolean) {
+    /** Lists all active jobs: the state service has compacted the changes since [revision]. */
+    private fun relist(isStillLeading: () -> Boolean) {
         store.list(ActiveJobRow.KEY_PREFIX, RequestPriority.CLAIM) { listing ->
             if (listing !is ListResult.Listed || !isStillLeading()) return@list
             listing.value.rows.forEach { registry.admit(it) }
@@ -64,6 +64,6 @@
 
     private companion object {
         const val WATCH_SECONDS = 10.0
-        const val PAUSE_SECONDS = 0.5
+        const val WATCH_RESTART_DELAY_SECONDS = 0.5
     }
 }
--- a/src/main/kotlin/burlridge/balance/Balance.kt
+++ b/src/main/kotlin/burlridge/balance/Balance.kt
@@ -12,8 +12,8 @@
 import com.fasterxml.jackson.databind.JsonNode
 
 /**
- * Drains, moves of running tasks, hot machines and slow start, for the member that leads; followers only forward requests. Off unless the
- * operators' settings have a section `[balance]`.
+ * Entry point of drains, moves of running tasks, mitigation of hot machines and slow start. Active on the leader; followers only forward
+ * requests. Used only if the operators' settings have a section `[balance]`.
  */
 internal class Balance(
     private val context: StepContext,
@@ -24,7 +24,7 @@
     private val workers = dependencies.workers
     private val index = DrainIndex()
     private val drains: DrainRegistry = DrainRegistry(context, dependencies.store, dependencies.leadership, ::rebuildIndex)
-    private val decisions = DecisionLog(context, settings.decisions)
+    private val decisions = DecisionLog(context, settings.maxDecisions)
     private val moves =
         MoveExecutor(context, settings, dependencies.store, dependencies.leadership, dependencies.registry, workers, decisions)
     private val eviction =
@@ -40,8 +40,8 @@
         }
     private val cordons = Cordons(index, workers, dependencies.fleet, decisions)
     private val drainSafety = DrainSafety(context.settings, dependencies.registry, workers, dependencies.fleet)
-    private val times = context.settings.workers
-    private val retentionMillis = (times.leaseSeconds * RETENTION_LEASES * MILLIS_PER_SECOND).toLong()
+    private val workerTimes = context.settings.workers
+    private val retentionMillis = (workerTimes.leaseSeconds * RETENTION_LEASES * MILLIS_PER_SECOND).toLong()
     private var nextSweepAt = 0.0
     private var progress: Map<Drain, DrainProgress> = emptyMap()
 
@@ -60,7 +60,7 @@
 
     override fun reservations(): List<CapacityReservation> = moves.reservations()
 
-    override fun isAvoided(machine: Machine): Boolean = machine.id in hotspots.hot
+    override fun isAvoided(machine: Machine): Boolean = machine.id in hotspots.hotMachines
 
     override fun onPlaced(
         taskName: String,
@@ -68,10 +68,10 @@
         reason: PlacementReason,
     ) = decisions.add(Decision.TaskPlaced(taskName, machine, reason))
 
-    /** The decisions of this term about the task or machine [subject], with reasons, as JSON. */
+    /** Returns the decisions of this term about the task or machine [subject], with their reasons, as JSON. */
     fun explain(subject: String): JsonNode = decisions.explain(subject)
 
-    override fun remainingStarts(machine: Machine): Int = slowStart.startsLeft(machine)
+    override fun remainingStarts(machine: Machine): Int = slowStart.remainingStarts(machine)
 
     override fun fetchSeconds(
         machine: Machine,
@@ -85,7 +85,7 @@
         nextSweepAt = 0.0
     }
 
-    /** Forgets everything: a new term begins, or this one has ended. */
+    /** Clears all state; called when a term begins or ends. */
     fun clear() {
         drains.clear()
         moves.clear()
@@ -95,21 +95,21 @@
         cordons.clear()
     }
 
-    /** Loads the rows of earlier leaders, before anything is placed. */
+    /** Loads the rows of earlier leaders; called before the first placement of a term. */
     fun load(listings: Map<String, Listing>) {
         listings[Drain.PREFIX]?.rows?.forEach(drains::load)
         listings[MoveBatch.PREFIX]?.rows?.forEach(moves::load)
     }
 
-    /** Takes covered machines out of service, and puts back those that no drain covers any more; before every scheduling cycle. */
+    /** Cordons machines covered by a drain and uncordons those no longer covered; called before every scheduling cycle. */
     fun applyCordons() {
         if (!drains.isEmpty) cordons.apply()
     }
 
-    /** Advances moves and drains, ten times per heartbeat interval. */
+    /** Advances moves and drains [SWEEPS_PER_HEARTBEAT_INTERVAL] times per heartbeat interval. */
     fun tick() {
         if (context.now < nextSweepAt) return
-        nextSweepAt = context.now + times.reportSeconds / SWEEPS_PER_REPORT
+        nextSweepAt = context.now + workerTimes.reportSeconds / SWEEPS_PER_HEARTBEAT_INTERVAL
         moves.tick()
         hotspots.tick()
         if (moves.openMoves.isNotEmpty()) requestPlacement()
@@ -124,15 +124,18 @@
         when (drain.state) {
             DrainState.REQUESTED -> drains.advance(drain, DrainState.DRAINING)
             DrainState.DRAINING -> if (isEmptied(drain)) drains.advance(drain, DrainState.DRAINED)
-            DrainState.DRAINED -> if (drain.target is DrainTarget.SingleMachine && isExpired(drain)) drains.forget(drain)
-            DrainState.CANCELLED -> if (isExpired(drain)) drains.forget(drain)
+            DrainState.DRAINED -> if (drain.target is DrainTarget.SingleMachine && isExpired(drain)) drains.deleteRow(drain)
+            DrainState.CANCELLED -> if (isExpired(drain)) drains.deleteRow(drain)
         }
     }
 
-    /** A new leader may not know yet which machines exist, nor where those are that are known from allocations only. */
+    /**
+     * Whether no machine covered by [drain] is left. A new leader may not have read the list of machines yet, and does not know the zone
+     * and address of machines that it knows from allocations only; the result is false until that is settled.
+     */
     private fun isEmptied(drain: Drain): Boolean {
         if (drain in progress || !dependencies.fleet.isInventoryCurrent) return false
-        // A machine known from allocations only, with none left, is gone and never reports again.
+        // A machine known from allocations only, with none of them left, no longer exists and sends no heartbeats, so it is ignored.
         val withTasks =
             workers.machines.values.filter {
                 !dependencies.registry.allocations.byMachine[it.id]
@@ -143,14 +146,14 @@
 
     private fun isExpired(drain: Drain): Boolean = context.wallMillis - drain.changedMillis > retentionMillis
 
-    /** Begins a drain of [target]; unless [forced] it is refused where it would leave a task without any machine that fits. */
+    /** Begins a drain of [target]. Unless [forced], it is refused if it would leave a task without any machine that it fits on. */
     fun drain(
         target: DrainTarget,
         forced: Boolean,
         onResult: (DrainChange) -> Unit,
     ) {
-        val exists = drainSafety.checkExists(target)
-        val check = if (exists == DrainCheck.Allowed && !forced) drainSafety.checkCapacityRemains(target, index) else exists
+        val existence = drainSafety.checkExists(target)
+        val check = if (existence == DrainCheck.Allowed && !forced) drainSafety.checkCapacityRemains(target, index) else existence
         when (check) {
             is DrainCheck.Refused -> onResult(DrainChange.Refused(check.reason))
             DrainCheck.Allowed -> drains.request(target, DrainCause.OPERATOR, onResult)
@@ -167,38 +170,38 @@
         onResult(change)
     }
 
-    /** Lets a machine that was found to be a straggler serve again, until it is found to be one once more. */
+    /** Puts the straggler [id] back in service, until it is detected as a straggler again. */
     private fun clearStragglerMark(id: String) {
         val machine = workers.machines[id]?.takeIf { it.drainReason == DrainReason.SLOW } ?: return
         machine.drainReason = null
     }
 
-    /** The state of drains and moves, for operators. */
+    /** Returns the state of drains and moves, for operators. */
     fun report(): BalanceReport =
         BalanceReport(
             context.settings.member,
             drains.all.map { DrainReport(it, progress[it] ?: DrainProgress()) },
             machinesWithReclaimNotice(),
-            hotspots.hot.associateWith { hotspots.loadTracker.slowdown(it, context.now) },
+            hotspots.hotMachines.associateWith { hotspots.loadTracker.slowdown(it, context.now) },
             moves.openMoves,
-            moves.spentLately,
+            moves.tasksMovedInWindow,
             settings.movesPerMinute,
-            (drains.damaged + moves.damaged).toList(),
+            (drains.damagedRows + moves.damagedRows).toList(),
         )
 
-    /** Spot machines that the cloud reclaims; their workers repeat the notice in every heartbeat, so it needs no row. */
+    /** Spot machines that the cloud reclaims. Their workers repeat the reclaim notice in every heartbeat, so it is not stored in a row. */
     private fun machinesWithReclaimNotice(): List<String> =
         workers.machines.values
             .filter { it.reclaimAt != null }
             .map { it.id }
 
     internal companion object {
-        /** Prefixes of the rows that a new leader reads for this package. */
+        /** Key prefixes of the rows that a new leader reads for this package. */
         val PREFIXES: List<String> = listOf(Drain.PREFIX, MoveBatch.PREFIX)
-        private const val SWEEPS_PER_REPORT = 10
+        private const val SWEEPS_PER_HEARTBEAT_INTERVAL = 10
         private const val MILLIS_PER_SECOND = 1000
 
-        /** How long the row of a finished drain is kept, in worker leases. */
+        /** Time for which the row of a finished drain is kept, in worker leases. */
         private const val RETENTION_LEASES = 10
     }
 }
--- a/src/main/kotlin/burlridge/net/Connection.kt
+++ b/src/main/kotlin/burlridge/net/Connection.kt
@@ -21,97 +21,97 @@
 import kotlin.coroutines.resume
 
 /**
- * A TCP connection on the event loop. While its handler takes every read as one whole request it is read by callbacks alone, without a
- * coroutine or a channel; a worker's connection never needs more. From the first read that needs a parser on, a coroutine reads it into
- * [input], for Ktor's parsers.
+ * A TCP connection on the event loop. As long as its handler handles every read as one complete request, callbacks read it, without a
+ * coroutine or a channel; that is all that a worker's connection ever needs. From the first read that needs a parser on, a coroutine copies
+ * what it reads to [input], for Ktor's parsers.
  */
 internal class Connection private constructor(
     private val loop: EventLoop,
     private val scope: CoroutineScope,
     private val channel: SocketChannel,
-) : EventLoop.Ready {
+) : EventLoop.ReadinessListener {
     /** Serves an accepted connection. */
     internal interface Handler {
-        /** Handles [bytes] if they are one whole request that needs no parser; false if they have to be read from [input]. */
+        /** Handles [bytes] if they are one complete request that needs no parser; returns false if they must be read from [input]. */
         fun tryHandle(
             connection: Connection,
             bytes: ByteArray,
         ): Boolean
 
-        /** Serves the connection from [input] until it ends; called once, with the first bytes that were not handled whole. */
+        /** Serves the connection from [input] until it ends; called once, on the first read that [tryHandle] has not handled. */
         suspend fun serve(connection: Connection)
 
-        /** The connection has ended, however it did. */
+        /** Called when the connection has been closed, for whatever reason. */
         fun onClosed(connection: Connection)
     }
 
     private val key: SelectionKey = channel.register(loop.selector, 0, this)
     private val incoming by lazy(LazyThreadSafetyMode.NONE) { ByteChannel() }
 
-    /** What has been read since the first bytes that were not handled whole. */
+    /** Received data that the handler did not handle without a parser; on an outgoing connection, all received data. */
     val input: ByteReadChannel get() = incoming
 
-    /** The first bytes of the request that is being read, as they came; null between requests. */
+    /** The first bytes of the request that is being parsed, as received in one read; null between requests. */
     var requestBytes: ByteArray? = null
         private set
 
     private var handler: Handler? = null
 
-    /** Whether a coroutine reads the socket. */
-    private var isPumping = false
+    /** Whether a coroutine reads the socket, instead of callbacks. */
+    private var isReadByCoroutine = false
 
-    /** Whether a read is due already, so that a socket that stays readable is not queued twice. */
+    /** Whether a read is already queued, so that a socket that stays readable is not queued twice. */
     private var isReadQueued = false
-    private val readTurn =
+    private val queuedRead =
         Runnable {
             isReadQueued = false
-            if (!isPumping && channel.isOpen) readOrWait()
+            if (!isReadByCoroutine && channel.isOpen) readOrWait()
         }
-    private var reading: Continuation<Unit>? = null
-    private var writing: Continuation<Unit>? = null
+    private var readWaiter: Continuation<Unit>? = null
+    private var writeWaiter: Continuation<Unit>? = null
     private var responseWaiter: Continuation<Unit>? = null
 
-    /** Whether a request that was handled whole still waits for its response. */
+    /** Whether a request that was handled without a parser has not been answered yet. */
     private var isAwaitingResponse = false
 
-    /** Whether it can neither be read nor written any more. */
-    val isClosed: Boolean get() = !channel.isOpen || (isPumping && incoming.isClosedForRead)
+    /** Whether the connection can no longer be used. */
+    val isClosed: Boolean get() = !channel.isOpen || (isReadByCoroutine && incoming.isClosedForRead)
 
-    override fun ready(operations: Int) {
+    override fun onReady(operations: Int) {
         if (operations and WRITE != 0) {
             key.interestOpsAnd(WRITE.inv())
-            writing?.also { writing = null }?.resume(Unit)
+            writeWaiter?.also { writeWaiter = null }?.resume(Unit)
         }
         if (operations and READ == 0) return
-        if (isPumping) {
+        if (isReadByCoroutine) {
             key.interestOpsAnd(READ.inv())
-            reading?.also { reading = null }?.resume(Unit)
+            readWaiter?.also { readWaiter = null }?.resume(Unit)
         } else if (!isReadQueued) {
             isReadQueued = true
-            loop.enqueue(readTurn)
+            loop.enqueue(queuedRead)
         }
     }
 
-    /** What arrives before the last request is answered waits in the socket, so that responses keep the order of their requests. */
+    /** Leaves what arrives before the last request is answered in the socket, so that responses are sent in the order of the requests. */
     private fun readOrWait() {
         if (isAwaitingResponse) key.interestOpsAnd(READ.inv()) else readRequest()
     }
 
-    private fun handled(bytes: ByteArray): Boolean {
+    private fun handleWithoutParser(bytes: ByteArray): Boolean {
         isAwaitingResponse = true
         val isHandled = handler?.tryHandle(this, bytes) == true
         if (!isHandled) isAwaitingResponse = false
         return isHandled
     }
 
-    /** The request that was handled whole has been answered: the next one may be read. */
+    /** Called when a request that was handled without a parser has been answered: the next one may be read. */
     fun onResponse() {
         isAwaitingResponse = false
         if (!channel.isOpen) return
-        if (isPumping) responseWaiter?.also { responseWaiter = null }?.resume(Unit) else key.interestOpsOr(READ)
+        if (isReadByCoroutine) responseWaiter?.also { responseWaiter = null }?.resume(Unit) else key.interestOpsOr(READ)
     }
 
-    /** Reads once outside any coroutine: a whole request that needs no parser, or the beginning of anything else. */
+    /** Reads once outside any coroutine. If that is not a complete request that needs no parser, coroutines read and serve from then on. */
     private fun readRequest() {
         val bytes =
             try {
@@ -119,11 +119,11 @@
             } catch (_: IOException) {
                 null
             } ?: return close()
-        if (handled(bytes)) return
-        isPumping = true
+        if (handleWithoutParser(bytes)) return
+        isReadByCoroutine = true
         key.interestOpsAnd(READ.inv())
         requestBytes = bytes
-        scope.launch { pump(bytes) }
+        scope.launch { copyToInput(bytes) }
         scope.launch(start = CoroutineStart.UNDISPATCHED) { serve() }
     }
 
@@ -133,33 +133,33 @@
         } catch (e: CancellationException) {
             throw e
         } catch (_: Exception) {
-            // Ktor's parser throws exceptions of several types on malformed input: whatever it is, the connection ends.
+            // Ktor's parser throws exceptions of several types on malformed input: the connection is closed on any of them.
         } finally {
             close()
         }
     }
 
-    /** What has arrived; null at the end of the stream. */
+    /** Returns the bytes that have arrived; null at the end of the stream. */
     private fun read(): ByteArray? {
-        loop.buffer.clear()
-        val size = channel.read(loop.buffer)
+        loop.readBuffer.clear()
+        val size = channel.read(loop.readBuffer)
         if (size < 0) return null
-        return ByteArray(size).also { loop.buffer.flip().get(it) }
+        return ByteArray(size).also { loop.readBuffer.flip().get(it) }
     }
 
-    private suspend fun readable() =
+    private suspend fun awaitReadable() =
         suspendCancellableCoroutine {
-            reading = it
-            want(SelectionKey.OP_READ)
+            readWaiter = it
+            addInterest(SelectionKey.OP_READ)
         }
 
-    private suspend fun writable(operation: Int) =
+    private suspend fun awaitWritable(operation: Int) =
         suspendCancellableCoroutine {
-            writing = it
-            want(operation)
+            writeWaiter = it
+            addInterest(operation)
         }
 
-    private fun want(operation: Int) {
+    private fun addInterest(operation: Int) {
         try {
             key.interestOpsOr(operation)
         } catch (e: CancelledKeyException) {
@@ -167,61 +167,61 @@
         }
     }
 
-    /** Writes all of [bytes]. Throws [IOException] when the connection is closed. */
+    /** Writes all of [bytes]. Throws [IOException] if the connection is closed. */
     suspend fun write(bytes: ByteArray) {
-        val rest = ByteBuffer.wrap(bytes)
-        channel.write(rest)
-        while (rest.hasRemaining()) {
-            writable(SelectionKey.OP_WRITE)
-            channel.write(rest)
+        val unwritten = ByteBuffer.wrap(bytes)
+        channel.write(unwritten)
+        while (unwritten.hasRemaining()) {
+            awaitWritable(SelectionKey.OP_WRITE)
+            channel.write(unwritten)
         }
     }
 
-    /** The request that was being read has been answered: the next bytes begin another one. */
+    /** Called when a parsed request is about to be answered: the next bytes received begin another request. */
     fun requestCompleted() {
         requestBytes = null
     }
 
-    /** Writes what the socket takes at once; returns the rest of [bytes], or null when all was written. */
+    /** Writes as much as the socket accepts without waiting; returns the rest of [bytes], or null if all was written. */
     fun tryWrite(bytes: ByteArray): ByteArray? {
-        val rest = ByteBuffer.wrap(bytes)
-        channel.write(rest)
-        return if (rest.hasRemaining()) bytes.copyOfRange(rest.position(), bytes.size) else null
+        val unwritten = ByteBuffer.wrap(bytes)
+        channel.write(unwritten)
+        return if (unwritten.hasRemaining()) bytes.copyOfRange(unwritten.position(), bytes.size) else null
     }
 
-    private suspend fun pump(first: ByteArray?) {
+    private suspend fun copyToInput(first: ByteArray?) {
         try {
-            first?.let { pass(it) }
+            first?.let { writeToInput(it) }
             while (true) {
-                readable()
+                awaitReadable()
                 val bytes = read() ?: break
-                val between = requestBytes == null
-                if (between && handled(bytes)) {
+                val isBetweenRequests = requestBytes == null
+                if (isBetweenRequests && handleWithoutParser(bytes)) {
                     if (isAwaitingResponse) suspendCancellableCoroutine { responseWaiter = it }
                     continue
                 }
-                if (between) requestBytes = bytes
-                pass(bytes)
+                if (isBetweenRequests) requestBytes = bytes
+                writeToInput(bytes)
             }
             incoming.flushAndClose()
         } catch (e: CancellationException) {
             throw e
         } catch (_: IOException) {
-            // Reset by the other side: treated as its end.
+            // A reset by the peer is treated like the end of the stream.
             incoming.cancel()
         }
     }
 
-    private suspend fun pass(bytes: ByteArray) {
+    private suspend fun writeToInput(bytes: ByteArray) {
         incoming.writeFully(bytes)
         incoming.flush()
     }
 
-    /** Closes the connection and tells its handler; may be called twice. */
+    /** Closes the connection and notifies its handler; may be called repeatedly. */
     fun close() {
         channel.close()
-        reading?.also { reading = null }?.resume(Unit)
-        writing?.also { writing = null }?.resume(Unit)
+        readWaiter?.also { readWaiter = null }?.resume(Unit)
+        writeWaiter?.also { writeWaiter = null }?.resume(Unit)
         responseWaiter?.also { responseWaiter = null }?.resume(Unit)
         handler?.also { handler = null }?.onClosed(this)
     }
@@ -230,7 +230,7 @@
         private const val READ = SelectionKey.OP_READ
         private const val WRITE = SelectionKey.OP_WRITE or SelectionKey.OP_CONNECT
 
-        /** A connection to [target]. Throws [IOException] if none can be made. */
+        /** Connects to [target]. Throws [IOException] if the connection fails. */
         suspend fun connect(
             loop: EventLoop,
             scope: CoroutineScope,
@@ -241,21 +241,21 @@
                 channel.configureBlocking(false)
                 val connection = Connection(loop, scope, channel)
                 if (!channel.connect(InetSocketAddress(target.host, target.port))) {
-                    connection.writable(SelectionKey.OP_CONNECT)
+                    connection.awaitWritable(SelectionKey.OP_CONNECT)
                     channel.finishConnect()
                 }
                 channel.setOption(StandardSocketOptions.TCP_NODELAY, true)
-                connection.isPumping = true
-                scope.launch { connection.pump(null) }
+                connection.isReadByCoroutine = true
+                scope.launch { connection.copyToInput(null) }
                 return connection
             } catch (unexpected: Throwable) {
-                // Whatever happens, cancellation included, the socket must not leak.
+                // The socket must not leak on any failure, including cancellation.
                 channel.close()
                 throw unexpected
             }
         }
 
-        /** The connection on the accepted [channel], served by the handler that [newHandler] gives; closed if it cannot be set up. */
+        /** Serves the accepted [channel] with the handler that [newHandler] returns; closes it if it cannot be set up. */
         fun accept(
             loop: EventLoop,
             scope: CoroutineScope,
@@ -269,7 +269,7 @@
                 connection.handler = newHandler(connection)
                 connection.key.interestOps(READ)
             } catch (_: IOException) {
-                // The other side closed it before it could be served.
+                // The peer closed the connection before it could be served.
                 channel.close()
             }
         }
--- a/src/test/kotlin/burlridge/balance/OperatorActions.kt
+++ b/src/test/kotlin/burlridge/balance/OperatorActions.kt
@@ -13,28 +13,28 @@
 import com.fasterxml.jackson.databind.JsonNode
 import org.junit.jupiter.api.Assertions.assertEquals
 
-// What operators do in a simulated world, and what is expected of it in the end.
+// Operator requests in a simulated cluster, and the invariants that are checked at the end of a test.
 
-/** Tasks do not finish on drained machines but for what is about to end, so that there is something to move. */
-internal val EAGER = BalanceSettings(finishReports = 0.5)
+/** Settings with which almost all tasks on drained machines are moved: only those that end within half a heartbeat interval finish. */
+internal val EAGER_MOVES = BalanceSettings(finishReports = 0.5)
 
-internal fun balanced(
-    settings: BalanceSettings = EAGER,
+internal fun operatorSettingsWithBalance(
+    settings: BalanceSettings = EAGER_MOVES,
     failover: Boolean = false,
 ) = OperatorSettings(balance = settings, failover = if (failover) FailoverSettings() else null)
 
-/** A fleet that does not shrink: no team is guaranteed anything, so all that the cloud gives is kept. */
-internal fun balancedCluster(
+/** A cluster whose fleet does not shrink: no team has a guaranteed share, so all rented machines are kept. */
+internal fun clusterWithBalance(
     seed: Int,
-    settings: BalanceSettings = EAGER,
+    settings: BalanceSettings = EAGER_MOVES,
     members: Int = 3,
     failover: Boolean = false,
     types: Map<String, MachineTypeSpec> = mapOf("small" to MachineTypeSpec(4.0, 16.0, 6), "big" to MachineTypeSpec(16.0, 64.0, 3)),
-    operatorOf: (String) -> OperatorSettings = { balanced(settings, failover) },
-) = SimulatedCluster(seed, members = (0 until members).map { "drover-$it" }, types = types, guaranteed = 0.0, operatorOf = operatorOf)
+    operatorOf: (String) -> OperatorSettings = { operatorSettingsWithBalance(settings, failover) },
+) = SimulatedCluster(seed, members = (0 until members).map { "drover-$it" }, types = types, guaranteedCpus = 0.0, operatorOf = operatorOf)
 
-/** A job whose tasks save their progress when they are stopped. */
-internal fun SimulatedCluster.savingJob(
+/** Creates a job whose tasks save their progress when they are stopped. */
+internal fun SimulatedCluster.checkpointingJob(
     number: Int,
     tasks: Int,
     runSeconds: Double = 40.0,
@@ -47,7 +47,7 @@
     everySeconds: Double = 0.5,
 ): List<JobSpec> = jobs.onEachIndexed { i, job -> clock.after(from + i * everySeconds) { submit(job) } }
 
-internal fun SimulatedCluster.ask(
+internal fun SimulatedCluster.sendRequest(
     member: String,
     method: String,
     path: String,
@@ -55,24 +55,24 @@
     onResult: (status: Int, answer: JsonNode) -> Unit,
 ) = request("operator", member, method, path, body, 5.0) { status, text -> onResult(status, Json.parseOrNull(text) ?: Json.obj {}) }
 
-/** Asks until it is accepted, as an operator would, and holds the service to it from then on. */
+/** Requests a drain of [zone], repeats the request until it is accepted, and expects the drain to be honoured from then on. */
 internal fun SimulatedCluster.drainZone(
     zone: String,
     member: () -> String = ::anyMember,
-    onAccepted: (ExecutionHistory.Drained) -> Unit = {},
+    onAccepted: (ExecutionHistory.AcceptedDrain) -> Unit = {},
 ) {
-    ask(member(), "POST", MachineRequests.DRAIN, """{"zone":"$zone","force":true,"asked_ms":${nowMillis()}}""") { status, _ ->
+    sendRequest(member(), "POST", MachineRequests.DRAIN, """{"zone":"$zone","force":true,"asked_ms":${nowMillis()}}""") { status, _ ->
         if (status == 200) {
-            history.drained += ExecutionHistory.Drained({ zoneOf[it] == zone }, clock.now).also(onAccepted)
+            history.acceptedDrains += ExecutionHistory.AcceptedDrain({ zoneOf[it] == zone }, clock.now).also(onAccepted)
         } else {
             clock.after(1.0) { drainZone(zone, member, onAccepted) }
         }
     }
 }
 
-/** The service is held to the drain of [machine] from now on. */
-internal fun SimulatedCluster.drained(machine: String) {
-    history.drained += ExecutionHistory.Drained({ it == machine }, clock.now)
+/** Expects from now on that nothing starts on [machine]. */
+internal fun SimulatedCluster.expectDrained(machine: String) {
+    history.acceptedDrains += ExecutionHistory.AcceptedDrain({ it == machine }, clock.now)
 }
 
 internal fun SimulatedCluster.undrainZone(
@@ -80,44 +80,44 @@
     member: () -> String = ::anyMember,
     onAccepted: () -> Unit = {},
 ) {
-    // From when it is asked on it may be carried out.
-    history.drained.forEach { it.until = minOf(it.until, clock.now) }
-    ask(member(), "POST", MachineRequests.UNDRAIN, """{"zone":"$zone","asked_ms":${nowMillis()}}""") { status, _ ->
+    // The cancellation may take effect at any time after the request was sent.
+    history.acceptedDrains.forEach { it.until = minOf(it.until, clock.now) }
+    sendRequest(member(), "POST", MachineRequests.UNDRAIN, """{"zone":"$zone","asked_ms":${nowMillis()}}""") { status, _ ->
         if (status == 200) onAccepted() else clock.after(1.0) { undrainZone(zone, member, onAccepted) }
     }
 }
 
-/** Asks [member] now and runs on until it answers. */
-internal fun SimulatedCluster.answerOf(
+/** Sends a request to [member] and runs the simulation until it responds. */
+internal fun SimulatedCluster.requestAndWait(
     member: String,
     method: String,
     path: String,
     body: String = "",
 ): Pair<Int, JsonNode> {
     var answer: Pair<Int, JsonNode>? = null
-    ask(member, method, path, body) { status, node -> answer = status to node }
+    sendRequest(member, method, path, body) { status, node -> answer = status to node }
     while (answer == null) run(clock.now + 0.1)
     return checkNotNull(answer) { "no answer" }
 }
 
-internal fun SimulatedCluster.report(): JsonNode = answerOf(leader() ?: anyMember(), "GET", MachineRequests.STATUS).second
+internal fun SimulatedCluster.report(): JsonNode = requestAndWait(leader() ?: anyMember(), "GET", MachineRequests.STATUS).second
 
 private fun SimulatedCluster.nowMillis(): Long = (clock.now * 1000).toLong()
 
-internal fun SimulatedCluster.stateOf(key: String): String? = state.value(Drain.PREFIX + key)?.path("st")?.asText()
+internal fun SimulatedCluster.drainStateOf(key: String): String? = state.value(Drain.PREFIX + key)?.path("st")?.asText()
 
-internal fun SimulatedCluster.tail(): String = log.filterNot { "state service" in it }.takeLast(60).joinToString("\n")
+internal fun SimulatedCluster.recentLog(): String = log.filterNot { "state service" in it }.takeLast(60).joinToString("\n")
 
-internal fun SimulatedCluster.verdict(
+internal fun SimulatedCluster.assertNoViolations(
     jobs: List<JobSpec>,
-    settings: BalanceSettings = EAGER,
+    settings: BalanceSettings = EAGER_MOVES,
 ) {
-    assertEquals(emptyList<String>(), invariants.broken, tail())
-    assertEquals(emptyList<String>(), simultaneousLeaders, tail())
-    assertEquals(emptyList<String>(), history.breaches(jobs.map { it.id }), tail())
-    assertEquals(emptyList<String>(), history.drainBreaches(SLACK_SECONDS), tail())
-    assertEquals(emptyList<String>(), history.moveBreaches(settings.movesPerMinute, settings.movesPerTask), tail())
+    assertEquals(emptyList<String>(), invariants.violations, recentLog())
+    assertEquals(emptyList<String>(), simultaneousLeaders, recentLog())
+    assertEquals(emptyList<String>(), history.violations(jobs.map { it.id }), recentLog())
+    assertEquals(emptyList<String>(), history.drainViolations(SLACK_SECONDS), recentLog())
+    assertEquals(emptyList<String>(), history.moveViolations(settings.movesPerMinute, settings.movesPerTask), recentLog())
 }
 
-/** A start that has left begins once its image is there: two seconds at the most, and the news of the answer. */
+/** A start command sent before the drain takes effect after its image is fetched, at most two seconds, plus the time of the response. */
 private const val SLACK_SECONDS = 2.5
--- a/src/test/kotlin/burlridge/loopback/BalanceLoopbackTest.kt
+++ b/src/test/kotlin/burlridge/loopback/BalanceLoopbackTest.kt
@@ -9,15 +9,15 @@
 import java.io.File
 
 /**
- * Three real controllers, a third of whose machines is drained under load while the leader is killed and the next one frozen for longer
- * than a lease. What is asserted is what users were told and what ran where; the waits are bounds, never figures.
+ * Three real controllers: a third of the machines is drained under load while the leader is killed and the next one is frozen for longer
+ * than a lease. Asserts the responses to users and where tasks ran; the timeouts of waits are upper bounds, not measurements.
  */
 internal class BalanceLoopbackTest {
     @Test
-    fun `a drain of a third of the machines outlives a leader that is killed and one that is frozen`(
+    fun `a drain of a third of the machines survives a killed and a frozen leader`(
         @TempDir directory: File,
     ) {
-        val plan =
+        val config =
             LoopbackConfig(
                 controllers = 3,
                 machines = 16,
@@ -26,51 +26,55 @@
                 directory = directory,
                 jvmFlags = listOf("-XX:+UseSerialGC", "-XX:TieredStopAtLevel=1", "-Xmx96m"),
             )
-        LoopbackCluster(plan, 2).use { cluster ->
+        LoopbackCluster(config, 2).use { cluster ->
             await("the machines are up") { cluster.workersAtTerm(1) >= 12 }
             cluster.onLoop {
-                repeat(JOBS) { i -> cluster.clock.after(i * 0.4) { cluster.submit(savingJob(cluster, i)) } }
+                repeat(JOB_COUNT) { i -> cluster.clock.after(i * 0.4) { cluster.submit(checkpointingJob(cluster, i)) } }
             }
-            await("jobs run") { cluster.onLoop { busyMachines(cluster).size == MACHINES_DRAINED }.takeIf { it } }
-            val leaving = cluster.onLoop { busyMachines(cluster) }
-            cluster.onLoop { leaving.forEach { drain(cluster, it) } }
-            await("the drains are accepted") { cluster.onLoop { cluster.history.drained.size == leaving.size }.takeIf { it } }
-            // However slow this machine is, the tasks run for long enough that some are still there to be moved.
+            await("jobs are running") { cluster.onLoop { recentlyUsedMachines(cluster).size == DRAINED_MACHINE_COUNT }.takeIf { it } }
+            val drainedMachines = cluster.onLoop { recentlyUsedMachines(cluster) }
+            cluster.onLoop { drainedMachines.forEach { drain(cluster, it) } }
+            await(
+                "the drains are accepted",
+            ) { cluster.onLoop { cluster.history.acceptedDrains.size == drainedMachines.size }.takeIf { it } }
+            // The tasks run for long enough that some are left to be moved even if the test host is slow.
             await("the first move") { cluster.onLoop { cluster.history.stops.isNotEmpty() }.takeIf { it } }
-            val first = leaderOf(cluster)
-            cluster.process(first).kill()
-            val second = await("a leader after the kill") { leaderOrNull(cluster)?.takeIf { it != first } }
-            cluster.process(first).start()
-            cluster.process(second).freeze()
-            await("a leader after the freeze") { leaderOrNull(cluster)?.takeIf { it != second } }
-            await("the drained machines are gone") { cluster.onLoop { cluster.cloud.names().none { it in leaving } }.takeIf { it } }
-            cluster.process(second).resume()
-            await("all jobs are over") { cluster.onLoop { cluster.unfinished.isEmpty() && cluster.jobs.size == JOBS }.takeIf { it } }
+            val firstLeader = leaderOf(cluster)
+            cluster.process(firstLeader).kill()
+            val secondLeader = await("a leader after the kill") { leaderOrNull(cluster)?.takeIf { it != firstLeader } }
+            cluster.process(firstLeader).start()
+            cluster.process(secondLeader).freeze()
+            await("a leader after the freeze") { leaderOrNull(cluster)?.takeIf { it != secondLeader } }
+            await(
+                "the drained machines are returned",
+            ) { cluster.onLoop { cluster.cloud.machineIds().none { it in drainedMachines } }.takeIf { it } }
+            cluster.process(secondLeader).resume()
+            await("all jobs have ended") { cluster.onLoop { cluster.unfinished.isEmpty() && cluster.jobs.size == JOB_COUNT }.takeIf { it } }
             await("all controllers answer") { cluster.controllers.all { it.isUp }.takeIf { it } }
             cluster.onLoop { cluster.queryAllControllers() }
             val breaches =
                 cluster.onLoop {
-                    cluster.invariants.broken + cluster.history.breaches(cluster.jobs) +
-                        cluster.history.drainBreaches(SLACK_SECONDS)
+                    cluster.invariants.violations + cluster.history.violations(cluster.jobs) +
+                        cluster.history.drainViolations(SLACK_SECONDS)
                 }
             assertEquals(emptyList<String>(), breaches)
         }
     }
 
-    /** The machines on which something started last. */
-    private fun busyMachines(cluster: LoopbackCluster): List<String> =
+    /** Returns the machines on which tasks started most recently. */
+    private fun recentlyUsedMachines(cluster: LoopbackCluster): List<String> =
         cluster.history.starts
             .reversed()
             .map { it.machine }
             .distinct()
-            .take(MACHINES_DRAINED)
+            .take(DRAINED_MACHINE_COUNT)
 
-    private fun savingJob(
+    private fun checkpointingJob(
         cluster: LoopbackCluster,
         number: Int,
     ) = cluster.job(number, 1 + number % 3, runSeconds = 20.0 + number % 5).copy(checkpointIntervalSeconds = 1.0, saveSeconds = 0.3)
 
-    /** Asks until it is accepted, as an operator would. */
+    /** Requests the drain of [machine], and repeats the request until it is accepted. */
     private fun drain(
         cluster: LoopbackCluster,
         machine: String,
@@ -82,10 +86,10 @@
             "POST",
             MachineRequests.DRAIN,
             body,
-            ANSWER_SECONDS,
+            RESPONSE_TIMEOUT_SECONDS,
         ) { status, _ ->
             if (status == OK) {
-                cluster.history.drained += ExecutionHistory.Drained({ it == machine }, cluster.clock.now)
+                cluster.history.acceptedDrains += ExecutionHistory.AcceptedDrain({ it == machine }, cluster.clock.now)
             } else {
                 cluster.clock.after(0.5) { drain(cluster, machine) }
             }
@@ -97,12 +101,12 @@
     private fun leaderOf(cluster: LoopbackCluster): String = await("a leader") { leaderOrNull(cluster) }
 
     private companion object {
-        const val JOBS = 20
-        const val MACHINES_DRAINED = 5
-        const val ANSWER_SECONDS = 5.0
+        const val JOB_COUNT = 20
+        const val DRAINED_MACHINE_COUNT = 5
+        const val RESPONSE_TIMEOUT_SECONDS = 5.0
         const val OK = 200
 
-        /** Commands and answers of a busy machine take their time, and a fetch two seconds. */
+        /** Allows for slow commands and responses on a busy host, and two seconds for a fetch. */
         const val SLACK_SECONDS = 6.0
     }
 }
--- a/src/test/kotlin/burlridge/net/ConnectionTest.kt
+++ b/src/test/kotlin/burlridge/net/ConnectionTest.kt
@@ -16,8 +16,8 @@
 import kotlin.concurrent.thread
 
 /**
- * A request whose head is known is taken without the parser. Whatever comes, and in whatever pieces, the answers must be those that
- * the parser's way gives: here the same bytes are sent to a server that knows the heads and to one that has only just started.
+ * Requests with a known head bypass the parser. Whatever bytes are received, and however they are split, the responses must be the same as
+ * with the parser: the tests send the same bytes to a server with a known head and to a new one, which has none yet.
  */
 internal class ConnectionTest {
     private val loops = ArrayList<EventLoop>()
@@ -32,8 +32,8 @@
         return port
     }
 
-    /** A server that tells each request back. */
-    private fun server(): Int =
+    /** Starts a server that responds with the method, path and body of each request; returns its port. */
+    private fun echoServer(): Int =
         server { server, request ->
             server.respond(Effect.Respond(request.id, 200, "${request.method} ${request.path} ${request.body}", null))
         }
@@ -41,7 +41,7 @@
     @AfterEach
     fun stop() = loops.forEach { it.stop() }
 
-    /** Sends [parts] one by one and returns all that is answered until the server closes, which the last request asks for. */
+    /** Sends [parts] one by one; returns everything received until the server closes the connection, as the last request demands. */
     private fun exchange(
         port: Int,
         parts: List<ByteArray>,
@@ -56,13 +56,13 @@
             socket.getInputStream().readBytes().decodeToString()
         }
 
-    /** Lets the server parse one plain request, alone, so that it knows the head from then on. */
-    private fun teach(port: Int): Int {
+    /** Sends one plain request on a separate connection, so that the server knows its head from then on; returns [port]. */
+    private fun withKnownHead(port: Int): Int {
         Socket(InetAddress.getLoopbackAddress(), port).use { socket ->
             socket.soTimeout = TIMEOUT_MILLIS
             socket.getOutputStream().write(request("{}").encodeToByteArray())
-            val answer = StringBuilder()
-            while (!answer.endsWith("{}")) answer.append(socket.getInputStream().read().toChar())
+            val response = StringBuilder()
+            while (!response.endsWith("{}")) response.append(socket.getInputStream().read().toChar())
         }
         return port
     }
@@ -79,45 +79,45 @@
             "${body.length.toString(16)}\r\n$body\r\n0\r\n\r\n".takeIf { body.isNotEmpty() }.orEmpty() +
             "0\r\n\r\n".takeIf { body.isEmpty() }.orEmpty()
 
-    private val last = request("bye", extra = "Connection: close\r\n")
+    private val closingRequest = request("bye", extra = "Connection: close\r\n")
 
-    private fun pieces(
+    private fun splitRandomly(
         text: String,
         random: Random,
     ): List<ByteArray> {
         val bytes = text.encodeToByteArray()
-        val cuts = List(random.nextInt(4)) { random.nextInt(bytes.size) }.sorted()
-        return (listOf(0) + cuts + bytes.size).zipWithNext { from, to -> bytes.copyOfRange(from, to) }.filter { it.isNotEmpty() }
+        val offsets = List(random.nextInt(4)) { random.nextInt(bytes.size) }.sorted()
+        return (listOf(0) + offsets + bytes.size).zipWithNext { from, to -> bytes.copyOfRange(from, to) }.filter { it.isNotEmpty() }
     }
 
-    private fun streams(random: Random): List<String> {
+    private fun requestStreams(random: Random): List<String> {
         val body = "x".repeat(random.nextInt(2000))
         return listOf(
-            request(body) + last,
-            request(body) + request("b", path = "/other") + request("c") + last,
-            request("b", path = "/other") + request(body) + last,
-            chunked(body) + request(body) + last,
-            request(body).replace("Host:", "host:") + request(body, extra = "X: y\r\n") + last,
-            request("", length = "0") + last,
+            request(body) + closingRequest,
+            request(body) + request("b", path = "/other") + request("c") + closingRequest,
+            request("b", path = "/other") + request(body) + closingRequest,
+            chunked(body) + request(body) + closingRequest,
+            request(body).replace("Host:", "host:") + request(body, extra = "X: y\r\n") + closingRequest,
+            request("", length = "0") + closingRequest,
         )
     }
 
     @Test
-    fun `known heads change no answer`() {
+    fun `a known head does not change any response`() {
         val random = Random(7)
-        val knowing = teach(server())
+        val serverWithKnownHead = withKnownHead(echoServer())
         repeat(ROUNDS) { round ->
-            streams(random).forEachIndexed { i, stream ->
-                val parts = pieces(stream, random)
-                assertEquals(exchange(server(), parts), exchange(knowing, parts), "round $round, stream $i")
+            requestStreams(random).forEachIndexed { i, stream ->
+                val parts = splitRandomly(stream, random)
+                assertEquals(exchange(echoServer(), parts), exchange(serverWithKnownHead, parts), "round $round, stream $i")
             }
         }
     }
 
-    /** Sent whole and last, since the server closes without reading on. */
+    /** Each malformed request is sent in one write with the closing request, since the server closes without reading further. */
     @Test
-    fun `what is malformed is never taken by a known head`() {
-        val knowing = teach(server())
+    fun `a malformed request never matches a known head`() {
+        val serverWithKnownHead = withKnownHead(echoServer())
         val malformed =
             listOf(
                 request("{}", length = "1x"),
@@ -127,32 +127,32 @@
                 "\u0000\u0001\r\n\r\n",
             )
         for (bytes in malformed) {
-            val parts = listOf(bytes.encodeToByteArray() + last.encodeToByteArray())
-            assertEquals(exchange(server(), parts), exchange(knowing, parts), bytes)
+            val parts = listOf(bytes.encodeToByteArray() + closingRequest.encodeToByteArray())
+            assertEquals(exchange(echoServer(), parts), exchange(serverWithKnownHead, parts), bytes)
         }
     }
 
-    /** Guards the order of answers: a request that was taken whole is answered before the next one is read. */
+    /** Guards against responses out of order: a request that bypassed the parser must be answered before the next one is read. */
     @Test
-    fun `answers keep the order of their requests`() {
+    fun `responses are sent in the order of the requests`() {
         val handled = CountDownLatch(1)
-        var slow = 0L
+        var slowId = 0L
         val port =
             server { server, request ->
-                if (request.body == "slow") slow = request.id
-                if (request.path == "/release") server.respond(Effect.Respond(slow, 200, "slow", null))
+                if (request.body == "slow") slowId = request.id
+                if (request.path == "/release") server.respond(Effect.Respond(slowId, 200, "slow", null))
                 if (request.body == "slow") handled.countDown() else server.respond(Effect.Respond(request.id, 200, request.body, null))
             }
-        teach(port)
+        withKnownHead(port)
         Socket(InetAddress.getLoopbackAddress(), port).use { socket ->
             socket.soTimeout = TIMEOUT_MILLIS
             socket.getOutputStream().write(request("slow").encodeToByteArray())
             handled.await()
-            socket.getOutputStream().write((request("next") + last).encodeToByteArray())
-            // Served after what came before it on the other connection, and only then is the slow one answered.
+            socket.getOutputStream().write((request("next") + closingRequest).encodeToByteArray())
+            // Read after the bytes sent before it on the other connection; the slow request is answered only then.
             exchange(port, listOf(request("release", path = "/release", extra = "Connection: close\r\n").encodeToByteArray()))
-            val answers = socket.getInputStream().readBytes().decodeToString()
-            assertEquals(listOf("slow", "next", "bye"), Regex("slow|next|bye").findAll(answers).map { it.value }.toList())
+            val responses = socket.getInputStream().readBytes().decodeToString()
+            assertEquals(listOf("slow", "next", "bye"), Regex("slow|next|bye").findAll(responses).map { it.value }.toList())
         }
     }
 
