--- a/src/test/kotlin/burlridge/simulation/ExecutionHistory.kt
+++ b/src/test/kotlin/burlridge/simulation/ExecutionHistory.kt
@@ -98,7 +98,10 @@
     /** Returns what is wrong with this history; empty if nothing is. All jobs in [expected] must have ended if they were accepted. */
     fun violations(expected: Collection<String>): List<String> {
         val byJob = userResponses.groupBy { it.job }
-        return expected.filter { job -> byJob[job].orEmpty().any { it.isAccepted } }.mapNotNull { finalStateViolation(it, byJob.getValue(it)) } +
+        return expected
+            .filter { job ->
+                byJob[job].orEmpty().any { it.isAccepted }
+            }.mapNotNull { finalStateViolation(it, byJob.getValue(it)) } +
             byJob.mapNotNull { (job, answers) -> changedFinalState(job, answers) } +
             byJob.mapNotNull { (job, answers) -> forgotten(job, answers) } + overlaps()
     }
--- a/src/test/kotlin/burlridge/simulation/SimulatedCluster.kt
+++ b/src/test/kotlin/burlridge/simulation/SimulatedCluster.kt
@@ -106,6 +106,8 @@
      * after the caller gave up, or the connection is refused.
      */
     var callFaultRate = 0.0
+
+    /** Maximum delay of a delayed call, and delay of the second delivery of a duplicated call, in seconds. */
     var lateSeconds = 30.0
 
     /** Called for each call before it is sent, unless [callFaultRate] has chosen a fault. Returns the fault to inject. */
@@ -360,7 +362,7 @@
         midStepPauses++
         heldEffects[name] = ArrayList()
         freeze(name, seconds)
-        // Sends them before the inputs that arrived meanwhile are processed.
+        // Sends the held effects before the inputs that arrived meanwhile are processed.
         val generation = generations[name]
         clock.after(seconds - 0.001) { if (generations[name] == generation) heldEffects.remove(name)?.forEach { sendHeld(name, it) } }
     }
@@ -548,9 +550,9 @@
         step(name, Input.Request(id, method, path, "", body))
         if (path == "/agent/beat") {
             if (isRecordingReports()) recordedReports += body
-            duplicateReportAfter(
-                from,
-            )?.let { clock.after(it) { step(members.random(random), Input.Request(nextRequest++, method, path, "", body)) } }
+            duplicateReportAfter(from)?.let {
+                clock.after(it) { step(members.random(random), Input.Request(nextRequest++, method, path, "", body)) }
+            }
         }
     }
 
