--- a/src/main/kotlin/burlridge/balance/DecisionLog.kt
+++ b/src/main/kotlin/burlridge/balance/DecisionLog.kt
@@ -18,6 +18,8 @@
 
     /** Number of decisions in this term, including those dropped. */
     private var totalCount = 0L
+
+    /** Wall-clock time at which the log was last cleared, in milliseconds. */
     private var sinceMillis = 0L
 
     /** Clears all state; called when a term begins or ends. */
--- a/src/main/kotlin/burlridge/balance/MachineRequests.kt
+++ b/src/main/kotlin/burlridge/balance/MachineRequests.kt
@@ -19,6 +19,7 @@
     /** Whether this leader has read the stored rows. */
     private val isLoaded: () -> Boolean,
 ) {
+    /** Handles a request for a path that [serves] accepts; [isForwarded] is true if another member received and forwarded it. */
     fun handle(
         method: String,
         path: String,
