--- a/src/main/kotlin/burlridge/api/JobLookup.kt
+++ b/src/main/kotlin/burlridge/api/JobLookup.kt
@@ -24,7 +24,7 @@
      */
     fun isEndUncertain(id: String): Boolean = registry.jobs[id]?.isEndUncertain == true
 
-    /** Returns the response to a repeated submission of [spec] if this member can tell it from memory, otherwise null. */
+    /** Returns the response to a submission of [spec] if this member knows from memory that its id is in use, otherwise null. */
     fun responseToSubmission(spec: JobSpec): HttpResponse? {
         registry.finishedJob(spec.id)?.let {
             return if (it.fingerprint ==
--- a/src/main/kotlin/burlridge/api/JobSubmission.kt
+++ b/src/main/kotlin/burlridge/api/JobSubmission.kt
@@ -90,7 +90,7 @@
         isForwarded: Boolean,
         respond: (HttpResponse) -> Unit,
     ) {
-        // Parsed again instead of keeping the tree from [submit]: hundreds of submissions may wait at once, and trees take memory.
+        // Parsed again instead of keeping the tree from `submit`: hundreds of submissions may wait at once, and trees take memory.
         val parsed = SubmissionBody(body)
         val spec =
             try {
