--- a/src/main/kotlin/burlridge/app/AdminCommand.kt
+++ b/src/main/kotlin/burlridge/app/AdminCommand.kt
@@ -84,16 +84,16 @@
         val answer = request("POST", MemberRequests.DRAIN + member?.let { "/$it" }.orEmpty())
         val name = answer.path("member").asText()
         // Only the drain of the controller at this address can be polled from here.
-        if (member != null && member != selfName()) return "$name is draining"
-        val until = System.nanoTime() + Duration.ofSeconds(waitSeconds).toNanos()
+        if (member != null && member != controllerName()) return "$name is draining"
+        val deadlineNanos = System.nanoTime() + Duration.ofSeconds(waitSeconds).toNanos()
         while (!request("GET", MemberRequests.STATUS).path("drained").asBoolean()) {
-            if (System.nanoTime() > until) throw Failure("$name is draining, and not drained after $waitSeconds s")
+            if (System.nanoTime() > deadlineNanos) throw Failure("$name is draining, and not drained after $waitSeconds s")
             Thread.sleep(POLL_MILLIS)
         }
         return "$name is drained: it can be stopped"
     }
 
-    private fun selfName(): String = request("GET", MemberRequests.STATUS).path("member").asText()
+    private fun controllerName(): String = request("GET", MemberRequests.STATUS).path("member").asText()
 
     private fun request(
         method: String,
--- a/src/main/kotlin/burlridge/app/RequestRouter.kt
+++ b/src/main/kotlin/burlridge/app/RequestRouter.kt
@@ -85,7 +85,7 @@
         onResult: (HttpResponse) -> Unit,
     ) {
         when {
-            // Until it has loaded the rows, a leader does not know which tasks are cancelled: without stops in its answer they would run on.
+            // Until it has loaded the rows, a leader does not know which tasks are cancelled: without stops in its answer, they run on.
             leadership.mayAnswerWorkers && workers.isLoaded -> onResult(workers.onHeartbeat(body, forwardedBy))
 
             leadership.isLeader || forwardedBy != null -> onResult(HttpResponse.unavailable("leadership in doubt"))
--- a/src/main/kotlin/burlridge/net/HttpServer.kt
+++ b/src/main/kotlin/burlridge/net/HttpServer.kt
@@ -116,7 +116,7 @@
                 val response = pendingResponse.await()
                 logIfNotable(request, uri, response.status, receivedAtNanos)
                 clients.onResponse(connection, nowSeconds())
-                // A worker can reconnect for its next heartbeat at no loss; a user might send a request while the connection is closed.
+                // A worker can reconnect for its next heartbeat at no loss; a user might send a request just as the connection is closed.
                 val close = closeRequested || (clients.isAboveSoftLimit && uri == WORKER_PATH)
                 if (uri in FREQUENT_PATHS) knownHeads.add(connection.requestBytes, request, uri)
                 connection.requestCompleted()
--- a/src/main/kotlin/burlridge/net/KnownRequestHeads.kt
+++ b/src/main/kotlin/burlridge/net/KnownRequestHeads.kt
@@ -4,7 +4,7 @@
 
 /**
  * Heads of frequent requests that Ktor's parser has parsed. A request with the same head, on any connection, is not parsed again: parsing
- * took a quarter of a leader's CPU time.
+ * took a quarter of a leader's time.
  */
 internal class KnownRequestHeads {
     /** The known head of a request, and the offset of the request's body. */
