--- a/src/test/kotlin/burlridge/simulation/OverlappingFailuresTest.kt
+++ b/src/test/kotlin/burlridge/simulation/OverlappingFailuresTest.kt
@@ -11,7 +11,7 @@
     private fun runWithSeeds(
         seeds: IntRange,
         until: Double = 240.0,
-        newCluster: (seed: Int) -> SimulatedCluster = { SimulatedCluster(it) },
+        newCluster: (Int) -> SimulatedCluster = { SimulatedCluster(it) },
         scenario: SimulatedCluster.() -> List<String>,
     ) {
         for (seed in seeds) {
