--- a/src/main/kotlin/burlridge/allocation/Allocation.kt
+++ b/src/main/kotlin/burlridge/allocation/Allocation.kt
@@ -1,8 +1,8 @@
 package burlridge.allocation
 
 /**
- * The assignment of one attempt of a task to a machine, identified by job, task and attempt. Times are in seconds of this leader's steady
- * clock.
+ * The assignment of one attempt of a task to a machine, identified by job, task and attempt. Times are in seconds of this leader's
+ * monotonic clock.
  */
 internal class Allocation(
     val job: String,
--- a/src/main/kotlin/burlridge/allocation/GangRules.kt
+++ b/src/main/kotlin/burlridge/allocation/GangRules.kt
@@ -22,7 +22,7 @@
 /**
  * The tasks of a gang share an attempt number and end together: once one is done, all are, and once one is lost, the attempt has failed.
  * The other tasks are then stopped, and the next attempt is allocated only after all of them are known to have ended. An attempt number is
- * never reused, so that late reports of an earlier attempt are recognized.
+ * never reused, so that a late heartbeat with a task of an earlier attempt is recognized.
  *
  * The protocol allows a task that is lost while its gang is still waiting to be replaced under the same attempt number. This is not done:
  * whether a gang has started is known only afterwards, and a new attempt on the same machines finds the image there.
@@ -42,8 +42,8 @@
     }
 
     /**
-     * Marks the remaining tasks of [job]'s current attempt, which has lost a task, to be stopped at once, except where the gang is saving:
-     * then each task ends by itself. Returns the allocations whose start command has not been sent, to be released.
+     * Marks the remaining tasks of [job]'s current attempt, which has lost a task, to be stopped at once, unless the gang is saving
+     * its progress already: then each task ends by itself. Returns the allocations whose start command has not been sent, to be released.
      */
     fun abort(job: Job): List<Allocation> {
         val remaining = job.allocations.values.filter { !it.hasEnded }
--- a/src/main/kotlin/burlridge/allocation/Job.kt
+++ b/src/main/kotlin/burlridge/allocation/Job.kt
@@ -37,10 +37,10 @@
     /** The highest attempt number of any task; for a gang, the number of its latest attempt. */
     var highestAttempt: Int = 0
 
-    /** The earliest time at which a task may be retried, in seconds of this leader's steady clock; task 0 stands for a whole gang. */
+    /** The earliest time at which a task may be retried, in seconds of this leader's monotonic clock; task 0 stands for a whole gang. */
     val notBeforeByTask: Int2DoubleOpenHashMap = Int2DoubleOpenHashMap()
 
-    /** When an allocation of one of its tasks was last made or loaded, in seconds of this leader's steady clock; null if none was. */
+    /** When an allocation of one of its tasks was last made or loaded, in seconds of this leader's monotonic clock; null if none was. */
     var allocatedAt: Double? = null
 
     /** Whether the allocations of a broken gang attempt are being released; prevents each release from aborting the attempt again. */
@@ -56,7 +56,7 @@
 
     /**
      * When the first task end that is not persisted yet became known, or when the latest progress write began if that is later, in seconds
-     * of this leader's steady clock.
+     * of this leader's monotonic clock.
      */
     var unpersistedSince: Double = 0.0
 
--- a/src/main/kotlin/burlridge/api/GangAdmission.kt
+++ b/src/main/kotlin/burlridge/api/GangAdmission.kt
@@ -9,8 +9,8 @@
 
 /**
  * Decides whether gangs can be submitted. They are accepted only once every member supports them, so that none is forwarded to a member
- * that may not. Until then the submission of a gang is refused at once, unless the gang has been accepted already: then the response is
- * its state.
+ * that may not support it. Until then the submission of a gang is refused at once, unless the gang has been accepted already: then the
+ * response is its state.
  */
 internal class GangAdmission(
     private val context: StepContext,
--- a/src/main/kotlin/burlridge/app/PlacementTimer.kt
+++ b/src/main/kotlin/burlridge/app/PlacementTimer.kt
@@ -9,7 +9,7 @@
 internal class PlacementTimer(
     private val context: StepContext,
 ) {
-    private val minIntervalSeconds = context.settings.workers.reportSeconds / MAX_ROUNDS_PER_REPORT_INTERVAL
+    private val minIntervalSeconds = context.settings.workers.reportSeconds / MAX_ROUNDS_PER_HEARTBEAT_INTERVAL
     private var isRequested = false
     private var lastRoundAt = BEFORE_ANY_ROUND
 
@@ -37,7 +37,7 @@
 
     private companion object {
         const val MAX_IDLE_SECONDS = 1.0
-        const val MAX_ROUNDS_PER_REPORT_INTERVAL = 25
+        const val MAX_ROUNDS_PER_HEARTBEAT_INTERVAL = 25
         const val BEFORE_ANY_ROUND = -1e9
     }
 }
--- a/src/main/kotlin/burlridge/app/RequestRouter.kt
+++ b/src/main/kotlin/burlridge/app/RequestRouter.kt
@@ -85,7 +85,7 @@
         onResult: (HttpResponse) -> Unit,
     ) {
         when {
-            // Until it has loaded the rows, a leader does not know which tasks are cancelled: without stops in its answer, they run on.
+            // Until the rows are loaded, a leader does not know which tasks are cancelled: an answer without stops would let them run on.
             leadership.mayAnswerWorkers && workers.isLoaded -> onResult(workers.onHeartbeat(body, forwardedBy))
 
             leadership.isLeader || forwardedBy != null -> onResult(HttpResponse.unavailable("leadership in doubt"))
--- a/src/main/kotlin/burlridge/app/SubmissionWatch.kt
+++ b/src/main/kotlin/burlridge/app/SubmissionWatch.kt
@@ -53,7 +53,7 @@
         if (changes.hasEvents) onJobsChanged()
     }
 
-    /** Lists all active jobs: the state service has compacted the changes since [revision]. */
+    /** Lists all active jobs: the key-value store has compacted the changes since [revision]. */
     private fun relist(isStillLeading: () -> Boolean) {
         store.list(ActiveJobRow.KEY_PREFIX, RequestPriority.CLAIM) { listing ->
             if (listing !is ListResult.Listed || !isStillLeading()) return@list
--- a/src/main/kotlin/burlridge/app/WarmUp.kt
+++ b/src/main/kotlin/burlridge/app/WarmUp.kt
@@ -21,7 +21,7 @@
     private var revision = 1L
     private var nextId = 1L
     private var sequence = 1L
-    private val taskReports = Json.arr()
+    private val taskStatuses = Json.arr()
 
     /** Counters of the controller that the warm-up ran. */
     val counters: Map<String, Long> get() = core.counters
@@ -76,7 +76,7 @@
 
     private fun executeCommand(command: JsonNode): JsonNode {
         command.path("orders").filter { it.path("verb").asText() == "run" }.forEach {
-            taskReports
+            taskStatuses
                 .addObject()
                 .put("piece", it.path("piece").asText())
                 .put("try", it.path("try").asInt())
@@ -96,7 +96,7 @@
             put("stint", 1)
             put("tally", sequence++)
             put("baton", FIRST_TOKEN)
-            set<JsonNode>("pieces", taskReports.deepCopy())
+            set<JsonNode>("pieces", taskStatuses.deepCopy())
         }
 
     private companion object {
--- a/src/main/kotlin/burlridge/balance/Balance.kt
+++ b/src/main/kotlin/burlridge/balance/Balance.kt
@@ -101,7 +101,7 @@
         listings[MoveBatch.PREFIX]?.rows?.forEach(moves::load)
     }
 
-    /** Cordons machines covered by a drain and uncordons those no longer covered; called before every scheduling cycle. */
+    /** Cordons machines covered by a drain and uncordons those no longer covered; called before every placement round. */
     fun applyCordons() {
         if (!drains.isEmpty) cordons.apply()
     }
--- a/src/main/kotlin/burlridge/balance/DrainIndex.kt
+++ b/src/main/kotlin/burlridge/balance/DrainIndex.kt
@@ -2,7 +2,7 @@
 
 import burlridge.worker.Machine
 
-/** Finds the active drain that covers a machine. Lookups are cheap, because every scheduling cycle looks up every machine. */
+/** Finds the active drain that covers a machine. Lookups are cheap, because every placement round looks up every machine. */
 internal class DrainIndex {
     private var byMachine: Map<String, Drain> = emptyMap()
     private var byZone: Map<String, Drain> = emptyMap()
--- a/src/main/kotlin/burlridge/balance/MachineRequests.kt
+++ b/src/main/kotlin/burlridge/balance/MachineRequests.kt
@@ -116,7 +116,7 @@
         }
 
     /**
-     * Returns a callback that passes only the first response to [respond]. A write may stay in flight for as long as the state service is
+     * Returns a callback that passes only the first response to [respond]. A write may stay in flight for as long as the key-value store is
      * unavailable, or be abandoned when the term ends; after [WRITE_TIMEOUT_SECONDS] the response therefore asks the client to retry.
      */
     private fun respondOnceBeforeTimeout(respond: (HttpResponse) -> Unit): (HttpResponse) -> Unit {
--- a/src/main/kotlin/burlridge/balance/MoveBudget.kt
+++ b/src/main/kotlin/burlridge/balance/MoveBudget.kt
@@ -16,7 +16,7 @@
     /** Clears the window. */
     fun clear() = window.clear()
 
-    /** Charges [move] to the budgets at the wall-clock time [atMillis]. Moves loaded from rows arrive in no order of time. */
+    /** Charges [move] to the budgets at the wall-clock time [atMillis]. Moves loaded from rows arrive in no chronological order. */
     fun charge(
         move: Move,
         atMillis: Long,
--- a/src/main/kotlin/burlridge/balance/SlowStart.kt
+++ b/src/main/kotlin/burlridge/balance/SlowStart.kt
@@ -10,8 +10,9 @@
 import burlridge.worker.TaskState
 
 /**
- * Limits how many tasks start at the same time on a machine that has just joined, or whose worker has just begun a new session: a few, or
- * twice as many as already run there. It uses only the cloud's list and the worker's last heartbeat, so that the next leader decides alike.
+ * Limits how many tasks start at the same time on a machine that has just joined, or whose worker has just begun a new agent epoch: a few,
+ * or twice as many as already run there. It uses only the cloud's list and the worker's last heartbeat, so that the next leader decides
+ * alike.
  */
 internal class SlowStart(
     private val context: StepContext,
--- a/src/main/kotlin/burlridge/failover/DeclineReason.kt
+++ b/src/main/kotlin/burlridge/failover/DeclineReason.kt
@@ -16,12 +16,12 @@
         override val text: String get() = "it follows ${leader ?: "nobody"}"
     }
 
-    /** The state service currently rejects the requests of this member. */
+    /** The key-value store currently rejects the requests of this member. */
     data object StoreUnavailable : DeclineReason {
         override val text: String = "the state service refuses it"
     }
 
-    /** The state service did not grant a lease. */
+    /** The key-value store did not grant a lease. */
     data object LeaseNotGranted : DeclineReason {
         override val text: String = "it gets no lease"
     }
--- a/src/main/kotlin/burlridge/failover/Failover.kt
+++ b/src/main/kotlin/burlridge/failover/Failover.kt
@@ -14,7 +14,7 @@
 
 /**
  * Failure detection, standby replica and planned handover of one member, driven by the controller's `step`. A suspicion only triggers
- * preparations: no member leads until the fencing token in the state service allows it.
+ * preparations: no member leads until the fencing token in the key-value store allows it.
  */
 internal class Failover(
     private val context: StepContext,
@@ -121,10 +121,10 @@
 
     // --- leadership
 
-    /** Passes the rows for a new leader from the standby replica to [onResult]; null if they must be read from the state service. */
+    /** Passes the rows for a new leader from the standby replica to [onResult]; null if they must be read from the key-value store. */
     fun takeOverRows(onResult: (Map<String, Listing>?) -> Unit) = replica.takeOver(leadership.fencingToken, onResult)
 
-    /** Called when the new leader has loaded its rows, from the standby replica or from the state service. */
+    /** Called when the new leader has loaded its rows, from the standby replica or from the key-value store. */
     fun onRowsLoaded(
         rows: Int,
         fromReplica: Boolean,
--- a/src/main/kotlin/burlridge/failover/LeaderChangeEvent.kt
+++ b/src/main/kotlin/burlridge/failover/LeaderChangeEvent.kt
@@ -31,7 +31,7 @@
     data class RowsRead(
         val term: Long,
         val rows: Int,
-        /** False if the rows were read from the state service. */
+        /** False if the rows were read from the key-value store. */
         val fromReplica: Boolean,
     ) : LeaderChangeEvent
 
--- a/src/main/kotlin/burlridge/failover/Liveness.kt
+++ b/src/main/kotlin/burlridge/failover/Liveness.kt
@@ -9,7 +9,7 @@
     /** Silent for unusually long. This alone must not cause any action with an effect outside this member. */
     SUSPECTED("suspected"),
 
-    /** Silent, and the fencing token in the state service has moved past its term. */
+    /** Silent, and the fencing token in the key-value store has moved past its term. */
     FAILED("failed"),
 }
 
@@ -20,7 +20,7 @@
     /** Suspicion level, see [ArrivalWindow.suspicionLevel]. */
     val suspicionLevel: Double,
     val reason: String,
-    /** Time by the steady clock, in seconds; null if no heartbeat has arrived since this process started. */
+    /** Monotonic time, in seconds; null if no heartbeat has arrived since this process started. */
     val lastHeartbeatAt: Double?,
 )
 
--- a/src/main/kotlin/burlridge/failover/ReplicaAudit.kt
+++ b/src/main/kotlin/burlridge/failover/ReplicaAudit.kt
@@ -2,7 +2,7 @@
 
 import burlridge.store.Row
 
-/** A page of rows as listed by the state service: all keys after [afterKey], up to the last one or, unless [isTruncated], to the end. */
+/** A page of rows as listed by the key-value store: all keys after [afterKey], up to the last one or, unless [isTruncated], to the end. */
 internal data class AuditPage(
     val afterKey: String,
     val rows: List<Row>,
@@ -11,7 +11,7 @@
 )
 
 /**
- * Compares a page read from the state service with the replica. A difference counts only if the two revisions leave no other explanation,
+ * Compares a page read from the key-value store with the replica. A difference counts only if the two revisions leave no other explanation,
  * so a correct replica that is merely behind or ahead never fails.
  */
 internal object ReplicaAudit {
--- a/src/main/kotlin/burlridge/failover/ReplicaCatchUp.kt
+++ b/src/main/kotlin/burlridge/failover/ReplicaCatchUp.kt
@@ -13,7 +13,7 @@
         val listings: Map<String, Listing>,
     ) : CatchUpResult
 
-    /** The rows must be read from the state service. */
+    /** The rows must be read from the key-value store. */
     data class Failed(
         val fault: ReplicaFault,
     ) : CatchUpResult
--- a/src/main/kotlin/burlridge/failover/ReplicaFault.kt
+++ b/src/main/kotlin/burlridge/failover/ReplicaFault.kt
@@ -9,7 +9,7 @@
         override val text: String = "too large"
     }
 
-    /** The state service has compacted the changes since [revision]. */
+    /** The key-value store has compacted the changes since [revision]. */
     data class ChangesCompacted(
         val prefix: String,
         val revision: Long,
@@ -17,7 +17,7 @@
         override val text: String get() = "$prefix: the changes since $revision are not kept any more"
     }
 
-    /** The change feed failed repeatedly while the state service served other requests. */
+    /** The change feed failed repeatedly while the key-value store served other requests. */
     data class ChangesUnavailable(
         val prefix: String,
     ) : ReplicaFault {
@@ -134,7 +134,7 @@
     }
 }
 
-/** A difference between the replica and the state service that no concurrent change explains. */
+/** A difference between the replica and the key-value store that no concurrent change explains. */
 internal sealed interface AuditDifference {
     val text: String
 
--- a/src/main/kotlin/burlridge/failover/ReplicaRefresher.kt
+++ b/src/main/kotlin/burlridge/failover/ReplicaRefresher.kt
@@ -7,7 +7,7 @@
 import burlridge.store.StoreClient
 import burlridge.store.WatchResult
 
-/** Keeps the tables of a complete replica up to date from the state service's change feed, and audits a page of rows regularly. */
+/** Keeps the tables of a complete replica up to date from the key-value store's change feed, and audits a page of rows regularly. */
 internal class ReplicaRefresher(
     private val context: StepContext,
     private val store: StoreClient,
--- a/src/main/kotlin/burlridge/failover/ReplicaTable.kt
+++ b/src/main/kotlin/burlridge/failover/ReplicaTable.kt
@@ -138,7 +138,7 @@
     /** Whether all rows still match the digest that was updated along with the changes. */
     fun isIntact(): Boolean = rows.entries.sumOf { (key, row) -> hash(key, row) } == digest
 
-    /** Returns all rows in the order of their keys, as a listing of the state service does; null if a value cannot be parsed. */
+    /** Returns all rows in the order of their keys, as a listing of the key-value store does; null if a value cannot be parsed. */
     fun listing(): Listing? {
         val parsedRows =
             rows.entries.map { (key, row) ->
--- a/src/main/kotlin/burlridge/failover/StandbyReplica.kt
+++ b/src/main/kotlin/burlridge/failover/StandbyReplica.kt
@@ -8,7 +8,7 @@
 import burlridge.store.StoreClient
 
 /**
- * A follower's copy of the rows that a new leader needs, updated from the state service's change feed. At every revision it equals what a
+ * A follower's copy of the rows that a new leader needs, updated from the key-value store's change feed. At every revision it equals what a
  * full read at that revision would have returned. It is discarded on a gap, a contradiction, a failed audit or a wrong digest.
  */
 internal class StandbyReplica(
--- a/src/main/kotlin/burlridge/fleet/ScaleIn.kt
+++ b/src/main/kotlin/burlridge/fleet/ScaleIn.kt
@@ -26,12 +26,12 @@
 
     /** Returns machines that are dead, partitioned, overdue, or drained and empty. */
     fun returnLost(catalog: Catalog) {
-        val reportingZones = reportingZones()
+        val zonesWithHeartbeats = zonesWithHeartbeats()
         for (machine in workers.machines.values) {
             val type = catalog.types[machine.type] ?: continue
-            val isZoneReporting = machine.zone in reportingZones
+            val zoneHasHeartbeats = machine.zone in zonesWithHeartbeats
             val isOverdue = isOverdue(machine, type)
-            if (isZoneReporting) {
+            if (zoneHasHeartbeats) {
                 if (isSilentAndUnreachable(machine)) declareSilentDead(machine)
                 declareDeadIfUnresponsive(machine)
             }
@@ -100,22 +100,22 @@
         val isExpected = machine.isUp || registry.hasAllocationsOn(machine)
         if (!isExpected || machine.isDead || machine.isLeaseExpired || machine.isStarting) return false
         if (machine.consecutiveCommandFailures < MIN_COMMAND_FAILURES) return false
-        val silentUntil = machine.silentSince + workerSettings.reportSeconds * MAX_SILENT_REPORTS
+        val silentUntil = machine.silentSince + workerSettings.reportSeconds * MAX_SILENT_INTERVALS
         return workers.receivesHeartbeatsFrom(machine.zone) && context.now > silentUntil
     }
 
     /**
-     * Zones in which at least half of the machines report. In other zones the fault is more likely in this member or in the network than in
-     * a machine.
+     * Zones in which at least half of the machines send heartbeats. In other zones the fault is more likely in this member or in the
+     * network than in a machine.
      */
-    private fun reportingZones(): Set<String> =
+    private fun zonesWithHeartbeats(): Set<String> =
         workers.machines.values
             .filter { it.isUp && !it.isLeaseExpired }
             .groupBy { it.zone }
-            .filterValues { machines -> machines.count { isReporting(it) } >= machines.size * MIN_REPORTING_SHARE }
+            .filterValues { machines -> machines.count { sendsHeartbeats(it) } >= machines.size * MIN_SHARE_WITH_HEARTBEATS }
             .keys
 
-    private fun isReporting(machine: Machine): Boolean =
+    private fun sendsHeartbeats(machine: Machine): Boolean =
         machine.isResponsive && context.now < machine.lastMessageAt + workerSettings.reportSeconds * 2
 
     private fun returnMachines(machines: List<Machine>) {
@@ -195,9 +195,9 @@
         const val RETRY_SECONDS = 2.0
         const val MAX_MACHINES_PER_CALL = 100
         const val MAX_CALLS_PER_PLAN = 4
-        const val MAX_SILENT_REPORTS = 2.2
+        const val MAX_SILENT_INTERVALS = 2.2
         const val MIN_COMMAND_FAILURES = 2
-        const val MIN_REPORTING_SHARE = 0.5
+        const val MIN_SHARE_WITH_HEARTBEATS = 0.5
 
         /** A boot is given up after this many times the boot time of the machine type. */
         const val OVERDUE_BOOT_FACTOR = 3.0
--- a/src/main/kotlin/burlridge/leadership/LeaderLease.kt
+++ b/src/main/kotlin/burlridge/leadership/LeaderLease.kt
@@ -11,7 +11,7 @@
 internal class LeaderLease(
     private val context: StepContext,
     private val store: StoreClient,
-    /** Called when the state service reports that the lease of the current term no longer exists. */
+    /** Called when the key-value store reports that the lease of the current term no longer exists. */
     private val onExpired: () -> Unit,
 ) {
     private val workers = context.settings.workers
--- a/src/main/kotlin/burlridge/leadership/Leadership.kt
+++ b/src/main/kotlin/burlridge/leadership/Leadership.kt
@@ -66,12 +66,12 @@
 
     /**
      * Whether this leader may answer workers. That outlasts [holdsLease], to cover an outage that affects all members. A leader that
-     * receives messages from neither the state service nor any other member is itself partitioned, and its workers are better served by its
-     * successor.
+     * receives messages from neither the key-value store nor any other member is itself partitioned, and its workers are better served by
+     * its successor.
      */
     val mayAnswerWorkers: Boolean
-        get() = isLeader && context.now < lease.mayAnswerUntil && (holdsLease || settings.others.isEmpty() || !isIsolated)
-    private val isIsolated: Boolean get() = context.now > statuses.lastReceivedAt + lease.ttlSeconds
+        get() = isLeader && context.now < lease.mayAnswerUntil && (holdsLease || settings.others.isEmpty() || !isPartitioned)
+    private val isPartitioned: Boolean get() = context.now > statuses.lastReceivedAt + lease.ttlSeconds
 
     /** Monotonic time after which no other member can be answering workers under an earlier term, in seconds. */
     val formerLeadersAnswerUntil: Double get() = formerLeaders.answerUntil
--- a/src/main/kotlin/burlridge/message/PeerMessage.kt
+++ b/src/main/kotlin/burlridge/message/PeerMessage.kt
@@ -37,7 +37,7 @@
 
     /**
      * A request that the sender forwards for the receiver to handle: a request of a user, operator or worker, forwarded to the leader; a
-     * request of a user, forwarded to a member that reaches the state service; a request of an operator, forwarded to the member that it
+     * request of a user, forwarded to a member that reaches the key-value store; a request of an operator, forwarded to the member that it
      * names; or a worker command that the leader asks another member to send.
      */
     @Serializable
--- a/src/main/kotlin/burlridge/net/ClientConnections.kt
+++ b/src/main/kotlin/burlridge/net/ClientConnections.kt
@@ -2,8 +2,8 @@
 
 /**
  * The open connections from users, health checks and workers, the longest idle first. A machine that loses power never closes its
- * connection, so the connections of dead machines must be reclaimed. No others may be: a worker that is about to send a heartbeat would
- * lose it.
+ * connection, so the connections of dead machines must be reclaimed. No other connection may be: a worker that is about to send a
+ * heartbeat would lose it.
  */
 internal class ClientConnections<T : Any>(
     private val maxOpen: Int,
--- a/src/main/kotlin/burlridge/peer/PeerRequests.kt
+++ b/src/main/kotlin/burlridge/peer/PeerRequests.kt
@@ -23,7 +23,7 @@
         if (message is PeerMessage.Status) statuses[message.from] = message
     }
 
-    /** Returns a member that is not silent and whose last status said that it reaches the state service; null if there is none. */
+    /** Returns a member that is not silent and whose last status said that it reaches the key-value store; null if there is none. */
     fun memberReachingStore(): String? = statuses.values.firstOrNull { it.storeReachable && !isSilent(it.from) }?.from
 
     /** Whether [leader], in its last status, reported as leader that it receives no heartbeats from [zone]. */
--- a/src/main/kotlin/burlridge/settings/BalanceSettings.kt
+++ b/src/main/kotlin/burlridge/settings/BalanceSettings.kt
@@ -47,7 +47,7 @@
     val relieveHot: Boolean = true,
     /** The run time that a move off a hot machine must save beyond its cost, in heartbeat intervals. */
     val gainReports: Double = 2.0,
-    /** How long starts on a machine are limited after it joined or its worker restarted, in heartbeat intervals; 0 to disable. */
+    /** How long starts on a machine are limited after it joined or its worker began a new epoch, in heartbeat intervals; 0 to disable. */
     val coldReports: Double = 5.0,
     /** Number of tasks that may be starting at once on such a machine; twice the number of its running tasks if that is more. */
     val coldStarts: Int = 4,
--- a/src/main/kotlin/burlridge/worker/Heartbeat.kt
+++ b/src/main/kotlin/burlridge/worker/Heartbeat.kt
@@ -10,14 +10,14 @@
 import burlridge.settings.Endpoint
 import com.fasterxml.jackson.core.JsonParser
 
-/** A worker's report of its machine and of all tasks on it. A field that is absent or has the wrong type gets its default value. */
+/** State of a machine and of all tasks on it, sent by its worker. A field that is absent or has the wrong type gets its default value. */
 internal data class Heartbeat(
     val machine: String,
     val address: Endpoint? = null,
     val type: String? = null,
     val zone: String? = null,
     val spot: Boolean? = null,
-    /** Session number of the worker, which begins a new session without any tasks when its lease expires or it restarts. */
+    /** Agent epoch of the worker, which begins a new one, without any tasks, when its lease expires or it restarts. */
     val agentEpoch: Long = 0,
     /** Sequence number within the agent epoch; a higher one is newer. */
     val sequence: Long = 0,
--- a/src/main/kotlin/burlridge/worker/HeartbeatRelay.kt
+++ b/src/main/kotlin/burlridge/worker/HeartbeatRelay.kt
@@ -39,12 +39,12 @@
         if (leader == null) return respond(WorkerApi.redirectTo(null))
         val heartbeat = Heartbeat.decode(body) ?: return respond(HttpResponse.error(HttpStatus.BAD_REQUEST, "not a report"))
         val previous = redirected[heartbeat.machine]?.takeIf { it.leader == leader }
-        val cutOffWorker = previous?.takeIf { cannotReachLeader(it) }
+        val partitionedWorker = previous?.takeIf { cannotReachLeader(it) }
         // If the leader reports that it receives no heartbeats from the zone, its workers are relayed without being redirected first. A
         // worker that has been relayed for the duration of a lease is redirected once, to test whether it can reach the leader again.
         val relayWithoutRedirect = previous?.relayedSince == null && peers.leaderLacksHeartbeatsFrom(leader, heartbeat.zone.orEmpty())
-        val worker = cutOffWorker ?: RedirectedWorker(leader, context.now).also { redirected[heartbeat.machine] = it }
-        if (cutOffWorker == null && !relayWithoutRedirect) return respond(WorkerApi.redirectTo(leader))
+        val worker = partitionedWorker ?: RedirectedWorker(leader, context.now).also { redirected[heartbeat.machine] = it }
+        if (partitionedWorker == null && !relayWithoutRedirect) return respond(WorkerApi.redirectTo(leader))
         worker.relayedSince = worker.relayedSince ?: context.now
         peers.forward(leader, "POST", WorkerApi.HEARTBEAT_PATH, body, workerSettings.reportSeconds / 2) { response ->
             respond(response ?: WorkerApi.redirectTo(leader))
--- a/src/main/kotlin/burlridge/worker/LeaseMonitor.kt
+++ b/src/main/kotlin/burlridge/worker/LeaseMonitor.kt
@@ -39,7 +39,7 @@
     /** Whether the worker has seen a token of this leader. From then on it accepts no response of an earlier leader. */
     fun isFenced(machine: Machine): Boolean = FencingToken.termOf(machine.seenToken) == leadership.term
 
-    /** Returns the latest time, by the steady clock of this member, at which the lease can expire. */
+    /** Returns the latest time, by the monotonic clock of this member, at which the lease can expire. */
     private fun leaseExpiresAt(machine: Machine): Double {
         val leaseRenewedAt =
             if (isFenced(
--- a/src/main/kotlin/burlridge/worker/LossReason.kt
+++ b/src/main/kotlin/burlridge/worker/LossReason.kt
@@ -7,7 +7,7 @@
     /** No start was sent, and commands do not reach the machine. */
     MACHINE_UNREACHABLE("machine_unreachable"),
 
-    /** No start was sent, and the machine has stopped reporting. */
+    /** No start was sent, and the machine has stopped sending heartbeats. */
     MACHINE_SILENT("machine_silent"),
 
     /** No start was sent, and the machine sends heartbeats without having seen the required fencing token. */
--- a/src/main/kotlin/burlridge/worker/Machine.kt
+++ b/src/main/kotlin/burlridge/worker/Machine.kt
@@ -19,7 +19,7 @@
 
 /**
  * The leader's view of a machine, from its worker's heartbeats and from the cloud's machine list. Times are in seconds of this member's
- * steady clock; [NEVER] marks an event that has not happened.
+ * monotonic clock; [NEVER] marks an event that has not happened.
  */
 internal class Machine(
     val id: String,
--- a/src/main/kotlin/burlridge/worker/WorkerManager.kt
+++ b/src/main/kotlin/burlridge/worker/WorkerManager.kt
@@ -84,12 +84,12 @@
     fun isReachable(machine: Machine): Boolean = reachability.isReachable(machine)
 
     /**
-     * Whether direct heartbeats arrive from [zone]. If they do, a machine there that cannot be reached is itself dead or disconnected,
+     * Whether direct heartbeats arrive from [zone]. If they do, a machine there that cannot be reached is itself dead or partitioned,
      * rather than the whole zone.
      */
     fun receivesHeartbeatsFrom(zone: String): Boolean = reachability.receivesHeartbeatsFrom(zone)
 
-    /** Returns the zones with machines that have reported to this leader, but without a recent direct heartbeat. */
+    /** Returns the zones with machines that have sent a heartbeat to this leader, but without a recent direct heartbeat. */
     fun zonesWithoutHeartbeats(): List<String> = reachability.zonesWithoutHeartbeats(machines.values)
 
     /** Whether [machine] has sent neither a heartbeat nor a response for longer than a lost message explains. */
--- a/src/main/kotlin/burlridge/worker/ZoneReachability.kt
+++ b/src/main/kotlin/burlridge/worker/ZoneReachability.kt
@@ -46,12 +46,12 @@
         unansweredCommands.keys.filter { unansweredCommands.getInt(it) >= MIN_UNANSWERED_FOR_UNREACHABLE }
 
     /**
-     * Whether direct heartbeats arrive from [zone]. If they do, a machine there that cannot be reached is itself dead or disconnected,
+     * Whether direct heartbeats arrive from [zone]. If they do, a machine there that cannot be reached is itself dead or partitioned,
      * rather than the whole zone.
      */
     fun receivesHeartbeatsFrom(zone: String): Boolean = context.now < directHeartbeatAt.getDouble(zone) + reportSeconds / 2
 
-    /** Returns the zones with machines that have reported to this leader, but without a recent direct heartbeat. */
+    /** Returns the zones with machines that have sent a heartbeat to this leader, but without a recent direct heartbeat. */
     fun zonesWithoutHeartbeats(machines: Collection<Machine>): List<String> {
         val machineCounts = Object2IntOpenHashMap<String>()
         machines.forEach { if (it.isUp && !it.isLeaseExpired && !it.isDecommissioning) machineCounts.addTo(it.zone, 1) }
@@ -65,8 +65,8 @@
         const val MIN_UNANSWERED_FOR_UNREACHABLE = 4
 
         /**
-         * In a zone with at least this many machines, at least one of them reports within half a heartbeat interval; in a smaller zone,
-         * one reports within one and a quarter intervals.
+         * In a zone with at least this many machines, at least one of them sends a heartbeat within half a heartbeat interval; in a
+         * smaller zone, one does within one and a quarter intervals.
          */
         const val MIN_LARGE_ZONE_SIZE = 8
         const val MAX_GAP_LARGE_ZONE = 0.5
