--- a/src/main/kotlin/burlridge/failover/ReplicaAudit.kt
+++ b/src/main/kotlin/burlridge/failover/ReplicaAudit.kt
@@ -2,7 +2,7 @@
 
 import burlridge.store.Row
 
-/** A page of rows as listed by the key-value store: all keys after [afterKey], up to the last one or, unless [isTruncated], to the end. */
+/** A page of a listing: all rows after [afterKey], up to the last of [rows] if the page [isTruncated], otherwise to the end. */
 internal data class AuditPage(
     val afterKey: String,
     val rows: List<Row>,
--- a/src/main/kotlin/burlridge/fleet/PriceSelector.kt
+++ b/src/main/kotlin/burlridge/fleet/PriceSelector.kt
@@ -10,7 +10,7 @@
     /** Factor on the price of an indispensable type for jobs that can use another type. */
     private const val INDISPENSABLE_PRICE_FACTOR = 3.0
 
-    /** Number of tasks that fit on a machine as far as a resource is concerned that the tasks do not use. */
+    /** Number of tasks that fit into a resource that they do not use. */
     private const val UNBOUNDED_TASKS = 1e3
 
     private class PricedOffering(
--- a/src/main/kotlin/burlridge/fleet/Rental.kt
+++ b/src/main/kotlin/burlridge/fleet/Rental.kt
@@ -34,7 +34,7 @@
     /** When the cloud was called; when the row was loaded, if an earlier leader wrote it and may have made the call; 0 before. */
     var calledAt: Double = 0.0
 
-    /** When the outcome became known or the cloud's list had to show it; null before. */
+    /** When the outcome became known, or the cloud's list was certain to show the machines; null before. */
     var settledAt: Double? = null
 
     /** Number of machines that may still be granted and are not known yet. */
--- a/src/main/kotlin/burlridge/job/Resources.kt
+++ b/src/main/kotlin/burlridge/job/Resources.kt
@@ -35,7 +35,7 @@
         /** Tolerance for rounding errors in sums and differences. */
         private const val ROUNDING_TOLERANCE = 1e-9
 
-        /** Number of tasks that fit as far as a resource that they do not use is concerned. */
+        /** Number of tasks that fit into a resource that they do not use. */
         private const val UNCONSTRAINED_COUNT = 1e6
     }
 }
--- a/src/main/kotlin/burlridge/net/ClientConnections.kt
+++ b/src/main/kotlin/burlridge/net/ClientConnections.kt
@@ -49,7 +49,7 @@
         busy.remove(connection)
     }
 
-    /** Returns the longest idle connection if it has been idle for longer than that of a live worker ever is; otherwise null. */
+    /** Returns the longest idle connection if it has been idle for longer than the connection of a live worker ever is; otherwise null. */
     fun reclaimable(now: Double): T? =
         idleSince.entries
             .firstOrNull()
--- a/src/main/kotlin/burlridge/net/Connection.kt
+++ b/src/main/kotlin/burlridge/net/Connection.kt
@@ -92,7 +92,7 @@
         }
     }
 
-    /** Leaves what arrives before the last request is answered in the socket, so that responses are sent in the order of the requests. */
+    /** Reads the next request, or leaves it in the socket until the last one is answered, so that responses are sent in order. */
     private fun readOrWait() {
         if (isAwaitingResponse) key.interestOpsAnd(READ.inv()) else readRequest()
     }
