--- a/src/main/kotlin/burlridge/net/ClientConnections.kt
+++ b/src/main/kotlin/burlridge/net/ClientConnections.kt
@@ -2,8 +2,8 @@
 
 /**
  * The open connections from users, health checks and workers, the longest idle first. A machine that loses power never closes its
- * connection, so the connections of dead machines must be reclaimed. No others may be: a worker that is about to send a heartbeat would
- * lose it.
+ * connection, so the connections of dead machines must be reclaimed. No other connection may be: a worker that is about to send a
+ * heartbeat would lose it.
  */
 internal class ClientConnections<T : Any>(
     private val maxOpen: Int,
@@ -49,7 +49,7 @@
         busy.remove(connection)
     }
 
-    /** Returns the longest idle connection if it has been idle for longer than that of a live worker ever is; otherwise null. */
+    /** Returns the longest idle connection if it has been idle for longer than the connection of a live worker ever is; otherwise null. */
     fun reclaimable(now: Double): T? =
         idleSince.entries
             .firstOrNull()
