--- a/src/test/kotlin/burlridge/allocation/ProductionTest.kt
+++ b/src/test/kotlin/burlridge/allocation/ProductionTest.kt
@@ -113,7 +113,10 @@
         }
     }
 
-    /** Covers connections between members: production closes one on an unknown kind, so it is sent none; this version keeps its open. */
+    /**
+     * Covers connections between members: the version in production closes a connection on which a message of an unknown kind arrives, so
+     * it must be sent none; this version keeps the connection open.
+     */
     @Test
     fun `a message of an unknown kind decodes to null, and an unknown field is ignored`() {
         val known = HexFormat.of().parseHex(lines("messages.txt").last().substringBefore(' '))
--- a/src/test/kotlin/burlridge/balance/BalanceInputTest.kt
+++ b/src/test/kotlin/burlridge/balance/BalanceInputTest.kt
@@ -148,8 +148,8 @@
             assertEquals(400, cluster.requestAndWait(member, "POST", drain, """{"network":"10.1.0.0/40"}""").first)
             assertEquals(405, cluster.requestAndWait(member, "GET", drain).first)
             assertEquals(405, cluster.requestAndWait(member, "POST", MachineRequests.STATUS).first)
-            val (status, answer) = cluster.requestAndWait(member, "POST", drain, """{"machine":"m-999999"}""")
-            assertEquals(409 to "unknown machine m-999999", status to answer.path("error").asText())
+            val (status, response) = cluster.requestAndWait(member, "POST", drain, """{"machine":"m-999999"}""")
+            assertEquals(409 to "unknown machine m-999999", status to response.path("error").asText())
             assertEquals(
                 "unknown zone q",
                 cluster
--- a/src/test/kotlin/burlridge/balance/BalanceMeasurement.kt
+++ b/src/test/kotlin/burlridge/balance/BalanceMeasurement.kt
@@ -37,7 +37,7 @@
     val lostSeconds: Double,
     /** Time until the last task of the sweep ended. */
     val sweepSeconds: Double,
-    val breaches: List<String>,
+    val violations: List<String>,
 )
 
 /** Results of one drain of a third of the machines. */
@@ -47,7 +47,7 @@
     val drainedSeconds: Double,
     val waits: List<Double>,
     val moves: Int,
-    val breaches: List<String>,
+    val violations: List<String>,
 )
 
 internal fun List<Double>.quantile(fraction: Double): Double =
@@ -154,7 +154,7 @@
             cluster.history.taskRuns
                 .filter { run -> sweep.any { run.task.startsWith(it.id) } }
                 .maxOf { it.until } - BURST_AT,
-            breaches(cluster, all),
+            violations(cluster, all),
         )
     }
 
@@ -201,7 +201,7 @@
         }
     }
 
-    private fun breaches(
+    private fun violations(
         cluster: SimulatedCluster,
         jobs: List<JobSpec>,
     ): List<String> =
@@ -237,7 +237,7 @@
             drainedSeconds,
             waits(cluster, previews),
             cluster.history.stops.size,
-            breaches(
+            violations(
                 cluster,
                 sweep + previews,
             ),
@@ -302,5 +302,5 @@
     val report = BalanceMeasurementReport(seeds.last, bursts, drains)
     println(report.text())
     File(args[0]).writeText(report.html())
-    exitProcess(if ((bursts.flatMap { it.breaches } + drains.flatMap { it.breaches }).isEmpty()) 0 else 1)
+    exitProcess(if ((bursts.flatMap { it.violations } + drains.flatMap { it.violations }).isEmpty()) 0 else 1)
 }
--- a/src/test/kotlin/burlridge/balance/BalanceMeasurementReport.kt
+++ b/src/test/kotlin/burlridge/balance/BalanceMeasurementReport.kt
@@ -68,7 +68,7 @@
                     "%.1f".format(runs.mean { it.moves.toDouble() }),
                     "%.1f".format(runs.mean { it.lostSeconds }),
                     "%.1f".format(runs.mean { it.sweepSeconds }),
-                    "${runs.sumOf { it.breaches.size }}",
+                    "${runs.sumOf { it.violations.size }}",
                 )
             }
         }
@@ -84,7 +84,7 @@
                 "%.1f (%.1f)".format(runs.map { it.drainedSeconds }.average(), runs.maxOf { it.drainedSeconds }),
                 quantiles(runs.flatMap { it.waits }),
                 "%.0f".format(runs.map { it.moves }.average()),
-                "${runs.sumOf { it.breaches.size }}",
+                "${runs.sumOf { it.violations.size }}",
             )
         }
 
--- a/src/test/kotlin/burlridge/balance/BalanceScheduleTest.kt
+++ b/src/test/kotlin/burlridge/balance/BalanceScheduleTest.kt
@@ -58,7 +58,7 @@
             val abort = if (seededRandom.nextInt(5) == 0) 4.0 + seededRandom.nextDouble() * 40 else null
             cluster.clock.after(15.0 + i * 2.0) { cluster.submit(job, abort) }
         }
-        cluster.cutsHoldPackets = seededRandom.nextBoolean()
+        cluster.partitionsHoldPackets = seededRandom.nextBoolean()
         cluster.savesFail = seededRandom.nextInt(4) == 0
         val leaders = HashSet<String>()
         cluster.onLeaderChange = { leaders += it }
@@ -103,8 +103,8 @@
             0 -> cluster.crash(member, seededRandom.nextDouble() * 4)
             1 -> cluster.freeze(member, 0.2 + seededRandom.nextDouble() * 10)
             2 -> cluster.pauseMidStep(member, 1.0 + seededRandom.nextDouble() * 30)
-            3 -> cluster.cut(member, "state", 1.0 + seededRandom.nextDouble() * 15)
-            4 -> cluster.cutFromPeers(member, 1.0 + seededRandom.nextDouble() * 15)
+            3 -> cluster.partition(member, "state", 1.0 + seededRandom.nextDouble() * 15)
+            4 -> cluster.partitionFromPeers(member, 1.0 + seededRandom.nextDouble() * 15)
             5 -> cluster.refuseStateRequests(member, 1.0 + seededRandom.nextDouble() * 10)
             6 -> cluster.state.outage(0.5 + seededRandom.nextDouble() * 10)
             7 -> loseResponses(cluster, seededRandom)
@@ -119,7 +119,7 @@
         seededRandom: Random,
     ) {
         val until = cluster.clock.now + 10.0
-        cluster.duplicateReportAfter = { if (cluster.clock.now < until) 2.0 + seededRandom.nextDouble() * 30 else null }
+        cluster.duplicateHeartbeatAfter = { if (cluster.clock.now < until) 2.0 + seededRandom.nextDouble() * 30 else null }
     }
 
     private fun loseResponses(
@@ -131,7 +131,7 @@
             val isAffected = cluster.clock.now < until && !call.path.startsWith("/follow") && seededRandom.nextBoolean()
             if (isAffected) {
                 listOf(
-                    SimulatedCluster.CallFault.ANSWER_LOST,
+                    SimulatedCluster.CallFault.RESPONSE_LOST,
                     SimulatedCluster.CallFault.DELAYED,
                     SimulatedCluster.CallFault.REFUSED,
                 ).random(seededRandom)
--- a/src/test/kotlin/burlridge/balance/DrainTest.kt
+++ b/src/test/kotlin/burlridge/balance/DrainTest.kt
@@ -94,14 +94,14 @@
         val jobs = cluster.submitAll((0 until 8).map { cluster.checkpointingJob(it, 3) }, 15.0)
         cluster.run(30.0)
         val leader = cluster.leader() ?: error("no leader")
-        val cut = cluster.members.first { it != leader }
+        val partitionedMember = cluster.members.first { it != leader }
         // The forwarded request is lost, because the member is partitioned from all others.
-        cluster.cutFromPeers(cut, 20.0)
-        val (status, answer) = cluster.requestAndWait(cut, "POST", MachineRequests.DRAIN, """{"zone":"a"}""")
+        cluster.partitionFromPeers(partitionedMember, 20.0)
+        val (status, response) = cluster.requestAndWait(partitionedMember, "POST", MachineRequests.DRAIN, """{"zone":"a"}""")
         assertEquals(503, status)
-        assertTrue("does not answer" in answer.path("error").asText(), answer.toString())
+        assertTrue("does not answer" in response.path("error").asText(), response.toString())
         assertEquals(null, cluster.drainStateOf("zone/a"))
-        cluster.drainZone("a", { cut })
+        cluster.drainZone("a", { partitionedMember })
         cluster.run(150.0)
         cluster.assertNoViolations(jobs)
         assertEquals(1, cluster.log.count { "drain changed zone=a state=requested" in it }, cluster.recentLog())
@@ -114,9 +114,9 @@
         val elsewhere = cluster.job(2, 1, runSeconds = 60.0, zone = "b")
         cluster.clock.after(12.0) { listOf(guaranteed, elsewhere).forEach { cluster.submit(it) } }
         cluster.run(45.0)
-        val (status, answer) = cluster.requestAndWait(cluster.anyMember(), "POST", MachineRequests.DRAIN, """{"zone":"a"}""")
-        assertEquals(409, status, answer.toString())
-        assertTrue("j-000001" in answer.path("error").asText(), answer.toString())
+        val (status, response) = cluster.requestAndWait(cluster.anyMember(), "POST", MachineRequests.DRAIN, """{"zone":"a"}""")
+        assertEquals(409, status, response.toString())
+        assertTrue("j-000001" in response.path("error").asText(), response.toString())
         assertEquals(200, cluster.requestAndWait(cluster.anyMember(), "POST", MachineRequests.DRAIN, """{"zone":"a","force":true}""").first)
         cluster.run(50.0)
         assertEquals("draining", cluster.drainStateOf("zone/a"), "a task without checkpoints must run to its end")
@@ -166,7 +166,7 @@
         assertEquals(1, cluster.log.count { "straggler machine evicted machine=$slow " in it }, cluster.recentLog())
     }
 
-    /** Guards the condition on the row's own revision: the fence alone admits every delayed copy of the same leader's writes. */
+    /** Guards the condition on the row's own revision: the fencing token alone admits every delayed copy of the same leader's writes. */
     @Test
     fun `delayed copies of a drain's writes that arrive after its cancellation change nothing`() {
         val cluster = clusterWithBalance(9)
@@ -225,8 +225,8 @@
         val jobs = cluster.submitAll((0 until 20).map { cluster.checkpointingJob(it, 2, runSeconds = 10.0) }, 30.0, everySeconds = 3.0)
         cluster.run(25.0)
         val isCovered = { machine: String -> machine.removePrefix("m-").toInt() in 16..31 }
-        val (status, answer) = cluster.requestAndWait("drover-1", "POST", MachineRequests.DRAIN, """{"network":"10.1.0.18/28"}""")
-        assertEquals(200 to "10.1.0.16/28", status to answer.path("network").asText())
+        val (status, response) = cluster.requestAndWait("drover-1", "POST", MachineRequests.DRAIN, """{"network":"10.1.0.18/28"}""")
+        assertEquals(200 to "10.1.0.16/28", status to response.path("network").asText())
         val before = cluster.cloud.rentalRequests.size
         cluster.clock.after(10.0) { cluster.leader()?.let { cluster.crash(it, 3.0) } }
         cluster.run(140.0)
--- a/src/test/kotlin/burlridge/balance/HotspotMitigationTest.kt
+++ b/src/test/kotlin/burlridge/balance/HotspotMitigationTest.kt
@@ -168,7 +168,7 @@
         val (_, others) = partitionedCluster.startWithSlowMachines(slowness = 1.55, slowCount = 2)
         partitionedCluster.run(36.0)
         val zone = partitionedCluster.cloud.machineIds().filter { partitionedCluster.cloud.worker(it)?.zone == "b" }
-        zone.forEach { machine -> partitionedCluster.members.forEach { partitionedCluster.cut(machine, it, 30.0) } }
+        zone.forEach { machine -> partitionedCluster.members.forEach { partitionedCluster.partition(machine, it, 30.0) } }
         partitionedCluster.run(60.0)
         assertTrue(
             partitionedCluster.movesWithReason(MoveReason.HOT).none {
--- a/src/test/kotlin/burlridge/balance/MoveTest.kt
+++ b/src/test/kotlin/burlridge/balance/MoveTest.kt
@@ -24,7 +24,7 @@
         CLEANUP({ it.path == "/multi" && "\"remove\":\"move/" in it.body.orEmpty() }),
     }
 
-    private enum class Fault { KILLED, FROZEN, CUT_OFF, REFUSED, ANSWER_LOST, LATE }
+    private enum class Fault { KILLED, FROZEN, PARTITIONED, REFUSED, RESPONSE_LOST, LATE }
 
     private fun SimulatedCluster.injectFault(
         name: String,
@@ -33,7 +33,7 @@
         when (fault) {
             Fault.KILLED -> crash(name, 4.0)
             Fault.FROZEN -> freeze(name, 9.0)
-            Fault.CUT_OFF -> listOf("state").plus(members.filter { it != name }).forEach { cut(name, it, 12.0) }
+            Fault.PARTITIONED -> listOf("state").plus(members.filter { it != name }).forEach { partition(name, it, 12.0) }
             Fault.REFUSED -> refuseStateRequests(name, 8.0)
             else -> Unit
         }
@@ -51,11 +51,11 @@
     ): () -> Int {
         val affectedMembers = HashSet<String>()
         cluster.onCall = { name, call ->
-            val isHit = cluster.clock.now > 40.0 && step.matches(call) && affectedMembers.size < 2 && affectedMembers.add(name)
-            if (isHit) cluster.clock.after(if (before) 0.0 else 0.004) { cluster.injectFault(name, fault) }
+            val isAffected = cluster.clock.now > 40.0 && step.matches(call) && affectedMembers.size < 2 && affectedMembers.add(name)
+            if (isAffected) cluster.clock.after(if (before) 0.0 else 0.004) { cluster.injectFault(name, fault) }
             when {
-                isHit && fault == Fault.ANSWER_LOST -> SimulatedCluster.CallFault.ANSWER_LOST
-                isHit && fault == Fault.LATE -> SimulatedCluster.CallFault.DELAYED
+                isAffected && fault == Fault.RESPONSE_LOST -> SimulatedCluster.CallFault.RESPONSE_LOST
+                isAffected && fault == Fault.LATE -> SimulatedCluster.CallFault.DELAYED
                 else -> SimulatedCluster.CallFault.NONE
             }
         }
@@ -143,7 +143,7 @@
                 if (Step.STOP.matches(call) &&
                     stopCount++ % 2 == 0
                 ) {
-                    SimulatedCluster.CallFault.ANSWER_LOST
+                    SimulatedCluster.CallFault.RESPONSE_LOST
                 } else {
                     SimulatedCluster.CallFault.NONE
                 }
@@ -188,7 +188,7 @@
     @Test
     fun `heartbeats of the source that arrive a lease late change nothing`() {
         val cluster = clusterWithBalance(3)
-        cluster.duplicateReportAfter = { if (cluster.clock.now in 38.0..60.0) 2.0 + cluster.random.nextDouble() * 30 else null }
+        cluster.duplicateHeartbeatAfter = { if (cluster.clock.now in 38.0..60.0) 2.0 + cluster.random.nextDouble() * 30 else null }
         val jobs = cluster.submitAll((0 until 8).map { cluster.checkpointingJob(it, 4) }, 20.0)
         cluster.clock.after(40.0) { cluster.drainZone("a") }
         cluster.clock.after(44.0) { cluster.leader()?.let { cluster.freeze(it, 10.0) } }
@@ -308,7 +308,7 @@
         val report = cluster.report()
         assertEquals(4, report.path("damaged_rows").size(), report.toString())
         assertEquals(Json.parse("{}"), cluster.state.value("drain/zone/b"))
-        val (status, answer) = cluster.requestAndWait("drover-0", "POST", MachineRequests.DRAIN, """{"zone":"b","force":true}""")
-        assertTrue(status == 409 && "damaged" in answer.path("error").asText(), answer.toString())
+        val (status, response) = cluster.requestAndWait("drover-0", "POST", MachineRequests.DRAIN, """{"zone":"b","force":true}""")
+        assertTrue(status == 409 && "damaged" in response.path("error").asText(), response.toString())
     }
 }
--- a/src/test/kotlin/burlridge/balance/OperatorActions.kt
+++ b/src/test/kotlin/burlridge/balance/OperatorActions.kt
@@ -52,7 +52,7 @@
     method: String,
     path: String,
     body: String = "",
-    onResult: (status: Int, answer: JsonNode) -> Unit,
+    onResult: (status: Int, response: JsonNode) -> Unit,
 ) = request("operator", member, method, path, body, 5.0) { status, text -> onResult(status, Json.parseOrNull(text) ?: Json.obj {}) }
 
 /** Requests a drain of [zone], repeats the request until it is accepted, and expects the drain to be honoured from then on. */
@@ -94,10 +94,10 @@
     path: String,
     body: String = "",
 ): Pair<Int, JsonNode> {
-    var answer: Pair<Int, JsonNode>? = null
-    sendRequest(member, method, path, body) { status, node -> answer = status to node }
-    while (answer == null) run(clock.now + 0.1)
-    return checkNotNull(answer) { "no answer" }
+    var response: Pair<Int, JsonNode>? = null
+    sendRequest(member, method, path, body) { status, node -> response = status to node }
+    while (response == null) run(clock.now + 0.1)
+    return checkNotNull(response) { "no response" }
 }
 
 internal fun SimulatedCluster.report(): JsonNode = requestAndWait(leader() ?: anyMember(), "GET", MachineRequests.STATUS).second
--- a/src/test/kotlin/burlridge/failover/FailoverInputTest.kt
+++ b/src/test/kotlin/burlridge/failover/FailoverInputTest.kt
@@ -19,7 +19,7 @@
 
 /** Invalid and unexpected input from unknown senders, from other versions and from operators. */
 internal class FailoverInputTest {
-    private fun SimulatedCluster.sendRequest(
+    private fun SimulatedCluster.requestAndWait(
         member: String,
         method: String,
         path: String,
@@ -76,7 +76,7 @@
         assertEquals(53, cluster.counters("drover-0")["failover.heartbeats_refused"])
         cluster.run(20.0)
         assertEquals(1, cluster.log.count { "heartbeats refused" in it }, cluster.log.filter { "heartbeat" in it }.toString())
-        val reports = cluster.sendRequest("drover-0", "GET", MemberRequests.STATUS).second.path("members")
+        val reports = cluster.requestAndWait("drover-0", "GET", MemberRequests.STATUS).second.path("members")
         assertEquals(listOf("drover-1", "drover-2"), reports.map { it.path("member").asText() })
         assertTrue(reports.all { it.path("state").asText() == "alive" }, reports.toString())
     }
@@ -120,33 +120,33 @@
         cluster.run(10.0)
         val leader = cluster.leader()!!
         val (other, third) = cluster.members.filter { it != leader }
-        val (status, report) = cluster.sendRequest(other, "GET", MemberRequests.STATUS)
+        val (status, report) = cluster.requestAndWait(other, "GET", MemberRequests.STATUS)
         assertEquals(200, status)
         assertEquals(leader, report.path("leader").asText())
         val text = FailoverReportFormatter.describe(report)
         assertTrue("leader $leader, term 1" in text && "$third alive" in text, text)
-        assertEquals(405, cluster.sendRequest(other, "POST", MemberRequests.STATUS).first)
-        assertEquals(405, cluster.sendRequest(other, "GET", MemberRequests.DRAIN).first)
-        assertEquals(404, cluster.sendRequest(other, "GET", "/admin/other").first)
-        val (unknownStatus, unknownBody) = cluster.sendRequest(other, "POST", MemberRequests.DRAIN + "/drover-9")
+        assertEquals(405, cluster.requestAndWait(other, "POST", MemberRequests.STATUS).first)
+        assertEquals(405, cluster.requestAndWait(other, "GET", MemberRequests.DRAIN).first)
+        assertEquals(404, cluster.requestAndWait(other, "GET", "/admin/other").first)
+        val (unknownStatus, unknownBody) = cluster.requestAndWait(other, "POST", MemberRequests.DRAIN + "/drover-9")
         assertEquals(409 to "drover-9 is not drained: there is no member drover-9", unknownStatus to unknownBody.path("error").asText())
         cluster.crash(third, 1000.0)
         cluster.run(cluster.clock.now + 10.0)
-        val (notAliveStatus, notAliveBody) = cluster.sendRequest(other, "POST", MemberRequests.DRAIN + "/$third")
+        val (notAliveStatus, notAliveBody) = cluster.requestAndWait(other, "POST", MemberRequests.DRAIN + "/$third")
         assertEquals(409, notAliveStatus)
         assertTrue("$third is suspected" in notAliveBody.path("error").asText(), notAliveBody.toString())
-        assertEquals(200, cluster.sendRequest(other, "POST", MemberRequests.DRAIN + "/$leader").first)
+        assertEquals(200, cluster.requestAndWait(other, "POST", MemberRequests.DRAIN + "/$leader").first)
         cluster.run(cluster.clock.now + 5.0)
         assertEquals(other, cluster.leader(), cluster.log.takeLast(20).joinToString("\n"))
-        assertEquals(200, cluster.sendRequest(leader, "POST", MemberRequests.DRAIN).first, "a repeated drain request is accepted")
+        assertEquals(200, cluster.requestAndWait(leader, "POST", MemberRequests.DRAIN).first, "a repeated drain request is accepted")
         assertTrue(
             cluster
-                .sendRequest(leader, "GET", MemberRequests.STATUS)
+                .requestAndWait(leader, "GET", MemberRequests.STATUS)
                 .second
                 .path("drained")
                 .asBoolean(),
         )
-        val (lastStatus, lastBody) = cluster.sendRequest(other, "POST", MemberRequests.DRAIN)
+        val (lastStatus, lastBody) = cluster.requestAndWait(other, "POST", MemberRequests.DRAIN)
         assertEquals(409 to "$other is not drained: no other member is alive to take over", lastStatus to lastBody.path("error").asText())
     }
 
@@ -154,8 +154,8 @@
     fun `without failover the status and drain paths do not exist`() {
         val cluster = SimulatedCluster(4)
         cluster.run(10.0)
-        assertEquals(404, cluster.sendRequest("drover-0", "GET", MemberRequests.STATUS).first)
-        assertEquals(404, cluster.sendRequest("drover-0", "POST", MemberRequests.DRAIN).first)
+        assertEquals(404, cluster.requestAndWait("drover-0", "GET", MemberRequests.STATUS).first)
+        assertEquals(404, cluster.requestAndWait("drover-0", "POST", MemberRequests.DRAIN).first)
     }
 
     @Test
--- a/src/test/kotlin/burlridge/failover/FailoverScenario.kt
+++ b/src/test/kotlin/burlridge/failover/FailoverScenario.kt
@@ -21,7 +21,7 @@
     (0 until count).map { i -> job(i, 3, runSeconds = 6.0 + i % 5).also { clock.after(5.0 + i * 1.5) { submit(it) } } }
 
 /** Asserts that no invariant was broken, no two members led at once, and each of [jobs] has one final state, the same from all members. */
-internal fun SimulatedCluster.assertCorrect(jobs: List<JobSpec>) {
+internal fun SimulatedCluster.assertNoViolations(jobs: List<JobSpec>) {
     assertEquals(emptyList<String>(), invariants.violations, logTail())
     assertEquals(emptyList<String>(), simultaneousLeaders, logTail())
     assertEquals(emptyList<String>(), history.violations(jobs.map { it.id }), logTail())
--- a/src/test/kotlin/burlridge/failover/FailureDetectorTest.kt
+++ b/src/test/kotlin/burlridge/failover/FailureDetectorTest.kt
@@ -43,15 +43,15 @@
         assertEquals(1, detector.falseSuspicions)
     }
 
-    /** Guards the adaptation to the usual interval: a silence that is usual on a slow link raises a suspicion on a steady one only. */
+    /** Guards the adaptation to the usual interval: a silence that is usual on a slow link raises a suspicion only on a fast one. */
     @Test
     fun `the silence that raises a suspicion depends on the usual interval`() {
         runFor(60.0, listOf("one"), intervalSeconds = 2.0)
         assertEquals(emptyList<LivenessChange>(), runFor(2.0, emptyList()).filter { it.member == "one" })
-        val steady = FailureDetector(listOf("one"), INTERVAL_SECONDS, 4.0)
-        repeat(100) { steady.recordHeartbeat("one", 1, it.toLong(), it * INTERVAL_SECONDS) }
+        val fastLinkDetector = FailureDetector(listOf("one"), INTERVAL_SECONDS, 4.0)
+        repeat(100) { fastLinkDetector.recordHeartbeat("one", 1, it.toLong(), it * INTERVAL_SECONDS) }
         var time = 99 * INTERVAL_SECONDS
-        while (steady.tick(time).isEmpty()) time += 0.1
+        while (fastLinkDetector.tick(time).isEmpty()) time += 0.1
         assertTrue(time - 99 * INTERVAL_SECONDS < 2.0, "suspected only after ${time - 99 * INTERVAL_SECONDS} s")
     }
 
--- a/src/test/kotlin/burlridge/failover/HandoverScheduleTest.kt
+++ b/src/test/kotlin/burlridge/failover/HandoverScheduleTest.kt
@@ -32,7 +32,7 @@
             val abortAfter = if (seededRandom.nextInt(5) == 0) 4.0 + seededRandom.nextDouble() * 25 else null
             cluster.clock.after(5.0 + i * 2.2) { cluster.submit(job, abortAfter) }
         }
-        cluster.cutsHoldPackets = seededRandom.nextBoolean()
+        cluster.partitionsHoldPackets = seededRandom.nextBoolean()
         repeat(3) { round ->
             cluster.clock.after(14.0 + round * 14.0 + seededRandom.nextDouble() * 4) {
                 val leader = cluster.leader() ?: return@after
@@ -72,8 +72,8 @@
             0 -> cluster.crash(target, seededRandom.nextDouble() * 4)
             1 -> cluster.freeze(target, 0.2 + seededRandom.nextDouble() * 8)
             2 -> cluster.pauseMidStep(target, 1.0 + seededRandom.nextDouble() * 40)
-            3 -> cluster.cut(target, "state", 1.0 + seededRandom.nextDouble() * 15)
-            4 -> cluster.cut(leader, successor, 1.0 + seededRandom.nextDouble() * 15)
+            3 -> cluster.partition(target, "state", 1.0 + seededRandom.nextDouble() * 15)
+            4 -> cluster.partition(leader, successor, 1.0 + seededRandom.nextDouble() * 15)
             5 -> cluster.refuseStateRequests(target, 1.0 + seededRandom.nextDouble() * 10)
             6 -> cluster.state.outage(0.5 + seededRandom.nextDouble() * 12)
             7 -> loseTransactionResponses(cluster, seededRandom)
@@ -90,7 +90,7 @@
             val isAffected = cluster.clock.now < until && call.path.startsWith("/multi") && seededRandom.nextBoolean()
             if (isAffected) {
                 listOf(
-                    SimulatedCluster.CallFault.ANSWER_LOST,
+                    SimulatedCluster.CallFault.RESPONSE_LOST,
                     SimulatedCluster.CallFault.DELAYED,
                     SimulatedCluster.CallFault.REFUSED,
                 ).random(seededRandom)
--- a/src/test/kotlin/burlridge/failover/HandoverTest.kt
+++ b/src/test/kotlin/burlridge/failover/HandoverTest.kt
@@ -40,7 +40,7 @@
             cluster.leader()?.let(cluster::drain)
         }
         cluster.run(120.0)
-        cluster.assertCorrect(jobs)
+        cluster.assertNoViolations(jobs)
         assertNotEquals(drained, cluster.leader())
         assertTrue(longestGap() < 0.5, "without a leader for ${longestGap()} s\n${cluster.logTail()}")
         assertEquals(1, cluster.logLineCount("handed over by"))
@@ -62,7 +62,7 @@
             }
         }
         cluster.run(180.0)
-        cluster.assertCorrect(jobs)
+        cluster.assertNoViolations(jobs)
         assertEquals(7, leaders.size, leaders.toString())
         assertEquals(leaders.size - 1, leaders.zipWithNext().count { (one, next) -> one != next }, leaders.toString())
         assertEquals(0, cluster.logLineCount("task lost"), "a task was lost")
@@ -93,7 +93,7 @@
                 }
             cluster.clock.after(20.0 + seed * 0.13) { cluster.leader()?.let { cluster.pauseMidStep(it, 60.0) } }
             cluster.run(180.0)
-            cluster.assertCorrect(jobs)
+            cluster.assertNoViolations(jobs)
             assertEquals(1, cluster.midStepPauses, "seed $seed")
             assertEquals(emptyList<String>(), cluster.lateSends, "seed $seed")
         }
@@ -125,13 +125,13 @@
             cluster.clock.after(20.0) { cluster.leader()?.let(cluster::drain) }
             cluster.run(160.0)
             assertNotEquals(null, frozenSuccessor)
-            cluster.assertCorrect(jobs)
+            cluster.assertNoViolations(jobs)
             assertTrue(cluster.log.any { "leader elected" in it && "term=3 " in it }, cluster.logTail())
         }
     }
 
     @Test
-    fun `a slow leader hands over by itself, a steady one does not`() {
+    fun `a leader that stalls repeatedly hands over by itself`() {
         val cluster = failoverCluster(8, OperatorSettings(failover = FailoverSettings(slowStalls = 3)))
         val jobs = cluster.submitJobs()
         var slowLeader: String? = null
@@ -140,7 +140,7 @@
             repeat(4) { i -> cluster.clock.after(i * 1.2) { slowLeader?.let { if (cluster.leader() == it) cluster.freeze(it, 0.9) } } }
         }
         cluster.run(120.0)
-        cluster.assertCorrect(jobs)
+        cluster.assertNoViolations(jobs)
         assertTrue(cluster.handoversStarted("it stood still") >= 1, cluster.logTail())
         assertNotEquals(slowLeader, cluster.leader())
     }
@@ -152,7 +152,7 @@
         val jobs = cluster.submitJobs()
         cluster.clock.after(20.0) { cluster.leader()?.let(cluster::drain) }
         cluster.run(140.0)
-        cluster.assertCorrect(jobs)
+        cluster.assertNoViolations(jobs)
     }
 
     @Test
@@ -161,7 +161,7 @@
         val jobs = cluster.submitJobs(5)
         cluster.clock.after(10.0) { cluster.leader()?.let(cluster::drain) }
         cluster.run(60.0)
-        cluster.assertCorrect(jobs)
+        cluster.assertNoViolations(jobs)
         assertEquals(
             emptySet<String>(),
             cluster.members
--- a/src/test/kotlin/burlridge/failover/ReplicaTakeoverTest.kt
+++ b/src/test/kotlin/burlridge/failover/ReplicaTakeoverTest.kt
@@ -15,7 +15,7 @@
         cluster.clock.after(20.0) { cluster.leader()?.let(cluster::drain) }
         cluster.clock.after(40.0) { cluster.leader()?.let { cluster.crash(it, 5.0) } }
         cluster.run(140.0)
-        cluster.assertCorrect(jobs)
+        cluster.assertNoViolations(jobs)
         val fromReplica = cluster.members.sumOf { cluster.counters(it)["failover.rows_from_replica"] ?: 0L }
         assertTrue(fromReplica > 0, cluster.counters("drover-0").toString())
     }
@@ -26,10 +26,10 @@
         val cluster = failoverCluster(11)
         val jobs = cluster.submitJobs(40)
         var omittedChanges = 0
-        cluster.state.tamperWithChanges = { prefix, answer ->
-            val removalIndex = answer.path("events").indexOfFirst { it.has("remove") }
+        cluster.state.tamperWithChanges = { prefix, response ->
+            val removalIndex = response.path("events").indexOfFirst { it.has("remove") }
             if (prefix == "live/" && cluster.clock.now > 20.0 && omittedChanges < 5 && removalIndex >= 0) {
-                (answer.path("events") as ArrayNode).remove(removalIndex)
+                (response.path("events") as ArrayNode).remove(removalIndex)
                 omittedChanges++
             }
         }
@@ -37,7 +37,7 @@
         assertTrue(omittedChanges > 0)
         assertTrue(cluster.logLineCount("standby replica discarded reason=\"audit of live/") > 0, cluster.logTail())
         cluster.run(160.0)
-        cluster.assertCorrect(jobs)
+        cluster.assertNoViolations(jobs)
     }
 
     /** Guards the check by revision: without it, a new leader would take rows that are some seconds old for the current ones. */
@@ -47,11 +47,11 @@
         val jobs = cluster.submitJobs(30)
         var isFeedStale = false
         val revisions = HashMap<String, Long>()
-        cluster.state.tamperWithChanges = { prefix, answer ->
+        cluster.state.tamperWithChanges = { prefix, response ->
             if (isFeedStale) {
-                (answer as ObjectNode).put("ledgerRev", revisions.getValue(prefix)).putArray("events")
+                (response as ObjectNode).put("ledgerRev", revisions.getValue(prefix)).putArray("events")
             } else {
-                revisions[prefix] = answer.path("ledgerRev").asLong()
+                revisions[prefix] = response.path("ledgerRev").asLong()
             }
         }
         cluster.clock.after(25.0) { isFeedStale = true }
@@ -59,6 +59,6 @@
         cluster.clock.after(45.0) { isFeedStale = false }
         cluster.run(150.0)
         assertTrue(cluster.logLineCount("standby replica not used") > 0, cluster.logTail())
-        cluster.assertCorrect(jobs)
+        cluster.assertNoViolations(jobs)
     }
 }
--- a/src/test/kotlin/burlridge/failover/TransferInDoubtTest.kt
+++ b/src/test/kotlin/burlridge/failover/TransferInDoubtTest.kt
@@ -22,11 +22,11 @@
         var lostResponses = 0
         cluster.onCall = { _, call ->
             val isTransfer = call.path == "/multi" && call.body.orEmpty().contains("\"set\":\"leader\"") && cluster.clock.now > 19.0
-            if (isTransfer && lostResponses++ == 0) SimulatedCluster.CallFault.ANSWER_LOST else SimulatedCluster.CallFault.NONE
+            if (isTransfer && lostResponses++ == 0) SimulatedCluster.CallFault.RESPONSE_LOST else SimulatedCluster.CallFault.NONE
         }
         cluster.clock.after(20.0) { cluster.leader()?.let(cluster::drain) }
         cluster.run(150.0)
-        cluster.assertCorrect(jobs)
+        cluster.assertNoViolations(jobs)
         assertTrue(lostResponses > 0)
         assertEquals(1, cluster.logLineCount("handed over by"), cluster.logTail())
     }
@@ -49,12 +49,12 @@
                 val isTransfer = leaderInDoubt == null && cluster.clock.now > 19.9 && call.body.orEmpty().contains("\"set\":\"leader\"")
                 if (isTransfer) {
                     leaderInDoubt = from
-                    cluster.members.filter { it != from }.forEach { cluster.cut(from, it, 15.0) }
+                    cluster.members.filter { it != from }.forEach { cluster.partition(from, it, 15.0) }
                 }
                 if (from == leaderInDoubt && call.path == "/multi" &&
                     cluster.clock.now < 35.0
                 ) {
-                    SimulatedCluster.CallFault.ANSWER_LOST
+                    SimulatedCluster.CallFault.RESPONSE_LOST
                 } else {
                     SimulatedCluster.CallFault.NONE
                 }
@@ -62,7 +62,7 @@
             cluster.clock.after(20.0) { cluster.leader()?.let(cluster::drain) }
             cluster.run(150.0)
             assertNotEquals(null, leaderInDoubt)
-            cluster.assertCorrect(jobs)
+            cluster.assertNoViolations(jobs)
         }
     }
 
@@ -86,11 +86,17 @@
                 val successor = leaderRowUpdate.path("value").path("member").asText()
                 val third = cluster.members.first { it != from && it != successor }
                 cluster.refuseStateRequests(third, 200.0)
-                listOf(from, third).forEach { cluster.cut(it, successor, 200.0) }
-                cluster.cloud.machineIds().forEach { cluster.cut(it, successor, 200.0) }
+                listOf(from, third).forEach { cluster.partition(it, successor, 200.0) }
+                cluster.cloud.machineIds().forEach { cluster.partition(it, successor, 200.0) }
                 jobs.forEach { job -> cluster.clock.after(1.0) { cluster.abort(job, successor) } }
             }
-            if (from == leaderInDoubt && call.path == "/multi") SimulatedCluster.CallFault.ANSWER_LOST else SimulatedCluster.CallFault.NONE
+            if (from == leaderInDoubt &&
+                call.path == "/multi"
+            ) {
+                SimulatedCluster.CallFault.RESPONSE_LOST
+            } else {
+                SimulatedCluster.CallFault.NONE
+            }
         }
         cluster.clock.after(60.0) { cluster.leader()?.let(cluster::drain) }
         cluster.run(60.0 + cluster.cancelSeconds * 2 + 30.0)
@@ -123,7 +129,7 @@
             }
             cluster.clock.after(20.0) { cluster.leader()?.let(cluster::drain) }
             cluster.run(150.0)
-            cluster.assertCorrect(jobs)
+            cluster.assertNoViolations(jobs)
         }
         assertTrue(transferCopies > 6, "$transferCopies copies, of which six are the first ones")
     }
@@ -149,7 +155,7 @@
         assertEquals(leader, cluster.leader(), cluster.logTail())
         assertTrue(cluster.logLineCount("outcome=abandoned reason=\"the state service refuses it\"") > 0, cluster.logTail())
         cluster.run(150.0)
-        cluster.assertCorrect(jobs)
+        cluster.assertNoViolations(jobs)
         assertNotEquals(leader, cluster.leader())
     }
 }
--- a/src/test/kotlin/burlridge/loopback/BalanceLoopbackTest.kt
+++ b/src/test/kotlin/burlridge/loopback/BalanceLoopbackTest.kt
@@ -52,12 +52,12 @@
             await("all jobs have ended") { cluster.onLoop { cluster.unfinished.isEmpty() && cluster.jobs.size == JOB_COUNT }.takeIf { it } }
             await("all controllers answer") { cluster.controllers.all { it.isUp }.takeIf { it } }
             cluster.onLoop { cluster.queryAllControllers() }
-            val breaches =
+            val violations =
                 cluster.onLoop {
                     cluster.invariants.violations + cluster.history.violations(cluster.jobs) +
                         cluster.history.drainViolations(SLACK_SECONDS)
                 }
-            assertEquals(emptyList<String>(), breaches)
+            assertEquals(emptyList<String>(), violations)
         }
     }
 
--- a/src/test/kotlin/burlridge/loopback/FailoverLoopbackTest.kt
+++ b/src/test/kotlin/burlridge/loopback/FailoverLoopbackTest.kt
@@ -48,8 +48,8 @@
             await("all jobs have finished") { cluster.onLoop { cluster.unfinished.isEmpty() && cluster.jobs.size == JOBS }.takeIf { it } }
             cluster.onLoop { cluster.queryAllControllers() }
             await("all controllers answer") { cluster.onLoop { cluster.controllers.all { it.isUp } }.takeIf { it } }
-            val breaches = cluster.onLoop { cluster.invariants.violations + cluster.history.violations(cluster.jobs) }
-            assertEquals(emptyList<String>(), breaches)
+            val violations = cluster.onLoop { cluster.invariants.violations + cluster.history.violations(cluster.jobs) }
+            assertEquals(emptyList<String>(), violations)
             assertTrue(File(directory, "trace.jsonl").readText().contains("\"name\":\"leader change\""))
         }
     }
--- a/src/test/kotlin/burlridge/loopback/FailoverMeasurement.kt
+++ b/src/test/kotlin/burlridge/loopback/FailoverMeasurement.kt
@@ -59,8 +59,10 @@
         await("all jobs have finished", TIMEOUT_SECONDS) { cluster.onLoop { cluster.unfinished.isEmpty() }.takeIf { it } }
         cluster.onLoop { cluster.queryAllControllers() }
         Thread.sleep(SETTLE_MILLIS)
-        val breaches = cluster.onLoop { cluster.invariants.violations + cluster.history.violations(cluster.jobs) }
-        println("jobs ${cluster.onLoop { cluster.jobs.size }}, starts ${cluster.onLoop { cluster.invariants.starts }}, breaches $breaches")
+        val violations = cluster.onLoop { cluster.invariants.violations + cluster.history.violations(cluster.jobs) }
+        println(
+            "jobs ${cluster.onLoop { cluster.jobs.size }}, starts ${cluster.onLoop { cluster.invariants.starts }}, breaches $violations",
+        )
         println("false suspicions: ${cluster.controllers.sumOf { c -> c.log.count { isAliveWithoutRestart(it.text) } }}")
     }
 
--- a/src/test/kotlin/burlridge/loopback/LoopbackCluster.kt
+++ b/src/test/kotlin/burlridge/loopback/LoopbackCluster.kt
@@ -216,10 +216,10 @@
     ) {
         val job = if (path == "/api/jobs") Json.parseOrNull(body)?.path("id")?.asText() else path.split('/').getOrNull(3)
         history.userResponses +=
-            ExecutionHistory.UserResponse(job.orEmpty(), member, response.status, standingOf(response.body), sentAt, clock.now)
+            ExecutionHistory.UserResponse(job.orEmpty(), member, response.status, jobStateOf(response.body), sentAt, clock.now)
     }
 
-    private fun standingOf(body: String): String? =
+    private fun jobStateOf(body: String): String? =
         Json
             .parseOrNull(body)
             ?.path("standing")
@@ -236,19 +236,19 @@
     fun submit(spec: JobSpec) {
         invariants.submitted(spec)
         submitted += spec.id
-        attempt(spec)
+        trySubmit(spec)
     }
 
-    private fun attempt(spec: JobSpec) {
+    private fun trySubmit(spec: JobSpec) {
         request(USER, members.random(random), "POST", "/api/jobs", JobSpecCodec.encode(spec).toString(), SUBMIT_SECONDS) { status, _ ->
-            if (status == 200 || status == 201) poll(spec) else clock.after(1.0) { attempt(spec) }
+            if (status == 200 || status == 201) poll(spec) else clock.after(1.0) { trySubmit(spec) }
         }
     }
 
     private fun poll(spec: JobSpec) {
         clock.after(1.0 + random.nextDouble()) {
             request(USER, members.random(random), "GET", "/api/jobs/${spec.id}", "", POLL_SECONDS) { status, body ->
-                if (status == 200 && standingOf(body) == "done") finished += spec.id else poll(spec)
+                if (status == 200 && jobStateOf(body) == "done") finished += spec.id else poll(spec)
             }
         }
     }
--- a/src/test/kotlin/burlridge/settings/SettingsTest.kt
+++ b/src/test/kotlin/burlridge/settings/SettingsTest.kt
@@ -8,7 +8,7 @@
 internal class SettingsTest {
     private val validSettings = ClassArchiveTraining.settings()
 
-    private fun errorMessage(text: String): String =
+    private fun errorMessageOf(text: String): String =
         assertThrows(InvalidSettingsException::class.java) { Settings.parse(text) }.message.orEmpty()
 
     @Test
@@ -20,13 +20,13 @@
 
     @Test
     fun `invalid settings are rejected with a one-line message that names the field`() {
-        assertEquals("member must be a non-empty text", errorMessage(validSettings.replace("\"member\":\"drover-0\"", "\"member\":7")))
+        assertEquals("member must be a non-empty text", errorMessageOf(validSettings.replace("\"member\":\"drover-0\"", "\"member\":7")))
         assertEquals(
             "params.workers.lease_s must be a number above 0",
-            errorMessage(validSettings.replace("\"lease_s\":24.0", "\"lease_s\":-1")),
+            errorMessageOf(validSettings.replace("\"lease_s\":24.0", "\"lease_s\":-1")),
         )
-        assertEquals("params is missing", errorMessage(validSettings.replace("\"params\"", "\"param\"")))
-        assertEquals("the settings are not a JSON object", errorMessage("[]"))
+        assertEquals("params is missing", errorMessageOf(validSettings.replace("\"params\"", "\"param\"")))
+        assertEquals("the settings are not a JSON object", errorMessageOf("[]"))
     }
 
     @Test
@@ -34,8 +34,11 @@
         val next = validSettings.replace("\"txn_ops\":8", "\"txn_ops\":8,\"next\":{\"value_kb\":2.0,\"txn_ops\":4,\"write_rps\":99.0}")
         assertEquals(StoreLimits(100.0, 25.0, 2048, 4), Settings.parse(next).storeLimits)
         assertEquals(StoreLimits(100.0, 25.0, 8192, 8), Settings.parse(validSettings).storeLimits)
-        assertEquals("params.state.next must be an object", errorMessage(next.replace(Regex("\\{\"value_kb[^}]*}"), "7")))
-        assertEquals("params.state.next.txn_ops must be a number above 0", errorMessage(next.replace("\"txn_ops\":4", "\"txn_ops\":\"4\"")))
+        assertEquals("params.state.next must be an object", errorMessageOf(next.replace(Regex("\\{\"value_kb[^}]*}"), "7")))
+        assertEquals(
+            "params.state.next.txn_ops must be a number above 0",
+            errorMessageOf(next.replace("\"txn_ops\":4", "\"txn_ops\":\"4\"")),
+        )
     }
 
     @Test
@@ -43,8 +46,8 @@
         val both = validSettings.replace("\"lease_s\":24.0", "\"lease_s\":24.0,\"gang_wait_s\":50.0,\"gang_peer_s\":5.0")
         assertEquals(GangTimings(50.0, 5.0), Settings.parse(both).workers.gang)
         assertEquals(null, Settings.parse(validSettings).workers.gang)
-        assertEquals("params.workers.gang_peer_s is missing", errorMessage(both.replace(",\"gang_peer_s\":5.0", "")))
-        assertEquals("params.workers.gang_wait_s must be a number above 0", errorMessage(both.replace("50.0", "0")))
+        assertEquals("params.workers.gang_peer_s is missing", errorMessageOf(both.replace(",\"gang_peer_s\":5.0", "")))
+        assertEquals("params.workers.gang_wait_s must be a number above 0", errorMessageOf(both.replace("50.0", "0")))
     }
 
     @Test
@@ -60,22 +63,25 @@
         for ((field, valueAndRange) in ranges) {
             val (value, range) = valueAndRange
             val entry = "\"$field\":$value"
-            assertEquals("params.limits.$field is missing", errorMessage(validSettings.replace(entry, "\"other\":1")))
-            assertEquals("params.limits.$field is missing", errorMessage(validSettings.replace(entry, "\"$field\":null")))
+            assertEquals("params.limits.$field is missing", errorMessageOf(validSettings.replace(entry, "\"other\":1")))
+            assertEquals("params.limits.$field is missing", errorMessageOf(validSettings.replace(entry, "\"$field\":null")))
             for (invalid in listOf("0", "-1", "\"7\"", "true", "[]", "{}", "1e99")) {
                 assertEquals(
                     "params.limits.$field must be $range",
-                    errorMessage(validSettings.replace(entry, "\"$field\":$invalid")),
+                    errorMessageOf(validSettings.replace(entry, "\"$field\":$invalid")),
                     invalid,
                 )
             }
         }
         assertEquals(
             "params.limits.max_connections must be a whole number",
-            errorMessage(validSettings.replace("\"max_connections\":1000", "\"max_connections\":1000.5")),
+            errorMessageOf(validSettings.replace("\"max_connections\":1000", "\"max_connections\":1000.5")),
+        )
+        assertEquals("params.limits is missing", errorMessageOf(validSettings.replace("\"limits\"", "\"limit\"")))
+        assertEquals(
+            "params.limits must be an object",
+            errorMessageOf(validSettings.replace(Regex("\"limits\":\\{[^}]*}"), "\"limits\":7")),
         )
-        assertEquals("params.limits is missing", errorMessage(validSettings.replace("\"limits\"", "\"limit\"")))
-        assertEquals("params.limits must be an object", errorMessage(validSettings.replace(Regex("\"limits\":\\{[^}]*}"), "\"limits\":7")))
     }
 
     @Test
--- a/src/test/kotlin/burlridge/simulation/AnswersTest.kt
+++ b/src/test/kotlin/burlridge/simulation/AnswersTest.kt
@@ -6,8 +6,8 @@
 import org.junit.jupiter.api.Test
 
 /**
- * Checks that answers never go back: once a member has reported a state of a job, no member reports an older one, whatever users send and
- * when.
+ * Checks that reported job states never go back: once a member has reported a state of a job, no member reports an older one, whatever
+ * users send and when.
  */
 internal class AnswersTest {
     private val cluster = SimulatedCluster(17)
@@ -18,30 +18,30 @@
     }
 
     /**
-     * Executes the transaction that finishes a job but loses its answer, and cuts the leader off from the other members for [cutSeconds].
-     * Meanwhile all members are queried, and the submission is repeated.
+     * Executes the transaction that finishes a job but loses its response, and partitions the leader from the other members for
+     * [partitionSeconds]. Meanwhile all members are queried, and the submission is repeated.
      */
-    private fun loseAnswerToFinish(
+    private fun loseResponseToFinish(
         state: String,
-        cutSeconds: Double,
+        partitionSeconds: Double,
     ) {
         cluster.onCall = { _, call ->
             val isFinish = call.path == "/multi" && "\"over/" in call.body.orEmpty() && "\"$state\"" in call.body.orEmpty()
-            if (!isFinish || lostAnswers > 0) {
+            if (!isFinish || lostResponses > 0) {
                 CallFault.NONE
             } else {
-                lostAnswers++
+                lostResponses++
                 val leader = cluster.leader()
-                cluster.members.forEach { if (it != leader && leader != null) cluster.cut(it, leader, cutSeconds) }
-                // Queries each member repeatedly: those cut off answer from the rows, the leader from its own state.
+                cluster.members.forEach { if (it != leader && leader != null) cluster.partition(it, leader, partitionSeconds) }
+                // Queries each member repeatedly: the partitioned ones answer from the rows, the leader from its own state.
                 repeat(40) { i -> cluster.members.forEach { m -> cluster.clock.after(0.05 * i) { cluster.queryJob(job, m) } } }
                 repeat(5) { i -> cluster.members.forEach { m -> cluster.clock.after(0.3 * i) { cluster.submitOnce(job, m) } } }
-                CallFault.ANSWER_LOST
+                CallFault.RESPONSE_LOST
             }
         }
     }
 
-    private var lostAnswers = 0
+    private var lostResponses = 0
     private val job = cluster.job(1, 2, runSeconds = 20.0)
 
     /**
@@ -49,21 +49,21 @@
      * finished.
      */
     @Test
-    fun `a leader does not report a cancelled job as running when only the answer to its transaction is lost`() {
-        loseAnswerToFinish("withdrawn", 4.0)
+    fun `a leader does not report a cancelled job as running when only the response to its transaction is lost`() {
+        loseResponseToFinish("withdrawn", 4.0)
         cluster.clock.after(5.0) { cluster.submit(job) }
         cluster.clock.after(25.0) { cluster.abort(job) }
         cluster.run(90.0)
-        assertEquals(1, lostAnswers)
+        assertEquals(1, lostResponses)
         assertFinishedWithoutViolations(job.id)
     }
 
     @Test
-    fun `a leader does not report a completed job as running when only the answer to its transaction is lost`() {
-        loseAnswerToFinish("done", 4.0)
+    fun `a leader does not report a completed job as running when only the response to its transaction is lost`() {
+        loseResponseToFinish("done", 4.0)
         cluster.clock.after(5.0) { cluster.submit(job) }
         cluster.run(90.0)
-        assertEquals(1, lostAnswers)
+        assertEquals(1, lostResponses)
         assertFinishedWithoutViolations(job.id)
     }
 
@@ -79,10 +79,10 @@
         }
 
     @Test
-    fun `answers of all members are consistent while answers of the state service are lost and leaders change`() {
+    fun `responses of all members are consistent while responses of the state service are lost and leaders change`() {
         cluster.queryAllMembersOnChange = true
         cluster.onCall =
-            { _, call -> if (call.path == "/multi" && cluster.random.nextInt(4) == 0) CallFault.ANSWER_LOST else CallFault.NONE }
+            { _, call -> if (call.path == "/multi" && cluster.random.nextInt(4) == 0) CallFault.RESPONSE_LOST else CallFault.NONE }
         val jobs = submitJobs(1.0, 70)
         repeat(6) { i -> cluster.clock.after(30.0 + 10 * i) { cluster.leader()?.let { cluster.crash(it, 0.3) } } }
         cluster.clock.after(110.0) { cluster.onCall = { _, _ -> CallFault.NONE } }
@@ -95,7 +95,7 @@
      * fail.
      */
     @Test
-    fun `answers of all members are consistent while transactions are executed late, after newer ones`() {
+    fun `responses of all members are consistent while transactions are executed late, after newer ones`() {
         cluster.queryAllMembersOnChange = true
         cluster.lateSeconds = 12.0
         cluster.onCall = { _, call -> if (call.path == "/multi" && cluster.random.nextInt(5) == 0) CallFault.DELAYED else CallFault.NONE }
@@ -107,7 +107,7 @@
     }
 
     @Test
-    fun `answers are consistent when cancellations, queries and repeated submissions coincide with the end of a job`() {
+    fun `responses are consistent when cancellations, queries and repeated submissions coincide with the end of a job`() {
         cluster.queryAllMembersOnChange = true
         val jobs =
             (0 until 40).map { i ->
@@ -120,7 +120,7 @@
     }
 
     @Test
-    fun `answers are consistent when a job is cancelled right after its acceptance and its submission is repeated`() {
+    fun `responses are consistent when a job is cancelled right after its acceptance and its submission is repeated`() {
         cluster.queryAllMembersOnChange = true
         val jobs =
             (0 until 30).map { i ->
--- a/src/test/kotlin/burlridge/simulation/CloudService.kt
+++ b/src/test/kotlin/burlridge/simulation/CloudService.kt
@@ -5,7 +5,7 @@
 
 /**
  * A fake of the cloud API. Machine lists lag, and a later list may be older than an earlier one. A repeated rental request with the same
- * name gets the first answer again.
+ * name gets the first response again.
  */
 internal class CloudService(
     private val cluster: SimulationEnvironment,
@@ -18,7 +18,7 @@
 
     private val machines = LinkedHashMap<String, RentedMachine>()
     private val workersByAddress = HashMap<String, Worker>()
-    private val rentalAnswers = HashMap<String, String>()
+    private val rentalResponses = HashMap<String, String>()
 
     private class Snapshot(
         val at: Double,
@@ -97,7 +97,7 @@
     ) {
         val name = request.path("hire").asText()
         rentalRequests += request.toString()
-        rentalAnswers[name]?.let { return reply(200, it) }
+        rentalResponses[name]?.let { return reply(200, it) }
         val type = request.path("breed").asText()
         val zone = request.path("yard").asText()
         val spot = request.path("loaners").asBoolean()
@@ -105,9 +105,9 @@
         val count = minOf(request.path("number").asInt(), cluster.types.getValue(type).capacity - inUse)
         if (count <= 0) return reply(503, "{\"error\":\"no capacity\"}")
         val names = (1..count).map { add(type, zone, spot) }
-        val answer = "{\"drovers\":[${names.joinToString(",") { "\"$it\"" }}]}"
-        rentalAnswers[name] = answer
-        reply(200, answer)
+        val response = "{\"drovers\":[${names.joinToString(",") { "\"$it\"" }}]}"
+        rentalResponses[name] = response
+        reply(200, response)
     }
 
     private fun add(
--- a/src/test/kotlin/burlridge/simulation/ExecutionHistory.kt
+++ b/src/test/kotlin/burlridge/simulation/ExecutionHistory.kt
@@ -102,15 +102,15 @@
             .filter { job ->
                 byJob[job].orEmpty().any { it.isAccepted }
             }.mapNotNull { finalStateViolation(it, byJob.getValue(it)) } +
-            byJob.mapNotNull { (job, answers) -> changedFinalState(job, answers) } +
-            byJob.mapNotNull { (job, answers) -> forgotten(job, answers) } + overlaps()
+            byJob.mapNotNull { (job, responses) -> changedFinalState(job, responses) } +
+            byJob.mapNotNull { (job, responses) -> forgotten(job, responses) } + overlaps()
     }
 
     private fun finalStateViolation(
         job: String,
-        answers: List<UserResponse>,
+        responses: List<UserResponse>,
     ): String? {
-        val finalStates = answers.mapNotNullTo(LinkedHashSet()) { it.finalState }
+        val finalStates = responses.mapNotNullTo(LinkedHashSet()) { it.finalState }
         return when (finalStates.size) {
             0 -> "lost: $job was accepted and has no final answer"
             1 -> null
@@ -120,19 +120,20 @@
 
     private fun changedFinalState(
         job: String,
-        answers: List<UserResponse>,
+        responses: List<UserResponse>,
     ): String? {
-        val first = answers.filter { it.finalState != null }.minByOrNull { it.answeredAt } ?: return null
-        val later = answers.firstOrNull { it.askedAt >= first.answeredAt && it.isAccepted && it.jobState != first.jobState } ?: return null
+        val first = responses.filter { it.finalState != null }.minByOrNull { it.answeredAt } ?: return null
+        val later =
+            responses.firstOrNull { it.askedAt >= first.answeredAt && it.isAccepted && it.jobState != first.jobState } ?: return null
         return "changed final: $job was ${first.jobState} from ${first.member}, then ${later.jobState} from ${later.member}"
     }
 
     private fun forgotten(
         job: String,
-        answers: List<UserResponse>,
+        responses: List<UserResponse>,
     ): String? {
-        val accepted = answers.filter { it.isAccepted }.minOfOrNull { it.answeredAt } ?: return null
-        val missing = answers.firstOrNull { it.askedAt >= accepted && it.status == NOT_FOUND } ?: return null
+        val accepted = responses.filter { it.isAccepted }.minOfOrNull { it.answeredAt } ?: return null
+        val missing = responses.firstOrNull { it.askedAt >= accepted && it.status == NOT_FOUND } ?: return null
         return "forgotten: $job is answered 404 by ${missing.member}"
     }
 
--- a/src/test/kotlin/burlridge/simulation/FailureTest.kt
+++ b/src/test/kotlin/burlridge/simulation/FailureTest.kt
@@ -10,18 +10,18 @@
     private val cluster = SimulatedCluster(7)
 
     /**
-     * Applies [fate] to the first call that [matches]; all others succeed. Returns a function that returns the number of calls affected, 0
+     * Applies [fault] to the first call that [matches]; all others succeed. Returns a function that returns the number of calls affected, 0
      * or 1.
      */
     private fun applyOnce(
-        fate: CallFault,
+        fault: CallFault,
         matches: (String, String) -> Boolean,
     ): () -> Int {
         var affectedCalls = 0
         cluster.onCall = { _, call ->
             if (affectedCalls == 0 && matches(call.path, call.body.orEmpty())) {
                 affectedCalls++
-                fate
+                fault
             } else {
                 CallFault.NONE
             }
@@ -41,8 +41,8 @@
     }
 
     @Test
-    fun `no task starts twice when a start command is executed but its answer is lost`() {
-        val affectedCalls = applyOnce(CallFault.ANSWER_LOST) { path, body -> path == "/do" && "run" in body }
+    fun `no task starts twice when a start command is executed but its response is lost`() {
+        val affectedCalls = applyOnce(CallFault.RESPONSE_LOST) { path, body -> path == "/do" && "run" in body }
         runThreeTasks()
         assertEquals(1, affectedCalls())
         assertEquals(3, cluster.invariants.starts)
@@ -57,8 +57,8 @@
     }
 
     @Test
-    fun `an allocation batch whose answer is lost is recognized as the leader's own`() {
-        val affectedCalls = applyOnce(CallFault.ANSWER_LOST) { path, body -> path == "/multi" && "round/" in body }
+    fun `an allocation batch whose response is lost is recognized as the leader's own`() {
+        val affectedCalls = applyOnce(CallFault.RESPONSE_LOST) { path, body -> path == "/multi" && "round/" in body }
         runThreeTasks()
         assertEquals(1, affectedCalls())
         assertEquals(3, cluster.invariants.starts)
@@ -94,9 +94,9 @@
     }
 
     @Test
-    fun `workers keep their tasks when a leader that is cut off from the state service steps down`() {
+    fun `workers keep their tasks when a leader that is partitioned from the state service steps down`() {
         cluster.clock.after(5.0) { cluster.submit(cluster.job(1, 3, runSeconds = 40.0)) }
-        cluster.clock.after(30.0) { cluster.leader()?.let { cluster.cut(it, "state", 60.0) } }
+        cluster.clock.after(30.0) { cluster.leader()?.let { cluster.partition(it, "state", 60.0) } }
         cluster.run(150.0)
         assertFinishedWithoutViolations("j-000001")
         assertEquals(3, cluster.invariants.starts)
@@ -148,7 +148,7 @@
         cluster.clock.after(5.0) { cluster.submit(cluster.job(1, 3, runSeconds = 60.0)) }
         cluster.clock.after(30.0) {
             val leader = cluster.leader() ?: return@after
-            cluster.cloud.machineIds().forEach { cluster.cut(it, leader, 50.0) }
+            cluster.cloud.machineIds().forEach { cluster.partition(it, leader, 50.0) }
         }
         cluster.run(200.0)
         assertFinishedWithoutViolations("j-000001")
@@ -166,7 +166,7 @@
         largeCluster.clock.after(40.0) {
             val leader = largeCluster.leader() ?: return@after
             val partitionedMachines = largeCluster.cloud.machineIds().filter { largeCluster.cloud.worker(it)?.zone == "b" }
-            partitionedMachines.forEach { largeCluster.cut(it, leader, 30.0) }
+            partitionedMachines.forEach { largeCluster.partition(it, leader, 30.0) }
             largeCluster.onForwardedRequest = { path ->
                 if (path == "/agent/beat" && relayed++ == 0) largeCluster.log += "%8.3f first relayed".format(largeCluster.clock.now)
             }
@@ -217,7 +217,7 @@
         cluster.clock.after(5.0) { cluster.submit(cluster.job(1, 8, runSeconds = 60.0)) }
         // The old leader does not learn of it: it cannot reach the cloud until it crashes.
         cluster.clock.after(40.0) {
-            cluster.leader()?.let { cluster.cut(it, "cloud", 60.0) }
+            cluster.leader()?.let { cluster.partition(it, "cloud", 60.0) }
             cluster.cloud
                 .machineIds()
                 .take(3)
@@ -243,9 +243,9 @@
         cluster.clock.after(5.0) { cluster.submit(cluster.job(1, 8, runSeconds = 60.0, zone = "b")) }
         cluster.clock.after(35.0) {
             val neverLeader = cluster.members.first { it != cluster.leader() }
-            (cluster.members + "state").forEach { if (it != neverLeader) cluster.cut(neverLeader, it, 100.0) }
+            (cluster.members + "state").forEach { if (it != neverLeader) cluster.partition(neverLeader, it, 100.0) }
             val partitionedMachines = cluster.cloud.machineIds().filter { cluster.cloud.worker(it)?.zone == "b" }
-            partitionedMachines.forEach { machine -> cluster.members.forEach { cluster.cut(machine, it, 100.0) } }
+            partitionedMachines.forEach { machine -> cluster.members.forEach { cluster.partition(machine, it, 100.0) } }
         }
         cluster.clock.after(40.0) { cluster.leader()?.let { cluster.crash(it, 3.0) } }
         cluster.run(250.0)
--- a/src/test/kotlin/burlridge/simulation/GangBarrier.kt
+++ b/src/test/kotlin/burlridge/simulation/GangBarrier.kt
@@ -115,8 +115,8 @@
     }
 
     /**
-     * Called when [task] is told to stop with enough time to save. Returns true if it runs on until the save. The progress is saved only if
-     * all tasks of the gang have been told to stop by then.
+     * Called when [task] receives a stop command that leaves enough time to save. Returns true if it runs on until the save. The progress
+     * is saved only if all tasks of the gang have received a stop command by then.
      */
     fun requestSave(
         job: String,
--- a/src/test/kotlin/burlridge/simulation/GangTest.kt
+++ b/src/test/kotlin/burlridge/simulation/GangTest.kt
@@ -200,7 +200,7 @@
     @Test
     fun `a gang with an unreachable machine is not stopped to save`() {
         at(25.0) { cluster.submit(cluster.gang(1, 20, cpus = 2.0, runSeconds = 40.0, spot = true)) }
-        at(38.5) { machinesOf("j-000001", 20).lastOrNull()?.let { m -> cluster.members.forEach { cluster.cut(m, it, 20.0) } } }
+        at(38.5) { machinesOf("j-000001", 20).lastOrNull()?.let { m -> cluster.members.forEach { cluster.partition(m, it, 20.0) } } }
         at(45.0) { machinesOf("j-000001", 20).firstOrNull()?.let { cluster.cloud.worker(it)?.announceReclaim(15.0) } }
         cluster.run(60.0)
         val stopCount = cluster.log.count { "gang stop requested" in it && "reason=machine_reclaimed" in it }
@@ -264,16 +264,16 @@
      */
     @Test
     fun `the allocation of a start that was not sent is released if its gang attempt has ended meanwhile`() {
-        var hasCutOthers = false
+        var hasPartitionedOthers = false
         cluster.onCall = { from, call ->
-            if (!hasCutOthers && call.path == "/do" && "run" in call.body.orEmpty()) {
-                hasCutOthers = true
+            if (!hasPartitionedOthers && call.path == "/do" && "run" in call.body.orEmpty()) {
+                hasPartitionedOthers = true
                 // This command is sent; no connection to the other machines can be made, but they are reachable again a moment later.
                 val firstMachine = cluster.cloud.workerAt(call.target.toString())?.id
                 cluster.cloud
                     .machineIds()
                     .filter { it != firstMachine }
-                    .forEach { cluster.cut(from, it, 1.15) }
+                    .forEach { cluster.partition(from, it, 1.15) }
                 at(0.1) { firstMachine?.let { cluster.cloud.worker(it)?.restart() } }
             }
             CallFault.NONE
@@ -281,7 +281,7 @@
         at(25.0) { cluster.submit(cluster.gang(1, 20, cpus = 2.0)) }
         cluster.run(100.0)
         assertFinishedWithoutViolations("j-000001")
-        assertTrue(hasCutOthers)
+        assertTrue(hasPartitionedOthers)
     }
 
     @Test
@@ -318,20 +318,20 @@
      * before.
      */
     @Test
-    fun `gangs in a zone that is cut off finish in the other zone`() {
+    fun `gangs in a zone that is partitioned finish in the other zone`() {
         repeat(4) { i -> at(25.0 + i) { cluster.submit(cluster.gang(i, 8, runSeconds = 60.0)) } }
         at(45.0) {
-            val cutOffMachines = cluster.cloud.machineIds().filter { cluster.cloud.worker(it)?.zone == "b" }
-            cutOffMachines.forEach { m -> cluster.members.forEach { cluster.cut(m, it, 50.0) } }
+            val partitionedMachines = cluster.cloud.machineIds().filter { cluster.cloud.worker(it)?.zone == "b" }
+            partitionedMachines.forEach { m -> cluster.members.forEach { cluster.partition(m, it, 50.0) } }
         }
         cluster.run(300.0)
         assertFinishedWithoutViolations(*Array(4) { "j-%06d".format(it) })
     }
 
     @Test
-    fun `gangs finish when one of their machines is cut off, receives nothing, or restarts at once`() {
+    fun `gangs finish when one of their machines is partitioned, receives nothing, or restarts at once`() {
         at(25.0) { cluster.submit(cluster.gang(1, 20, cpus = 2.0, runSeconds = 40.0)) }
-        at(35.0) { cluster.members.forEach { cluster.cut(machinesOf("j-000001", 20).first(), it, 40.0) } }
+        at(35.0) { cluster.members.forEach { cluster.partition(machinesOf("j-000001", 20).first(), it, 40.0) } }
         at(90.0) { cluster.submit(cluster.gang(2, 20, cpus = 2.0, runSeconds = 30.0)) }
         at(95.0) { machinesOf("j-000002", 20).firstOrNull()?.let { cluster.blockTrafficTo(it, 60.0) } }
         at(150.0) { cluster.submit(cluster.gang(3, 20, cpus = 2.0, runSeconds = 30.0)) }
@@ -342,7 +342,7 @@
 
     @Test
     fun `late copies of heartbeats of an ended attempt change nothing`() {
-        cluster.duplicateReportAfter = { listOf(2.0, 9.0, 31.0, 70.0).random(cluster.random) }
+        cluster.duplicateHeartbeatAfter = { listOf(2.0, 9.0, 31.0, 70.0).random(cluster.random) }
         repeat(6) { i -> at(25.0 + 10 * i) { cluster.submit(cluster.gang(i, 8, runSeconds = 12.0)) } }
         repeat(
             5,
--- a/src/test/kotlin/burlridge/simulation/InvariantChecker.kt
+++ b/src/test/kotlin/burlridge/simulation/InvariantChecker.kt
@@ -65,7 +65,7 @@
         status: Int,
         jobState: String?,
         submission: Boolean,
-        /** Time of the request. A response that arrived after it does not bind this one, which may describe an earlier state. */
+        /** Time of the request. The response may describe an earlier state than the responses that arrived after that time. */
         askedAt: Double = clock.now,
     ) {
         if (status == 200 && job !in jobs) addViolation("invented", job)
@@ -73,7 +73,7 @@
         if (wasAccepted && status == 404) addViolation("forgotten", "$job is answered 404")
         if (wasAccepted && submission && (status == 400 || status == 422)) addViolation("forgotten", "repeat of $job is answered $status")
         if (wasAccepted && status == 201) addViolation("went_back", "$job is accepted a second time")
-        if (status == 200 || status == 201 || status == 404) lastAnswerAt[job] = clock.now
+        if (status == 200 || status == 201 || status == 404) lastResponseAt[job] = clock.now
         if (status == 200 || status == 201) {
             acceptedAt.putIfAbsent(job, clock.now)
             if (jobState != null) checkReportedState(job, jobState, askedAt)
@@ -110,10 +110,10 @@
         const val MAX_WAIT_SECONDS = 90.0
     }
 
-    private val lastAnswerAt = HashMap<String, Double>()
+    private val lastResponseAt = HashMap<String, Double>()
 
     /** Returns accepted jobs for which no request has been answered since the time [since]. */
-    fun unanswered(since: Double): List<String> = acceptedAt.keys.filter { (lastAnswerAt[it] ?: 0.0) < since }
+    fun unanswered(since: Double): List<String> = acceptedAt.keys.filter { (lastResponseAt[it] ?: 0.0) < since }
 
     private fun checkReportedState(
         job: String,
--- a/src/test/kotlin/burlridge/simulation/OverlappingFailuresTest.kt
+++ b/src/test/kotlin/burlridge/simulation/OverlappingFailuresTest.kt
@@ -69,8 +69,8 @@
             jobs.forEach { at(5.0) { submit(it) } }
             at(45.0) {
                 val oldLeader = leader() ?: return@at
-                cut(oldLeader, "state", 60.0)
-                members.forEach { if (it != oldLeader) cut(oldLeader, it, 60.0) }
+                partition(oldLeader, "state", 60.0)
+                members.forEach { if (it != oldLeader) partition(oldLeader, it, 60.0) }
                 jobs.forEachIndexed { i, spec ->
                     at(4.0 + i * 0.3) { abort(spec, members.first { it != oldLeader }) }
                     repeat(30) { at(4.0 + it * 0.5) { queryJob(spec, oldLeader) } }
@@ -142,14 +142,14 @@
         }
 
     @Test
-    fun `jobs finish when the leader crashes while machines with long tasks are cut off or receive nothing`() =
+    fun `jobs finish when the leader crashes while machines with long tasks are partitioned or receive nothing`() =
         runWithSeeds(1..8) {
             val jobs = (0 until 5).map { job(it, 6, cpus = 2.0, runSeconds = 90.0) }
             jobs.forEach { at(5.0) { submit(it) } }
             at(50.0) {
                 machines().forEachIndexed { i, machine ->
                     if (i % 3 == 0) blockTrafficTo(machine, 20.0)
-                    if (i % 3 == 1) members.forEach { cut(machine, it, 22.0) }
+                    if (i % 3 == 1) members.forEach { partition(machine, it, 22.0) }
                 }
                 crashLeader(3.0)
             }
@@ -184,7 +184,7 @@
         runWithSeeds(1..8) {
             val jobs = submitJobsOfBothTeams(12, 14.0, cancelAt = 44.0)
             repeat(5) { i ->
-                at(20.0 + 16 * i) { replayReportsToNextLeader(8.0) }
+                at(20.0 + 16 * i) { replayHeartbeatsToNextLeader(8.0) }
                 // Since those heartbeats, tasks have ended, started and been removed, and agent epochs have ended.
                 at(24.0 + 16 * i) { machines().filterIndexed { m, _ -> m % 4 == i % 4 }.forEach { cloud.worker(it)?.restart() } }
                 at(29.0 + 16 * i) { crashLeader(1.0) }
@@ -195,10 +195,10 @@
     @Test
     fun `jobs finish when late copies of heartbeats arrive after the next leader has acted`() =
         runWithSeeds(1..6) {
-            duplicateReportAfter = { if (random.nextInt(3) == 0) 4.0 + random.nextDouble() * 40 else null }
+            duplicateHeartbeatAfter = { if (random.nextInt(3) == 0) 4.0 + random.nextDouble() * 40 else null }
             val jobs = submitJobsOfBothTeams(12, 12.0, cancelAt = 38.0)
             repeat(6) { i -> at(22.0 + 13 * i) { crashLeader(0.5 + i % 3) } }
-            at(120.0) { duplicateReportAfter = { null } }
+            at(120.0) { duplicateHeartbeatAfter = { null } }
             jobs
         }
 
@@ -240,16 +240,16 @@
         }
 
     @Test
-    fun `jobs finish when a zone with workers and the leader is cut off for longer than a lease`() =
+    fun `jobs finish when a zone with workers and the leader is partitioned for longer than a lease`() =
         runWithSeeds(1..6) {
-            cutsHoldPackets = random.nextBoolean()
+            partitionsHoldPackets = random.nextBoolean()
             val jobs = submitJobsOfBothTeams(10, 40.0, cancelAt = 56.0)
             at(50.0) {
-                val cutOffLeader = leader() ?: return@at
-                val cutOffMachines = machines().filter { cloud.worker(it)?.zone == "b" }
-                val others = members.filter { it != cutOffLeader }
-                (others + "state" + "cloud").forEach { cut(cutOffLeader, it, leaseSeconds + 12.0) }
-                cutOffMachines.forEach { machine -> others.forEach { cut(machine, it, leaseSeconds + 12.0) } }
+                val partitionedLeader = leader() ?: return@at
+                val partitionedMachines = machines().filter { cloud.worker(it)?.zone == "b" }
+                val others = members.filter { it != partitionedLeader }
+                (others + "state" + "cloud").forEach { partition(partitionedLeader, it, leaseSeconds + 12.0) }
+                partitionedMachines.forEach { machine -> others.forEach { partition(machine, it, leaseSeconds + 12.0) } }
             }
             jobs
         }
@@ -263,7 +263,7 @@
                     if (call.path == "/do" &&
                         random.nextInt(4) == 0
                     ) {
-                        listOf(CallFault.DELAYED, CallFault.ANSWER_LOST).random(random)
+                        listOf(CallFault.DELAYED, CallFault.RESPONSE_LOST).random(random)
                     } else {
                         CallFault.NONE
                     }
@@ -282,13 +282,13 @@
         }
 
     @Test
-    fun `jobs at the team limit finish when they are cancelled on machines that are cut off or hang, and the leader changes`() =
+    fun `jobs at the team limit finish when they are cancelled on machines that are partitioned or hang, and the leader changes`() =
         runWithSeeds(1..10) {
             val jobs = submitJobsOfBothTeams(14, 35.0, cancelAt = 60.0)
             at(58.0) {
                 machines().forEachIndexed { m, machine ->
                     if (m % 3 == 0) cloud.worker(machine)?.hang(18.0)
-                    if (m % 3 == 1) members.forEach { cut(machine, it, 25.0) }
+                    if (m % 3 == 1) members.forEach { partition(machine, it, 25.0) }
                 }
             }
             at(62.0) { crashLeader(2.0) }
@@ -333,7 +333,7 @@
      * caused a burst of load.
      */
     @Test
-    fun `members that stall repeatedly do not depose each other for long`() =
+    fun `members that stall repeatedly elect at most ten leaders`() =
         runWithSeeds(1..2, until = 260.0) {
             val jobs = submitJobsOfBothTeams(10, 20.0)
             // Longer than the default lease, shorter than the next one, which is doubled.
--- a/src/test/kotlin/burlridge/simulation/RandomFaults.kt
+++ b/src/test/kotlin/burlridge/simulation/RandomFaults.kt
@@ -15,14 +15,14 @@
         until: Double,
     ) {
         cluster.callFaultRate = 0.02
-        cluster.cutsHoldPackets = seededRandom.nextBoolean()
+        cluster.partitionsHoldPackets = seededRandom.nextBoolean()
         if (seededRandom.nextInt(3) == 0) {
-            cluster.duplicateReportAfter = { if (seededRandom.nextInt(4) == 0) 2.0 + seededRandom.nextDouble() * 60 else null }
+            cluster.duplicateHeartbeatAfter = { if (seededRandom.nextInt(4) == 0) 2.0 + seededRandom.nextDouble() * 60 else null }
         }
         repeat(count) { cluster.clock.after(from + seededRandom.nextDouble() * (until - from)) { injectOne() } }
         cluster.clock.after(until + 30.0) {
             cluster.callFaultRate = 0.0
-            cluster.duplicateReportAfter = { null }
+            cluster.duplicateHeartbeatAfter = { null }
         }
     }
 
@@ -31,24 +31,24 @@
             ::killLeader,
             ::killAllMembers,
             { cluster.state.outage(seededRandom.nextDouble() * 25) },
-            ::cutLeaderFromStore,
+            ::partitionLeaderFromStore,
             ::reclaimFirstMachines,
-            ::cutLastMachinesFromAllMembers,
+            ::partitionLastMachinesFromAllMembers,
             ::blockTrafficToOneMachine,
             ::freezeLeader,
             ::reclaimSpotMachines,
-            ::cutMembersFromOneAnother,
+            ::partitionMembersFromOneAnother,
             ::refuseLeader,
-            { drawnMachines(3).forEach { cluster.blockTrafficFrom(it, seededRandom.nextDouble() * 50) } },
-            { drawnMachines(3).forEach { cluster.cloud.worker(it)?.hang(seededRandom.nextDouble() * 22) } },
-            { cluster.replayReportsToNextLeader(seededRandom.nextDouble() * 10) },
+            { randomMachines(3).forEach { cluster.blockTrafficFrom(it, seededRandom.nextDouble() * 50) } },
+            { randomMachines(3).forEach { cluster.cloud.worker(it)?.hang(seededRandom.nextDouble() * 22) } },
+            { cluster.replayHeartbeatsToNextLeader(seededRandom.nextDouble() * 10) },
             ::loseOrDelayTransactions,
             ::takeCloudDown,
         )
 
     private fun injectOne() = faults[seededRandom.nextInt(faults.size)]()
 
-    private fun drawnMachines(count: Int): List<String> =
+    private fun randomMachines(count: Int): List<String> =
         cluster.cloud
             .machineIds()
             .shuffled(seededRandom)
@@ -60,8 +60,8 @@
 
     private fun killAllMembers() = cluster.members.forEach { cluster.crash(it, 1 + seededRandom.nextDouble() * 5) }
 
-    private fun cutLeaderFromStore() {
-        cluster.leader()?.let { cluster.cut(it, "state", 10 + seededRandom.nextDouble() * 20) }
+    private fun partitionLeaderFromStore() {
+        cluster.leader()?.let { cluster.partition(it, "state", 10 + seededRandom.nextDouble() * 20) }
     }
 
     private fun reclaimFirstMachines() =
@@ -70,11 +70,11 @@
             .take(3)
             .forEach { cluster.cloud.reclaim(it) }
 
-    private fun cutLastMachinesFromAllMembers() =
+    private fun partitionLastMachinesFromAllMembers() =
         cluster.cloud
             .machineIds()
             .takeLast(4)
-            .forEach { machine -> cluster.members.forEach { cluster.cut(it, machine, 5 + seededRandom.nextDouble() * 40) } }
+            .forEach { machine -> cluster.members.forEach { cluster.partition(it, machine, 5 + seededRandom.nextDouble() * 40) } }
 
     private fun blockTrafficToOneMachine() {
         cluster.cloud
@@ -94,10 +94,10 @@
             .take(3)
             .forEach { cluster.cloud.worker(it)?.announceReclaim(5 + seededRandom.nextDouble() * 15) }
 
-    private fun cutMembersFromOneAnother() {
+    private fun partitionMembersFromOneAnother() {
         for (first in cluster.members) {
             for (second in cluster.members) {
-                if (first != second) cluster.cut(first, second, 5 + seededRandom.nextDouble() * 20)
+                if (first != second) cluster.partition(first, second, 5 + seededRandom.nextDouble() * 20)
             }
         }
     }
@@ -111,10 +111,10 @@
 
     private fun loseOrDelayTransactions() {
         val until = cluster.clock.now + 5 + seededRandom.nextDouble() * 20
-        val fault = if (seededRandom.nextBoolean()) SimulatedCluster.CallFault.DELAYED else SimulatedCluster.CallFault.ANSWER_LOST
+        val fault = if (seededRandom.nextBoolean()) SimulatedCluster.CallFault.DELAYED else SimulatedCluster.CallFault.RESPONSE_LOST
         cluster.onCall = { _, call ->
-            val isHit = cluster.clock.now < until && call.path == "/multi" && seededRandom.nextInt(3) == 0
-            if (isHit) fault else SimulatedCluster.CallFault.NONE
+            val isAffected = cluster.clock.now < until && call.path == "/multi" && seededRandom.nextInt(3) == 0
+            if (isAffected) fault else SimulatedCluster.CallFault.NONE
         }
     }
 
--- a/src/test/kotlin/burlridge/simulation/RefusalThenOutageTest.kt
+++ b/src/test/kotlin/burlridge/simulation/RefusalThenOutageTest.kt
@@ -32,7 +32,7 @@
             old = leader
             cluster.refuseStateRequests(leader, delaySeconds + 14.0)
             // The old leader can learn of the next one only from the third member.
-            cluster.onLeaderChange = { next -> if (next != leader) cluster.cut(leader, next, 200.0) }
+            cluster.onLeaderChange = { next -> if (next != leader) cluster.partition(leader, next, 200.0) }
             cluster.onCancellationConfirmed = { if (cluster.leader() != leader && cluster.leader() != null) confirmed++ }
         }
         repeat(60) { i ->
@@ -72,8 +72,8 @@
         assertTasksEndInTimeForAllDelays(WorkerTimes(6.0, 36.0, 66.0))
 
     /**
-     * Guards the same limit by itself: the third member, which the old leader reaches, does not know of the next one either, and the next
-     * one reaches neither of them nor any machine, so that only the old leader's own clock ends the tasks that it keeps alive.
+     * Guards the same limit by itself: the third member, which the old leader reaches, has not learned of the next leader either, and the
+     * next leader reaches neither of them nor any machine, so only the old leader's own time limit ends the tasks that it keeps alive.
      */
     private fun assertOldLeaderStopsAnsweringInTime(times: WorkerTimes) {
         val cluster = SimulatedCluster(9, times = times)
@@ -85,9 +85,9 @@
             val (next, third) = cluster.members.filter { it != old }
             listOf(old, third).forEach {
                 cluster.refuseStateRequests(it, 200.0)
-                cluster.cut(it, next, 200.0)
+                cluster.partition(it, next, 200.0)
             }
-            cluster.cloud.machineIds().forEach { cluster.cut(it, next, 200.0) }
+            cluster.cloud.machineIds().forEach { cluster.partition(it, next, 200.0) }
             cluster.onCancellationConfirmed = { confirmed++ }
             cluster.clock.after(times.reportSeconds + 1.0) { jobs.forEach { cluster.abort(it, next) } }
             cluster.clock.after(times.reportSeconds + 3.0) { cluster.state.outage(times.cancelSeconds + 20.0) }
@@ -115,14 +115,14 @@
         val jobs = (0 until 6).map { cluster.job(it, 2, runSeconds = 250.0) }
         jobs.forEach { cluster.clock.after(5.0) { cluster.submit(it) } }
         cluster.clock.after(60.0) {
-            cluster.cloud.machineIds().forEach { machine -> cluster.members.forEach { cluster.cut(machine, it, 16.0) } }
+            cluster.cloud.machineIds().forEach { machine -> cluster.members.forEach { cluster.partition(machine, it, 16.0) } }
             jobs.forEach { cluster.abort(it) }
         }
         cluster.clock.after(70.0) {
             cluster.leader()?.let { cluster.crash(it, 2.0) }
             cluster.onCall = { _, call ->
-                val unread = call.path.startsWith("/store?") && cluster.clock.now < 140.0
-                if (unread) SimulatedCluster.CallFault.ANSWER_LOST else SimulatedCluster.CallFault.NONE
+                val isRowListing = call.path.startsWith("/store?") && cluster.clock.now < 140.0
+                if (isRowListing) SimulatedCluster.CallFault.RESPONSE_LOST else SimulatedCluster.CallFault.NONE
             }
         }
         cluster.run(200.0)
@@ -160,7 +160,7 @@
         assertEquals(emptyList<String>(), busy)
     }
 
-    /** Cuts [old] and [third] off from [next] and lets the state service refuse both, so that [next] is elected. */
+    /** Partitions [old] and [third] from [next] and lets the state service refuse both, so that [next] is elected. */
     private fun SimulatedCluster.isolateFromNextLeader(
         old: String,
         third: String,
@@ -168,7 +168,7 @@
     ) {
         listOf(old, third).forEach {
             refuseStateRequests(it, 200.0)
-            cut(it, next, 200.0)
+            partition(it, next, 200.0)
         }
     }
 
@@ -194,7 +194,7 @@
                         jobs.any { job -> (0 until 2).any { cluster.cloud.worker(name)!!.hasTask("${job.id}/$it") } }
                     }
                 assertTrue(busyMachines.isNotEmpty(), "nothing runs")
-                busyMachines.forEach { cluster.cut(it, successor, 200.0) }
+                busyMachines.forEach { cluster.partition(it, successor, 200.0) }
                 // Returning a machine would prove at once that its tasks have ended.
                 cluster.cloud.down = true
             }
@@ -216,9 +216,9 @@
             val old = cluster.leader() ?: return@after
             val next = cluster.members.first { it != old }
             cluster.refuseStateRequests(old, 200.0)
-            cluster.cut(old, next, 200.0)
+            cluster.partition(old, next, 200.0)
             // A worker that reaches the next one would reveal its term as well.
-            cluster.cloud.machineIds().forEach { cluster.cut(it, next, 200.0) }
+            cluster.cloud.machineIds().forEach { cluster.partition(it, next, 200.0) }
             // Ensures that `next` is elected.
             cluster.refuseStateRequests(cluster.members.first { it != old && it != next }, 5.0)
         }
--- a/src/test/kotlin/burlridge/simulation/RollingUpgradeTest.kt
+++ b/src/test/kotlin/burlridge/simulation/RollingUpgradeTest.kt
@@ -25,7 +25,7 @@
         )
     }
 
-    private fun SimulatedCluster.arrays(count: Int): List<String> =
+    private fun SimulatedCluster.submitArrays(count: Int): List<String> =
         (0 until count).map { i ->
             val spec =
                 when (i % 3) {
@@ -44,7 +44,7 @@
     @Test
     fun `jobs finish when members are upgraded under load, then the limits are lowered, then gangs are submitted`() {
         val cluster = newClusterOfPreviousVersion(31)
-        val jobs = cluster.arrays(24)
+        val jobs = cluster.submitArrays(24)
         cluster.upgradeAllMembers(30.0)
         cluster.clock.after(75.0) { cluster.state.lowerLimits(valueKb = 2.0, changesPerTransaction = 4) }
         cluster.clock.after(80.0) { cluster.submit(cluster.gang(90, 6)) }
@@ -57,7 +57,7 @@
     @Test
     fun `gangs are refused until every member supports them, and accepted while a member that supports them is down`() {
         val cluster = newClusterOfPreviousVersion(32)
-        val answers = ArrayList<Pair<Double, Int>>()
+        val responses = ArrayList<Pair<Double, Int>>()
         var hasRetryAfter = true
 
         fun submitGangAt(
@@ -69,7 +69,7 @@
             cluster.clock.after(at) {
                 val member = cluster.upgradedMembers().randomOrNull(cluster.random) ?: return@after
                 cluster.request("user", member, "POST", "/api/jobs", JobSpecCodec.encode(spec).toString(), 5.0) { status, _ ->
-                    answers += at to status
+                    responses += at to status
                     cluster.invariants.answered(spec.id, status, null, submission = true)
                 }
             }
@@ -83,7 +83,7 @@
         cluster.clock.after(61.0) { cluster.crash("drover-0", 0.2) }
         submitGangAt(70.0, 10)
         cluster.run(120.0)
-        assertEquals(listOf(503, 503, 503, 201), answers.sortedBy { it.first }.map { it.second })
+        assertEquals(listOf(503, 503, 503, 201), responses.sortedBy { it.first }.map { it.second })
         assertTrue(hasRetryAfter, "a refusal without Retry-After")
         assertEquals(emptyList<String>(), cluster.invariants.violations)
     }
@@ -94,7 +94,7 @@
         val seedCount = System.getProperty("simulation.seeds")?.toInt() ?: 12
         for (seed in 1..seedCount) {
             val cluster = newClusterOfPreviousVersion(seed + 300)
-            val jobs = cluster.arrays(24)
+            val jobs = cluster.submitArrays(24)
             cluster.upgradeAllMembers(25.0 + seed % 20)
             RandomFaults(cluster, seed).schedule(8, 20.0, 110.0)
             cluster.clock.after(85.0) { cluster.state.lowerLimits(valueKb = 2.0, changesPerTransaction = 4) }
--- a/src/test/kotlin/burlridge/simulation/ScaleInOutTest.kt
+++ b/src/test/kotlin/burlridge/simulation/ScaleInOutTest.kt
@@ -4,7 +4,7 @@
 import org.junit.jupiter.api.Assertions.assertTrue
 import org.junit.jupiter.api.Test
 
-/** Tests half as many machines again as the operators have, with the largest arrays, under failures that affect all of them at once. */
+/** Tests 1.5 times as many machines as the operators have, with the largest arrays, under failures that affect all of them at once. */
 internal class ScaleInOutTest {
     private val members = List(5) { "drover-$it" }
     private val types = mapOf("small" to MachineTypeSpec(4.0, 16.0, 360), "big" to MachineTypeSpec(16.0, 64.0, 178))
@@ -58,21 +58,21 @@
         }
 
     @Test
-    fun `jobs finish when a zone is cut off for longer than a lease, its packets are held back, and the leader crashes`() =
+    fun `jobs finish when a zone is partitioned for longer than a lease, its packets are held back, and the leader crashes`() =
         runBurst(260.0) {
-            cutsHoldPackets = true
+            partitionsHoldPackets = true
             clock.after(60.0) {
-                val cutOffMachines = cloud.machineIds().filter { cloud.worker(it)?.zone == "b" }
-                cutOffMachines.forEach { machine -> members.forEach { cut(machine, it, 45.0) } }
+                val partitionedMachines = cloud.machineIds().filter { cloud.worker(it)?.zone == "b" }
+                partitionedMachines.forEach { machine -> members.forEach { partition(machine, it, 45.0) } }
             }
             clock.after(72.0) { leader()?.let { crash(it, 4.0) } }
         }
 
     @Test
-    fun `jobs finish when the leader stalls for longer than a lease, and members are cut off from each other`() =
+    fun `jobs finish when the leader stalls for longer than a lease, and members are partitioned from each other`() =
         runBurst(230.0) {
             clock.after(55.0) { leader()?.let { freeze(it, 40.0) } }
-            clock.after(110.0) { members.forEach { a -> members.forEach { b -> if (a != b) cut(a, b, 30.0) } } }
+            clock.after(110.0) { members.forEach { a -> members.forEach { b -> if (a != b) partition(a, b, 30.0) } } }
         }
 
     private companion object {
--- a/src/test/kotlin/burlridge/simulation/ScaleTest.kt
+++ b/src/test/kotlin/burlridge/simulation/ScaleTest.kt
@@ -53,7 +53,7 @@
 
     /** Guards the cost of an idle fleet, which a controller with few resources can least afford. */
     @Test
-    fun `an idle fleet costs heartbeats that are compared instead of decoded, and little else`() {
+    fun `an idle fleet causes no commands or rows, and its heartbeats are compared instead of decoded`() {
         for (size in listOf(1_100, 1_650, 4_000)) {
             val types = mapOf("small" to MachineTypeSpec(4.0, 16.0, size / 6), "big" to MachineTypeSpec(16.0, 64.0, size / 6))
             val cluster = SimulatedCluster(5, types = types, guaranteedCpus = 0.0)
--- a/src/test/kotlin/burlridge/simulation/SimulatedCluster.kt
+++ b/src/test/kotlin/burlridge/simulation/SimulatedCluster.kt
@@ -66,9 +66,9 @@
     private var nextRequest = 1L
 
     /** Time until which hosts cannot reach each other, by pair of hosts. */
-    private val cutUntil = HashMap<Set<String>, Double>()
+    private val partitionedUntil = HashMap<Set<String>, Double>()
 
-    /** Time until which neither responses nor commands reach a machine, by machine. Its reports still arrive. */
+    /** Time until which neither responses nor commands reach a machine, by machine. Its heartbeats still arrive. */
     private val inboundBlockedUntil = HashMap<String, Double>()
 
     /** Time until which a machine reaches no member, by machine. Commands still reach it. */
@@ -81,8 +81,8 @@
     private val frozenUntil = HashMap<String, Double>()
     private val heldInputs = HashMap<String, ArrayList<Input>>()
 
-    /** Whether a cut holds back requests and every second call and delivers them when it ends, long after the sender gave up. */
-    var cutsHoldPackets = false
+    /** Whether a partition holds back requests and every second call and delivers them when it ends, long after the sender gave up. */
+    var partitionsHoldPackets = false
 
     override var savesFail = false
 
@@ -96,13 +96,13 @@
 
     override var wireName: (String) -> String = { it }
 
-    /** Returns the delay in seconds after which a random member gets a copy of a report; null for no copy. */
-    var duplicateReportAfter: (machine: String) -> Double? = { null }
+    /** Returns the delay in seconds after which a random member gets a copy of a heartbeat; null for no copy. */
+    var duplicateHeartbeatAfter: (machine: String) -> Double? = { null }
     var calls = 0
         private set
 
     /**
-     * Share of calls, watches excepted, that get a random fault: the answer is lost, the request arrives up to [lateSeconds] late, long
+     * Share of calls, watches excepted, that get a random fault: the response is lost, the request arrives up to [lateSeconds] late, long
      * after the caller gave up, or the connection is refused.
      */
     var callFaultRate = 0.0
@@ -120,7 +120,7 @@
     var onForwardedRequest: (path: String) -> Unit = {}
 
     /** A fault of a call. [DUPLICATED]: the call is delivered and answered, and delivered once more [lateSeconds] later. */
-    enum class CallFault { NONE, ANSWER_LOST, DELAYED, REFUSED, DUPLICATED }
+    enum class CallFault { NONE, RESPONSE_LOST, DELAYED, REFUSED, DUPLICATED }
 
     init {
         invariants.onStart = { task, worker ->
@@ -143,10 +143,10 @@
     /** Kills a member, which restarts on the new version. */
     fun upgrade(
         name: String,
-        backAfter: Double,
+        restartAfterSeconds: Double,
     ) {
         newVersionMembers += name
-        if (controllers[name] != null) crash(name, backAfter)
+        if (controllers[name] != null) crash(name, restartAfterSeconds)
     }
 
     fun upgradeAt(
@@ -184,7 +184,7 @@
 
     fun crash(
         name: String,
-        backAfter: Double,
+        restartAfterSeconds: Double,
     ) {
         if (controllers[name] == null) return
         controllers[name] = null
@@ -192,7 +192,7 @@
         heldEffects.remove(name)
         pendingPauses.remove(name)
         openRequests.keys.filter { it.first == name }.forEach { openRequests.remove(it)?.invoke(0, "") }
-        clock.after(backAfter) { if (controllers[name] == null) start(name) }
+        clock.after(restartAfterSeconds) { if (controllers[name] == null) start(name) }
     }
 
     fun counters(name: String): Map<String, Long> = controllers[name]?.counters.orEmpty()
@@ -209,12 +209,12 @@
         clock.after(0.1) { tick(name, generation) }
     }
 
-    fun cut(
+    fun partition(
         a: String,
         b: String,
         seconds: Double,
     ) {
-        cutUntil[setOf(a, b)] = clock.now + seconds
+        partitionedUntil[setOf(a, b)] = clock.now + seconds
     }
 
     fun blockTrafficTo(
@@ -232,10 +232,10 @@
     }
 
     /** Disconnects [member] from all other members. */
-    fun cutFromPeers(
+    fun partitionFromPeers(
         member: String,
         seconds: Double,
-    ) = members.filter { it != member }.forEach { cut(member, it, seconds) }
+    ) = members.filter { it != member }.forEach { partition(member, it, seconds) }
 
     /** Makes the state service respond 503 to [member], except on watches, while it serves the others. */
     fun refuseStateRequests(
@@ -247,14 +247,14 @@
 
     private fun isRefused(member: String): Boolean = (refusedUntil[member] ?: 0.0) > clock.now
 
-    /** Records the reports that arrive within [seconds], and replays them to all members at the next change of leader. */
-    fun replayReportsToNextLeader(seconds: Double) {
+    /** Records the heartbeats that arrive within [seconds], and replays them to all members at the next change of leader. */
+    fun replayHeartbeatsToNextLeader(seconds: Double) {
         val until = clock.now + seconds
-        isRecordingReports = { clock.now < until }
+        isRecordingHeartbeats = { clock.now < until }
     }
 
-    private var isRecordingReports: () -> Boolean = { false }
-    private val recordedReports = ArrayList<String>()
+    private var isRecordingHeartbeats: () -> Boolean = { false }
+    private val recordedHeartbeats = ArrayList<String>()
     private var lastLeader: String? = null
 
     /** Called on each change of leader, with the new leader. */
@@ -275,28 +275,28 @@
         val now = leader() ?: return
         if (now != lastLeader) onLeaderChange(now)
         if (now != lastLeader && lastLeader != null) {
-            recordedReports.forEach { body ->
+            recordedHeartbeats.forEach { body ->
                 members.forEach { step(it, Input.Request(nextRequest++, "POST", "/agent/beat", "", body)) }
             }
-            if (!isRecordingReports()) recordedReports.clear()
+            if (!isRecordingHeartbeats()) recordedHeartbeats.clear()
         }
         lastLeader = now
     }
 
     private fun isInboundBlocked(machine: String): Boolean = (inboundBlockedUntil[machine] ?: 0.0) > clock.now
 
-    private fun atEndOfCut(
+    private fun afterPartition(
         a: String,
         b: String,
         action: () -> Unit,
     ) {
-        clock.after((cutUntil[setOf(a, b)] ?: clock.now) - clock.now + random.nextDouble(), action)
+        clock.after((partitionedUntil[setOf(a, b)] ?: clock.now) - clock.now + random.nextDouble(), action)
     }
 
-    private fun isCut(
+    private fun isPartitioned(
         a: String,
         b: String,
-    ): Boolean = (cutUntil[setOf(a, b)] ?: 0.0) > clock.now
+    ): Boolean = (partitionedUntil[setOf(a, b)] ?: 0.0) > clock.now
 
     /** Freezes a member for [seconds] while all clocks run on. A timer that expires several times meanwhile fires once afterwards. */
     fun freeze(
@@ -426,7 +426,7 @@
 
             is Effect.SendToPeer -> {
                 (effect.message as? PeerMessage.ForwardedRequest)?.let { onForwardedRequest(it.path) }
-                if (!isCut(name, effect.member)) {
+                if (!isPartitioned(name, effect.member)) {
                     clock.after(peerDelaySeconds()) { step(effect.member, Input.MessageReceived(effect.message)) }
                 }
             }
@@ -458,27 +458,27 @@
             if (generations[name] == generation) step(name, Input.CallCompleted(effect.callId, outcome))
         }
         val host = host(effect.target)
-        val drawnFault =
+        val randomFault =
             when {
                 callFaultRate > 0 && effect.path.startsWith("/follow").not() && random.nextDouble() < callFaultRate -> {
-                    listOf(CallFault.ANSWER_LOST, CallFault.DELAYED, CallFault.REFUSED).random(random)
+                    listOf(CallFault.RESPONSE_LOST, CallFault.DELAYED, CallFault.REFUSED).random(random)
                 }
 
                 else -> {
                     onCall(name, effect)
                 }
             }
-        val fault = if (host == "nobody") CallFault.REFUSED else drawnFault
+        val fault = if (host == "nobody") CallFault.REFUSED else randomFault
         clock.after(effect.timeoutSeconds) { settle(CallOutcome.Unknown) }
         when {
             host == "state" && isRefused(name) && !effect.path.startsWith("/follow") -> {
                 clock.after(0.003) { settle(CallOutcome.Responded(503, "{}")) }
             }
 
-            isInboundBlocked(host) || (isCut(name, host) && fault != CallFault.DELAYED) -> {
-                // On a connection from before the cut the request is held back. Without one, no connection can be opened.
-                if (cutsHoldPackets && calls % 2 == 0) {
-                    atEndOfCut(name, host) { deliver(host, effect) { _, _ -> } }
+            isInboundBlocked(host) || (isPartitioned(name, host) && fault != CallFault.DELAYED) -> {
+                // On a connection from before the partition the request is held back. Without one, no connection can be opened.
+                if (partitionsHoldPackets && calls % 2 == 0) {
+                    afterPartition(name, host) { deliver(host, effect) { _, _ -> } }
                 } else {
                     clock.after(1.0) { settle(CallOutcome.NotSent) }
                 }
@@ -493,7 +493,7 @@
                 clock.after(if (fault == CallFault.DELAYED) random.nextDouble() * lateSeconds else 0.003) {
                     deliver(host, effect) { status, body ->
                         if ((fault == CallFault.NONE || fault == CallFault.DUPLICATED) &&
-                            !isCut(name, host)
+                            !isPartitioned(name, host)
                         ) {
                             clock.after(0.003) { settle(CallOutcome.Responded(status, body)) }
                         }
@@ -537,20 +537,20 @@
             onResult(status, text)
         }
         clock.after(timeoutSeconds) { settle(0, "") }
-        val cut = isCut(from, name)
+        val isolated = isPartitioned(from, name)
         if ((outboundBlockedUntil[from] ?: 0.0) > clock.now) return clock.after(0.5) { settle(0, "") }
-        if (cut || controllers[name] == null) {
+        if (isolated || controllers[name] == null) {
             val late = Input.Request(nextRequest++, method, path, "", body)
-            if (cut && cutsHoldPackets) atEndOfCut(from, name) { step(name, late) } else clock.after(0.5) { settle(0, "") }
+            if (isolated && partitionsHoldPackets) afterPartition(from, name) { step(name, late) } else clock.after(0.5) { settle(0, "") }
             return
         }
         val id = nextRequest++
         openRequests[name to id] =
-            { status, text -> clock.after(0.001) { if (!isCut(from, name) && !isInboundBlocked(from)) settle(status, text) } }
+            { status, text -> clock.after(0.001) { if (!isPartitioned(from, name) && !isInboundBlocked(from)) settle(status, text) } }
         step(name, Input.Request(id, method, path, "", body))
         if (path == "/agent/beat") {
-            if (isRecordingReports()) recordedReports += body
-            duplicateReportAfter(from)?.let {
+            if (isRecordingHeartbeats()) recordedHeartbeats += body
+            duplicateHeartbeatAfter(from)?.let {
                 clock.after(it) { step(members.random(random), Input.Request(nextRequest++, method, path, "", body)) }
             }
         }
@@ -581,10 +581,10 @@
         body: String,
         askedAt: Double,
         status: Int,
-        answer: String,
+        response: String,
     ) {
         val job = if (path == "/api/jobs") Json.parseOrNull(body)?.path("id")?.asText() else path.split('/').getOrNull(3)
-        history.userResponses += ExecutionHistory.UserResponse(job.orEmpty(), member, status, jobStateOf(answer), askedAt, clock.now)
+        history.userResponses += ExecutionHistory.UserResponse(job.orEmpty(), member, status, jobStateOf(response), askedAt, clock.now)
     }
 
     fun run(until: Double) {
--- a/src/test/kotlin/burlridge/simulation/SimulatedUsers.kt
+++ b/src/test/kotlin/burlridge/simulation/SimulatedUsers.kt
@@ -76,7 +76,7 @@
 
 private fun SimulatedCluster.poll(
     spec: JobSpec,
-    afterEnd: Int,
+    responsesAfterEnd: Int,
 ) {
     clock.after(2.0 + random.nextDouble()) {
         val askedAt = clock.now
@@ -84,7 +84,7 @@
             val wasFinished = invariants.finished(spec.id)
             invariants.answered(spec.id, status, jobStateOf(body), submission = false, askedAt)
             if (!wasFinished && invariants.finished(spec.id)) queryAllMembers(spec)
-            val ended = if (invariants.finished(spec.id)) afterEnd + 1 else 0
+            val ended = if (invariants.finished(spec.id)) responsesAfterEnd + 1 else 0
             if (ended == 3) resubmit(spec) else poll(spec, ended)
         }
     }
@@ -102,7 +102,7 @@
     }
 }
 
-/** Queries [spec] once at [member] and passes whatever comes back to the invariant checker. */
+/** Queries [spec] once at [member] and passes the response to the invariant checker. */
 internal fun SimulatedCluster.queryJob(
     spec: JobSpec,
     member: String,
--- a/src/test/kotlin/burlridge/simulation/SimulationEnvironment.kt
+++ b/src/test/kotlin/burlridge/simulation/SimulationEnvironment.kt
@@ -18,7 +18,7 @@
     val gangBarrier: GangBarrier
     val cloud: CloudService
 
-    /** Maps a task state or an exit cause to its name in reports; a later version of the worker may use other names. */
+    /** Maps a task state or an exit cause to its name in heartbeats; a later version of the worker may use other names. */
     val wireName: (String) -> String
 
     /** Whether tasks fail to save their progress when they are stopped. */
--- a/src/test/kotlin/burlridge/simulation/StateService.kt
+++ b/src/test/kotlin/burlridge/simulation/StateService.kt
@@ -48,7 +48,7 @@
     private var changesPerTransaction = 8
 
     /** Alters the response to a watch, to simulate a service that violates its protocol. */
-    var tamperWithChanges: (path: String, answer: JsonNode) -> Unit = { _, _ -> }
+    var tamperWithChanges: (path: String, response: JsonNode) -> Unit = { _, _ -> }
 
     /** Number of transactions that were refused because they exceeded the limits. */
     var refusedAsTooLarge = 0
@@ -261,15 +261,15 @@
     ) {
         val watch = Watch(query["starts"].orEmpty(), query["from"]?.toLong() ?: 0L, reply)
         watches += watch
-        clock.after((query["blockMs"]?.toDouble() ?: 0.0) / 1000) { if (watch.open) answerWatch(watch) }
+        clock.after((query["blockMs"]?.toDouble() ?: 0.0) / 1000) { if (watch.open) respondToWatch(watch) }
         notifyWatches()
     }
 
     private fun notifyWatches() {
-        watches.filter { w -> changes.any { it.revision > w.from && it.key.startsWith(w.prefix) } }.forEach { answerWatch(it) }
+        watches.filter { w -> changes.any { it.revision > w.from && it.key.startsWith(w.prefix) } }.forEach { respondToWatch(it) }
     }
 
-    private fun answerWatch(watch: Watch) {
+    private fun respondToWatch(watch: Watch) {
         watch.open = false
         watches.remove(watch)
         val events =
@@ -282,8 +282,8 @@
                         "{\"set\":\"${it.key}\",\"value\":${it.value},\"stamp\":${it.revision}}"
                     }
                 }
-        val answer = Json.parse("{\"ledgerRev\":$revision,\"events\":[$events]}")
-        tamperWithChanges(watch.prefix, answer)
-        watch.reply(200, answer.toString())
+        val response = Json.parse("{\"ledgerRev\":$revision,\"events\":[$events]}")
+        tamperWithChanges(watch.prefix, response)
+        watch.reply(200, response.toString())
     }
 }
--- a/src/test/kotlin/burlridge/simulation/Worker.kt
+++ b/src/test/kotlin/burlridge/simulation/Worker.kt
@@ -155,7 +155,7 @@
 
     private fun isGang(task: Task): Boolean = cluster.invariants.spec(task.job)?.gang == true
 
-    private fun report(): JsonNode =
+    private fun heartbeatBody(): JsonNode =
         Json.obj {
             put("drover", id)
             put("addr", address)
@@ -183,23 +183,23 @@
         val sentAt = cluster.clock.now
         val sentEpoch = agentEpoch
         val name = cluster.members[memberIndex]
-        cluster.request(id, name, "POST", "/agent/beat", report().toString(), 4.0) { status, body ->
+        cluster.request(id, name, "POST", "/agent/beat", heartbeatBody().toString(), 4.0) { status, body ->
             heartbeatInFlight = false
             if (!alive) return@request
             if (hung) return@request whenNotHung { scheduleNextHeartbeat() }
-            val answer = Json.parseOrNull(body)
+            val response = Json.parseOrNull(body)
             when (status) {
                 200 -> {
-                    if (sentEpoch == agentEpoch && answer != null && answer.path("baton").asLong(-1) >= token) {
-                        token = answer.path("baton").asLong()
+                    if (sentEpoch == agentEpoch && response != null && response.path("baton").asLong(-1) >= token) {
+                        token = response.path("baton").asLong()
                         lastAnsweredSentAt = sentAt
-                        answer.path("orders").forEach { execute(it) }
+                        response.path("orders").forEach { execute(it) }
                     }
                     scheduleNextHeartbeat()
                 }
 
                 421 -> {
-                    val leader = cluster.members.indexOf(answer?.path("herder")?.asText(""))
+                    val leader = cluster.members.indexOf(response?.path("herder")?.asText(""))
                     val leaderIsKnown = leader >= 0 && leader != memberIndex
                     memberIndex = if (leaderIsKnown) leader else (memberIndex + 1) % cluster.members.size
                     cluster.clock.after(if (leaderIsKnown) cluster.random.nextDouble() * 0.5 else 1.0) { heartbeat() }
@@ -239,13 +239,13 @@
             heldActions += { handle(path, body) }
             return null
         }
-        if (path == "/inspect") return 200 to report().toString()
+        if (path == "/inspect") return 200 to heartbeatBody().toString()
         val command = Json.parse(body)
         if (!command.has("baton") || !command.has("stint")) return 400 to "{}"
-        if (command.path("baton").asLong() < token || command.path("stint").asLong() != agentEpoch) return 409 to report().toString()
+        if (command.path("baton").asLong() < token || command.path("stint").asLong() != agentEpoch) return 409 to heartbeatBody().toString()
         token = command.path("baton").asLong()
         command.path("orders").forEach { execute(it) }
-        return 200 to report().toString()
+        return 200 to heartbeatBody().toString()
     }
 
     private fun execute(command: JsonNode) {
--- a/src/test/kotlin/burlridge/simulation/WorkerFaultTest.kt
+++ b/src/test/kotlin/burlridge/simulation/WorkerFaultTest.kt
@@ -46,7 +46,7 @@
     /** Guards the same wait in a new leader, and the order of heartbeats by agent epoch and sequence number in every leader. */
     @Test
     fun `late copies of heartbeats prove neither that a task has ended nor that a machine is alive`() {
-        cluster.duplicateReportAfter = { listOf(2.0, 9.0, 31.0, 70.0).random(cluster.random) }
+        cluster.duplicateHeartbeatAfter = { listOf(2.0, 9.0, 31.0, 70.0).random(cluster.random) }
         repeat(12) { i -> cluster.clock.after(5.0 + 6 * i) { cluster.submit(cluster.job(i, 3, runSeconds = 12.0)) } }
         repeat(3) { i -> cluster.clock.after(25.0 + 25 * i) { cluster.leader()?.let { cluster.crash(it, 1.0) } } }
         cluster.clock.after(40.0) {
@@ -69,11 +69,11 @@
         cluster.clock.after(5.0) { cluster.submit(cluster.job(1, 3, runSeconds = 40.0)) }
         cluster.clock.after(30.0) {
             val leader = cluster.leader() ?: return@after
-            cluster.cut(leader, "state", 60.0)
-            cluster.members.filter { it != leader }.forEach { cluster.cut(leader, it, 60.0) }
+            cluster.partition(leader, "state", 60.0)
+            cluster.members.filter { it != leader }.forEach { cluster.partition(leader, it, 60.0) }
             cluster.clock.after(6.0) {
-                val report = """{"drover":"m-000001","addr":"10.1.0.1:9000","stint":1,"tally":0,"baton":0,"pieces":[]}"""
-                cluster.request("m-000001", leader, "POST", "/agent/beat", report, 4.0) { status, _ -> lateStatus = status }
+                val heartbeat = """{"drover":"m-000001","addr":"10.1.0.1:9000","stint":1,"tally":0,"baton":0,"pieces":[]}"""
+                cluster.request("m-000001", leader, "POST", "/agent/beat", heartbeat, 4.0) { status, _ -> lateStatus = status }
             }
         }
         cluster.clock.after(34.0) { cluster.submit(cluster.job(2, 2, runSeconds = 5.0)) }
@@ -111,7 +111,7 @@
     fun `machines that cannot reach the leader receive start commands through another member`() {
         cluster.clock.after(30.0) {
             val leader = cluster.leader() ?: return@after
-            cluster.cloud.machineIds().forEach { cluster.cut(it, leader, 60.0) }
+            cluster.cloud.machineIds().forEach { cluster.partition(it, leader, 60.0) }
         }
         cluster.clock.after(5.0) { cluster.submit(cluster.job(1, 3, runSeconds = 5.0)) }
         cluster.clock.after(52.0) { cluster.submit(cluster.job(2, 3, runSeconds = 5.0)) }
@@ -153,8 +153,9 @@
         mapOf(
             "outage" to { clock.after(50.0) { state.outage(15.0) } },
             "crash of all members" to { clock.after(60.0) { members.forEach { crash(it, 3.0) } } },
-            "leader cut off from the state service" to { clock.after(75.0) { leader()?.let { cut(it, "state", 20.0) } } },
-            "members separated" to { clock.after(75.0) { members.forEach { a -> members.forEach { b -> if (a != b) cut(a, b, 20.0) } } } },
+            "leader partitioned from the state service" to { clock.after(75.0) { leader()?.let { partition(it, "state", 20.0) } } },
+            "members separated" to
+                { clock.after(75.0) { members.forEach { a -> members.forEach { b -> if (a != b) partition(a, b, 20.0) } } } },
         )
 
     @Test
--- a/src/test/kotlin/burlridge/store/StoreCodecTest.kt
+++ b/src/test/kotlin/burlridge/store/StoreCodecTest.kt
@@ -4,7 +4,7 @@
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Test
 
-/** Tests the wire format of the key-value store; an answer that violates the protocol is never decoded as a success. */
+/** Tests the wire format of the key-value store; a response that violates the protocol is never decoded as a success. */
 internal class StoreCodecTest {
     @Test
     fun `a transaction is encoded as the protocol specifies`() {
@@ -21,7 +21,7 @@
     }
 
     @Test
-    fun `a transaction has a definite result only if the answer is unambiguous`() {
+    fun `a transaction has a definite result only if the response is unambiguous`() {
         fun result(
             status: Int,
             body: String,
@@ -39,7 +39,7 @@
     }
 
     @Test
-    fun `reads, listings and lease requests without a usable answer are decoded as failed`() {
+    fun `reads, listings and lease requests without a usable response are decoded as failed`() {
         assertEquals(ReadResult.Absent, StoreCodec.decodeRow("term", 404, null))
         assertEquals(ReadResult.Failed, StoreCodec.decodeRow("term", 200, Json.parse("{}")))
         assertEquals(ListResult.Failed, StoreCodec.decodePage(200, Json.parse("""{"pairs":7}""")))
@@ -49,7 +49,7 @@
     }
 
     @Test
-    fun `a watch answer is decoded as changes, compacted history or failure`() {
+    fun `a watch response is decoded as changes, compacted history or failure`() {
         val body = """{"ledgerRev":9,"events":[{"set":"live/1","value":7,"stamp":8},{"remove":"live/2","stamp":9}]}"""
         val events = listOf(WatchEvent.Put("live/1", Json.parse("7"), 8), WatchEvent.Delete("live/2", 9))
         assertEquals(WatchResult.Changes(9, events), StoreCodec.decodeWatch(200, Json.parse(body)))
--- a/src/test/kotlin/burlridge/transcript/TranscriptSchedules.kt
+++ b/src/test/kotlin/burlridge/transcript/TranscriptSchedules.kt
@@ -59,8 +59,8 @@
     until: Double,
 ) {
     onCall = { _, call ->
-        val hit = clock.now in from..until && call.path == "/multi" && random.nextInt(3) == 0
-        if (hit) listOf(CallFault.DELAYED, CallFault.ANSWER_LOST).random(random) else CallFault.NONE
+        val isAffected = clock.now in from..until && call.path == "/multi" && random.nextInt(3) == 0
+        if (isAffected) listOf(CallFault.DELAYED, CallFault.RESPONSE_LOST).random(random) else CallFault.NONE
     }
 }
 
@@ -73,7 +73,7 @@
     operator = OperatorSettings(failover = FailoverSettings(standbys = 1)),
 )
 
-private fun SimulatedCluster.submitSavingJobs(count: Int): List<JobSpec> =
+private fun SimulatedCluster.submitCheckpointingJobs(count: Int): List<JobSpec> =
     submitAll((0 until count).map { checkpointingJob(it, 1 + it % 4, runSeconds = 30.0) }, from = 10.0, everySeconds = 1.5)
 
 internal val TRANSCRIPT_SCHEDULES: List<TranscriptSchedule> =
@@ -111,14 +111,14 @@
             atLeader(80.0) { pauseMidStep(it, 15.0) }
         },
         TranscriptSchedule("leader-cut", 170.0, { SimulatedCluster(408) }) {
-            cutsHoldPackets = true
+            partitionsHoldPackets = true
             submitArrays(20)
-            atLeader(25.0) { cut(it, "state", 20.0) }
+            atLeader(25.0) { partition(it, "state", 20.0) }
             atLeader(60.0) {
-                cut(it, "state", 25.0)
-                cutFromPeers(it, 25.0)
+                partition(it, "state", 25.0)
+                partitionFromPeers(it, 25.0)
             }
-            atLeader(95.0) { leader -> cloud.machineIds().take(4).forEach { cut(it, leader, 30.0) } }
+            atLeader(95.0) { leader -> cloud.machineIds().take(4).forEach { partition(it, leader, 30.0) } }
         },
         TranscriptSchedule("leader-refused", 160.0, { SimulatedCluster(409) }) {
             val long = (0 until 4).map { job(200 + it, 3, runSeconds = 60.0) }
@@ -167,9 +167,9 @@
             at(30.0) { cloud.machineIds().take(2).forEach { blockTrafficTo(it, 20.0) } }
             at(40.0) { cloud.machineIds().takeLast(2).forEach { blockTrafficFrom(it, 30.0) } }
             at(50.0) { cloud.machineIds().take(2).forEach { cloud.worker(it)?.hang(15.0) } }
-            at(55.0) { replayReportsToNextLeader(8.0) }
+            at(55.0) { replayHeartbeatsToNextLeader(8.0) }
             atLeader(60.0) { crash(it, 3.0) }
-            duplicateReportAfter = { if (clock.now < 80.0 && random.nextInt(5) == 0) 20.0 else null }
+            duplicateHeartbeatAfter = { if (clock.now < 80.0 && random.nextInt(5) == 0) 20.0 else null }
         },
         TranscriptSchedule("failover-handovers", 150.0, { failoverCluster(415, 3) }) {
             submitArrays(20)
@@ -188,7 +188,7 @@
             at(70.0) { state.outage(10.0) }
         },
         TranscriptSchedule("balance-drains-and-moves", 160.0, { clusterWithBalance(417) }) {
-            submitSavingJobs(14)
+            submitCheckpointingJobs(14)
             at(30.0) { drainZone("a") }
             atLeader(34.0) { crash(it, 4.0) }
             at(70.0) { undrainZone("a") }
@@ -196,7 +196,7 @@
         TranscriptSchedule("balance-and-failover", 160.0, {
             clusterWithBalance(418, members = 5, failover = true, operatorOf = { operatorSettingsWithBalance(failover = true) })
         }) {
-            submitSavingJobs(14)
+            submitCheckpointingJobs(14)
             repeat(2) { i -> at(22.0 + 9.0 * i) { submit(gang(60 + i, 4, runSeconds = 25.0)) } }
             at(32.0) { drainZone("b") }
             atLeader(40.0) { drain(it) }
